--- a/lib/route/activate.c
+++ b/lib/route/activate.c
@@ -1,16 +1,17 @@
-/* Which order a target gets next. */
+/* Selection of the next load order for a target. */
 
 #include "route/activate.h"
 
-#define REST_FIRST_MS 2000
-#define REST_MOST_MS 60000
+#define BACKOFF_MIN_MS 2000
+#define BACKOFF_MAX_MS 60000
 
 static enum act_step
 drained_step(const struct act_target *t)
 {
-	/* Loaded, or the load failed and the old version serves on: the
-	 * target is not kept from work for nothing. Also what a new holder
-	 * of the role finds when the former one died in between. */
+	/* The version is loaded, or the load failed and the old version is
+	 * still there: there is no reason to keep the target drained. A new
+	 * holder of the role also finds this when the former one died between
+	 * the drain and the load. */
 	if (t->loaded || t->resting || !t->whole)
 		return ACT_ADMIT;
 	return t->running > 0 ? ACT_NONE : ACT_LOAD;
@@ -36,10 +37,10 @@
 unsigned int
 act_rest_ms(unsigned int failures)
 {
-	unsigned int ms = REST_FIRST_MS;
+	unsigned int ms = BACKOFF_MIN_MS;
 
 	g_assert(failures > 0);
-	while (--failures > 0 && ms < REST_MOST_MS)
+	while (--failures > 0 && ms < BACKOFF_MAX_MS)
 		ms *= 2;
-	return MIN(ms, REST_MOST_MS);
+	return MIN(ms, BACKOFF_MAX_MS);
 }
