--- a/lib/route/admit.c
+++ b/lib/route/admit.c
@@ -1,23 +1,25 @@
-/* Admission at an entry: starting, fairness between teams, early refusal. */
+/* Admission control at a gateway: start order, fairness, early refusal. */
 
 #include <string.h>
 
 #include "route/admit_internal.h"
 
-/* A waiting ticket is refused early only if even a drain faster by this much
- * would come too late: its estimate moves with each measurement. */
-#define HOPE_PCT 150
-/* A new one waits only if it is to start within this part of the time to its
- * goal: refused later, it would have waited for nothing. */
-#define GOAL_PART_PCT 70
-
-#define RETRY_LEAST_MS 100
-#define RETRY_MOST_MS 60000
+/* A waiting ticket is refused early only if it would miss its deadline even at
+ * this multiple of the measured dequeue rate, because the estimate changes with
+ * each measurement. */
+#define RATE_MARGIN_PCT 150
+/* A new ticket waits only if it is expected to start within this share of the
+ * time to its first-byte deadline: a later refusal would make the caller wait
+ * in vain. */
+#define MAX_WAIT_PCT 70
+
+#define RETRY_MIN_MS 100
+#define RETRY_MAX_MS 60000
 #define RETRY_UNKNOWN_MS 1000
 #define DEFAULT_WEIGHT 100
 
 /* ------------------------------------------------------------------ */
-/* Teams and lanes                                                     */
+/* Workspaces and queues                                               */
 /* ------------------------------------------------------------------ */
 
 struct adm *
@@ -34,7 +36,7 @@
 }
 
 static void
-free_team(struct adm_team *team)
+free_workspace(struct adm_team *team)
 {
 	struct adm_lane *lane;
 
@@ -57,7 +59,7 @@
 		return;
 	while ((team = LIST_FIRST(&adm->teams)) != NULL) {
 		LIST_REMOVE(team, link);
-		free_team(team);
+		free_workspace(team);
 	}
 	g_free(adm);
 }
@@ -93,18 +95,19 @@
 	lane = g_new0(struct adm_lane, 1);
 	lane->team = team;
 	lane->name = g_strdup(name);
-	lane->trust = TRUST_WHOLE;
-	for (i = 0; i < CLASSES; i++)
+	lane->slot_permille = SLOT_PERMILLE_MAX;
+	for (i = 0; i < PRIORITY_CLASSES; i++)
 		TAILQ_INIT(&lane->waiting[i]);
 	LIST_INSERT_HEAD(&team->lanes, lane, link);
 	return lane;
 }
 
 void
-adm_team_set(struct adm_team *team, unsigned int weight, unsigned int queue)
+adm_team_set(
+    struct adm_team *team, unsigned int weight, unsigned int max_waiting)
 {
 	team->weight = MAX(weight, 1);
-	team->queue = queue;
+	team->queue = max_waiting;
 }
 
 /* ------------------------------------------------------------------ */
@@ -120,12 +123,13 @@
 }
 
 /*
- * Charges the team for the target's time it is about to use. A team that was
- * away begins at the present virtual time: unused shares are not saved up,
- * or it could keep the others out for as long as it was away.
+ * Charges the workspace for the target time that it is about to use. A
+ * workspace that was idle resumes at the current virtual time: unused share is
+ * not saved, or the workspace could starve the others for as long as it was
+ * idle.
  */
 static void
-begin(struct adm_ticket *ticket, int64_t now_us)
+start_ticket(struct adm_ticket *ticket, int64_t now_us)
 {
 	struct adm_lane *lane = ticket->lane;
 	struct adm_team *team = lane->team;
@@ -145,7 +149,7 @@
 }
 
 static struct adm_ticket *
-next_of_team(const struct adm_team *team)
+next_in_workspace(const struct adm_team *team)
 {
 	struct adm_ticket *best = NULL, *next;
 	const struct adm_lane *lane;
@@ -154,14 +158,14 @@
 		if (lane->nwaiting == 0 || !has_room(lane))
 			continue;
 		next = adm_next(lane);
-		if (best == NULL || adm_turn(next) < adm_turn(best))
+		if (best == NULL || adm_order_key(next) < adm_order_key(best))
 			best = next;
 	}
 	return best;
 }
 
 static struct adm_ticket *
-next_of_all(const struct adm *adm)
+next_ticket(const struct adm *adm)
 {
 	struct adm_ticket *best = NULL, *next;
 	const struct adm_team *team;
@@ -169,7 +173,7 @@
 	LIST_FOREACH (team, &adm->teams, link) {
 		if (team->nwaiting == 0)
 			continue;
-		next = next_of_team(team);
+		next = next_in_workspace(team);
 		if (next == NULL)
 			continue;
 		if (best == NULL ||
@@ -180,28 +184,28 @@
 }
 
 static void
-pump(struct adm *adm, int64_t now_us)
+dispatch(struct adm *adm, int64_t now_us)
 {
 	struct adm_ticket *ticket;
 
-	if (adm->pumping)
-		return; /* a callback: the loop below goes on */
-	adm->pumping = true;
+	if (adm->dispatching)
+		return; /* called by a callback of the loop below */
+	adm->dispatching = true;
 	while (adm->nstarted < adm->capacity &&
-	    (ticket = next_of_all(adm)) != NULL) {
+	    (ticket = next_ticket(adm)) != NULL) {
 		est_rate_start(&ticket->lane->drain, ticket->cost, now_us);
 		adm_dequeue(ticket);
-		begin(ticket, now_us);
+		start_ticket(ticket, now_us);
 		adm->ops->start(ticket, adm->ctx);
 	}
-	adm->pumping = false;
+	adm->dispatching = false;
 }
 
 void
 adm_set_capacity(struct adm *adm, unsigned int capacity, int64_t now_us)
 {
 	adm->capacity = capacity;
-	pump(adm, now_us);
+	dispatch(adm, now_us);
 }
 
 void
@@ -210,14 +214,14 @@
 {
 	lane->load = *load;
 	adm_step_limit(lane, now_us);
-	pump(lane->team->adm, now_us);
+	dispatch(lane->team->adm, now_us);
 }
 
 /* ------------------------------------------------------------------ */
 /* Refusing                                                            */
 /* ------------------------------------------------------------------ */
 
-/* Until so much cost has left the queue. 0 when nothing is known. */
+/* Time until `cost` has left the queue; 0 when unknown. */
 static int64_t
 wait_us(const struct adm_lane *lane, uint64_t cost, int64_t now_us)
 {
@@ -239,11 +243,11 @@
 	err_set(err, code, VERDICT_NOT_RUN, "%s", why);
 	if (err != NULL)
 		err->retry_after_ms =
-		    (unsigned int)CLAMP(ms, RETRY_LEAST_MS, RETRY_MOST_MS);
+		    (unsigned int)CLAMP(ms, RETRY_MIN_MS, RETRY_MAX_MS);
 	return ADM_REFUSED;
 }
 
-/* When half of what waits will have gone. */
+/* Time until half of the waiting cost has left the queue. */
 static int64_t
 retry_us(const struct adm_lane *lane, int64_t now_us)
 {
@@ -251,17 +255,17 @@
 	int64_t us;
 	size_t i;
 
-	for (i = 0; i < CLASSES; i++)
+	for (i = 0; i < PRIORITY_CLASSES; i++)
 		cost += lane->cost[i];
 	us = wait_us(lane, MAX(cost / 2, 1), now_us);
 
 	return us == 0 ? RETRY_UNKNOWN_MS * 1000 : us;
 }
 
-/* Refused rather than started when not even a quick answer would make it: a
- * slot spent on an answer that nobody waits for is lost to the others. */
+/* Whether even a fast response would be late. Such a ticket is refused rather
+ * than started, as the slot would be lost to other requests. */
 static bool
-comes_too_late(const struct adm_ticket *ticket, int64_t wait, int64_t now_us)
+misses_deadline(const struct adm_ticket *ticket, int64_t wait, int64_t now_us)
 {
 	const struct adm_lane *lane = ticket->lane;
 	int64_t start_us = now_us + wait;
@@ -271,7 +275,7 @@
 }
 
 static bool
-misses_goal(const struct adm_ticket *ticket, int64_t wait, int64_t first)
+misses_first_byte(const struct adm_ticket *ticket, int64_t wait, int64_t first)
 {
 	return ticket->goal_us != 0 && wait + first > ticket->goal_us;
 }
@@ -280,20 +284,20 @@
 refuse_or_wait(struct adm_ticket *ticket, int64_t now_us, struct err *err)
 {
 	struct adm_lane *lane = ticket->lane;
-	int64_t wait = wait_us(
-	    lane, adm_ahead_of_new(lane, ticket) + ticket->cost, now_us);
+	int64_t wait =
+	    wait_us(lane, adm_cost_ahead(lane, ticket) + ticket->cost, now_us);
 	int64_t service_us = est_time_mean(&lane->unit, now_us) * ticket->cost;
 
 	if (lane->team->nwaiting >= lane->team->queue)
 		return refuse(ticket, ERR_OVERLOADED, retry_us(lane, now_us),
-		    err, "the team's queue is full");
+		    err, "the admission queue of the workspace is full");
 	if (now_us + wait + service_us >= ticket->deadline_us)
 		return refuse(ticket, ERR_DEADLINE, retry_us(lane, now_us), err,
-		    "its turn would come too late for its deadline");
-	if (misses_goal(ticket, now_us + wait * 100 / GOAL_PART_PCT,
+		    "the request would wait too long to meet its deadline");
+	if (misses_first_byte(ticket, now_us + wait * 100 / MAX_WAIT_PCT,
 		est_time_high(&lane->first, now_us)))
 		return refuse(ticket, ERR_OVERLOADED, retry_us(lane, now_us),
-		    err, "its first byte would come too late");
+		    err, "the first byte would miss its deadline");
 	adm_enqueue(lane, ticket, now_us);
 	return ADM_WAITING;
 }
@@ -307,44 +311,45 @@
 	ticket->cost = MAX(ticket->cost, 1);
 	if (lane->load.slots == 0)
 		return refuse(ticket, ERR_UNAVAILABLE, RETRY_UNKNOWN_MS * 1000,
-		    err, "no target is in service");
-	if (comes_too_late(ticket, 0, now_us))
+		    err, "no target is available");
+	if (misses_deadline(ticket, 0, now_us))
 		return refuse(ticket, ERR_DEADLINE, retry_us(lane, now_us), err,
-		    "the deadline is shorter than any answer takes");
+		    "the deadline is shorter than the fastest response");
 	if (lane->nwaiting > 0 || !has_room(lane))
 		return refuse_or_wait(ticket, now_us, err);
-	begin(ticket, now_us);
+	start_ticket(ticket, now_us);
 	return ADM_STARTED;
 }
 
-/* Why a ticket with others of cost `ahead` before it is to be given up. */
+/* Why a waiting ticket with `ahead` cost before it must be refused; ERR_NONE if
+ * it may wait on. */
 static enum err_code
-loss_of(const struct adm_ticket *ticket, uint64_t ahead, int64_t now_us)
+refusal_of(const struct adm_ticket *ticket, uint64_t ahead, int64_t now_us)
 {
 	const struct adm_lane *lane = ticket->lane;
 	int64_t wait =
-	    wait_us(lane, ahead + ticket->cost, now_us) * 100 / HOPE_PCT;
+	    wait_us(lane, ahead + ticket->cost, now_us) * 100 / RATE_MARGIN_PCT;
 
-	if (comes_too_late(ticket, wait, now_us))
+	if (misses_deadline(ticket, wait, now_us))
 		return ERR_DEADLINE;
-	if (misses_goal(
+	if (misses_first_byte(
 		ticket, now_us + wait, est_time_low(&lane->first, now_us)))
 		return ERR_OVERLOADED;
 	return ERR_NONE;
 }
 
 static void
-collect_lost(struct adm_lane *lane, int64_t now_us)
+collect_refused(struct adm_lane *lane, int64_t now_us)
 {
 	struct adm_ticket *ticket, *next;
 	uint64_t ahead = 0;
 	unsigned int i;
 
-	for (i = 0; i < CLASSES; i++) {
+	for (i = 0; i < PRIORITY_CLASSES; i++) {
 		for (ticket = TAILQ_FIRST(&lane->waiting[i]); ticket != NULL;
 		     ticket = next) {
 			next = TAILQ_NEXT(ticket, link);
-			ticket->loss = loss_of(ticket, ahead, now_us);
+			ticket->loss = refusal_of(ticket, ahead, now_us);
 			if (ticket->loss == ERR_NONE) {
 				ahead += ticket->cost;
 				continue;
@@ -358,15 +363,15 @@
 }
 
 static void
-refuse_lost(struct adm *adm, struct adm_ticket *ticket, int64_t now_us)
+refuse_collected(struct adm *adm, struct adm_ticket *ticket, int64_t now_us)
 {
 	struct err err = { 0 };
 
 	TAILQ_REMOVE(&adm->refused, ticket, link);
 	refuse(ticket, ticket->loss, retry_us(ticket->lane, now_us), &err,
 	    ticket->loss == ERR_DEADLINE
-		? "its turn comes too late for its deadline"
-		: "its first byte comes too late");
+		? "the request waited too long to meet its deadline"
+		: "the first byte will miss its deadline");
 	adm->ops->refuse(ticket, &err, adm->ctx);
 }
 
@@ -379,14 +384,14 @@
 
 	LIST_FOREACH (team, &adm->teams, link) {
 		LIST_FOREACH (lane, &team->lanes, link) {
-			collect_lost(lane, now_us);
+			collect_refused(lane, now_us);
 			adm_step_limit(lane, now_us);
 		}
 	}
-	/* Told only now, as the owner may do anything in return. */
+	/* Notified after the loops, as the callback may change the queues. */
 	while ((ticket = TAILQ_FIRST(&adm->refused)) != NULL)
-		refuse_lost(adm, ticket, now_us);
-	pump(adm, now_us);
+		refuse_collected(adm, ticket, now_us);
+	dispatch(adm, now_us);
 }
 
 /* ------------------------------------------------------------------ */
@@ -432,7 +437,7 @@
 		lane->load.running--;
 	team->adm->nstarted--;
 	adm_step_limit(lane, now_us);
-	pump(team->adm, now_us);
+	dispatch(team->adm, now_us);
 }
 
 void
@@ -448,7 +453,7 @@
 		adm_done(ticket, ADM_OTHER, now_us);
 		return;
 	case ADM_REFUSED:
-		if (ticket->lane != NULL) /* adm_expire has not come to it */
+		if (ticket->lane != NULL) /* still listed by adm_expire */
 			TAILQ_REMOVE(
 			    &ticket->lane->team->adm->refused, ticket, link);
 		break;
--- a/lib/route/admit.h
+++ b/lib/route/admit.h
@@ -2,28 +2,30 @@
 #define ADMIT_H
 
 /*
- * adm: admission at one entry. A request takes a ticket; the ticket starts,
- * waits or is refused. Refused is what cannot be served in time, at once and
- * as NOT_RUN, with advice when to come back.
+ * adm: admission control at one gateway. A request is submitted as a ticket,
+ * which starts, waits or is refused. A ticket that cannot be served in time is
+ * refused at once as NOT_RUN, with a Retry-After value.
  *
- * A lane is what requests compete for: the targets of one pool or service of
- * one team. Its limit needs no counter shared between entries:
+ * An admission queue holds the requests for the targets of one pool or service
+ * of one workspace. Its concurrency limit needs no counter that the gateways
+ * share:
  *
- *   limit = max(slots / entries, running here + room / entries)
+ *   limit = max(slots / gateways, running here + room / gateways)
  *
- * where room is what the sides say is free of the slots, whoever uses them.
- * The first part is each entry's own and adds up to the slots; the second
- * lends what the others leave unused, and is taken back as soon as the sides say that
- * more is running than there are slots. Refusals by targets lower the slots
- * that are counted on, and time without refusals raises them again.
+ * where room is the number of slots that the sidecars report as free, whichever
+ * gateway uses the others. The first term is the even share of this gateway;
+ * the even shares add up to the slots. The second term borrows slots that other
+ * gateways leave unused, and drops to zero as soon as the sidecars report more
+ * running requests than slots. Refusals by targets lower the number of slots
+ * that is used for the limit, and time without refusals raises it again.
  *
- * Waiting tickets leave by class of priority, a more urgent class being ahead by a
- * fixed time, so that the others age and are served too; between teams by
- * start-time fair queueing over the targets' time used, by weight. How long
- * a wait will be is told from the cost of what waits ahead and the rate that
- * cost leaves the queue at.
+ * Within a queue, tickets start by priority class. A class has a fixed head
+ * start over the next one, so that less urgent tickets age and are served too.
+ * Between workspaces, start-time fair queueing over the target time used
+ * applies, by weight. The expected wait is the cost of the tickets ahead,
+ * divided by the rate at which cost leaves the queue.
  *
- * No allocation after a lane is made. Times are monotonic microseconds.
+ * Nothing is allocated once a queue exists. Times are monotonic microseconds.
  */
 
 #include "common/common.h"
@@ -42,14 +44,14 @@
 /* Embedded in the request; zero it, then set the first part. */
 struct adm_ticket {
 	unsigned int priority; /* 0 is most urgent */
-	/* Expected work relative to others of the lane, e.g. the tokens asked
-	 * for: what is known of short answers then serves for long ones. 0
-	 * counts as 1. */
+	/* Expected work relative to other tickets of the queue, e.g. the
+	 * number of tokens requested, so that the times measured on short
+	 * responses also predict long ones. 0 counts as 1. */
 	unsigned int cost;
-	int64_t deadline_us; /* of the whole answer */
-	int64_t goal_us; /* first byte wanted by then; 0: no such goal */
+	int64_t deadline_us; /* of the complete response */
+	int64_t goal_us; /* deadline of the first byte; 0: none */
 
-	/* Used by adm. */
+	/* Private to adm. */
 	TAILQ_ENTRY(adm_ticket) link;
 	struct adm_lane *lane;
 	enum adm_state state;
@@ -62,72 +64,73 @@
 struct adm_ops {
 	/* A ticket that waited starts. May call adm_done. */
 	void (*start)(struct adm_ticket *ticket, void *ctx);
-	/* A ticket that waited is given up; the caller is to be told at
-	 * once. The ticket is no longer known when this is called. */
+	/* A waiting ticket is refused; the caller must be answered at once.
+	 * adm holds no reference to the ticket any more. */
 	void (*refuse)(
 	    struct adm_ticket *ticket, const struct err *err, void *ctx);
 };
 
-/* `capacity` bounds the requests started over all lanes. */
+/* `capacity` bounds the requests in progress over all queues. */
 struct adm *adm_new(
     unsigned int capacity, const struct adm_ops *ops, void *ctx);
-/* Tickets must be gone. */
+/* No ticket may be waiting or started. */
 void adm_free(struct adm *adm);
 void adm_set_capacity(struct adm *adm, unsigned int capacity, int64_t now_us);
 
-/* Both are made when missing and live as long as `adm`. */
+/* Both are created on first use and live as long as `adm`. */
 struct adm_team *adm_team(struct adm *adm, const char *name);
 struct adm_lane *adm_lane(struct adm_team *team, const char *name);
-/* `queue` is this entry's part of the requests that may wait. */
+/* `max_waiting`: this gateway's share of the requests that may wait. */
 void adm_team_set(
-    struct adm_team *team, unsigned int weight, unsigned int queue);
+    struct adm_team *team, unsigned int weight, unsigned int max_waiting);
 
 /*
- * What the sides say of the lane's targets: to be called when one of them
- * has spoken. `running` counts all entries' requests, with those that this entry
- * has sent since the sides spoke. May start waiting tickets.
+ * Load that the sidecars report for the targets of the queue; call on each
+ * status report. `running` counts the requests of all gateways, including those
+ * that this gateway has sent since the reports. May start waiting tickets.
  */
 struct adm_load {
-	unsigned int slots; /* of the targets that may be used now */
+	unsigned int slots; /* of the targets that are usable now */
 	unsigned int running;
-	unsigned int entries; /* live entries that share them, this included */
+	unsigned int
+	    entries; /* live gateways that share them, this one included */
 };
 void adm_lane_load(
     struct adm_lane *lane, const struct adm_load *load, int64_t now_us);
 
 /*
  * ADM_STARTED, ADM_WAITING (`start` or `refuse` follows) or ADM_REFUSED with
- * `err`: ERR_DEADLINE, ERR_OVERLOADED or, when the lane has no targets,
+ * `err`: ERR_DEADLINE, ERR_OVERLOADED or, when the queue has no targets,
  * ERR_UNAVAILABLE; the verdict is NOT_RUN and retry_after_ms is set.
  */
 enum adm_state adm_offer(struct adm_lane *lane, struct adm_ticket *ticket,
     int64_t now_us, struct err *err);
-/* The first byte of the answer came. */
+/* The first byte of the response arrived. */
 void adm_head(struct adm_ticket *ticket, int64_t now_us);
 
 enum adm_outcome {
-	ADM_ANSWERED, /* whole: its time counts for the estimates */
-	ADM_OVERLOADED, /* a target refused it for want of room */
+	ADM_ANSWERED, /* complete response: its duration feeds the estimates */
+	ADM_OVERLOADED, /* a target refused it because it was full */
 	ADM_OTHER,
 };
-/* A refusal that is tried again elsewhere: the ticket goes on. */
+/* A target refused the request, which is retried on another target: the ticket
+ * remains started. */
 void adm_overloaded(struct adm_ticket *ticket, int64_t now_us);
 /* Ends a started ticket. May start waiting ones. */
 void adm_done(
     struct adm_ticket *ticket, enum adm_outcome outcome, int64_t now_us);
-/* The caller went away; for a ticket in any state. */
+/* The caller disconnected; allowed for a ticket in any state. */
 void adm_leave(struct adm_ticket *ticket, int64_t now_us);
 
-/* Refuses the waiting tickets whose time is up or will be before their turn
- * comes. To be called every ADM_TICK_MS. */
+/* Refuses the waiting tickets that missed their deadline or are expected to
+ * miss it before they start. Call every ADM_TICK_MS. */
 #define ADM_TICK_MS 20
 void adm_expire(struct adm *adm, int64_t now_us);
 
 struct adm_lane_stats {
 	unsigned int limit, started, waiting;
-	uint64_t
-	    drain_milli_s; /* thousandths of cost 1 a second; 0: not known */
-	int64_t unit_us, first_us; /* mean for cost 1; 0: not known */
+	uint64_t drain_milli_s; /* thousandths of cost a second; 0: unknown */
+	int64_t unit_us, first_us; /* mean for cost 1; 0: unknown */
 };
 void adm_lane_stats(
     const struct adm_lane *lane, int64_t now_us, struct adm_lane_stats *out);
--- a/lib/route/admit_internal.h
+++ b/lib/route/admit_internal.h
@@ -1,13 +1,13 @@
 #ifndef ADMIT_INTERNAL_H
 #define ADMIT_INTERNAL_H
 
-/* Parts that admit.c and admit_lane.c share. */
+/* Definitions shared by admit.c and admit_lane.c. */
 
 #include "route/admit.h"
 #include "route/estimate.h"
 
-#define CLASSES 16 /* of priority */
-#define TRUST_WHOLE 1000 /* permille of the slots that are counted on */
+#define PRIORITY_CLASSES 16
+#define SLOT_PERMILLE_MAX 1000 /* all slots are used for the limit */
 
 TAILQ_HEAD(adm_tickets, adm_ticket);
 
@@ -15,19 +15,20 @@
 	LIST_ENTRY(adm_lane) link;
 	struct adm_team *team;
 	char *name;
-	struct adm_tickets waiting[CLASSES]; /* oldest first */
-	uint64_t cost[CLASSES]; /* of those that wait */
+	struct adm_tickets waiting[PRIORITY_CLASSES]; /* oldest first */
+	uint64_t cost[PRIORITY_CLASSES]; /* of the waiting tickets */
 	unsigned int nwaiting;
 	unsigned int nstarted;
 	uint64_t started_cost;
 	unsigned int limit;
 	struct adm_load load;
-	unsigned int trust;
-	bool refusals; /* since the last step */
-	int64_t stepped_us;
+	/* Share of the slots used for the limit; lowered by refusals. */
+	unsigned int slot_permille;
+	bool refusals; /* by targets, since the last step */
+	int64_t last_step_us;
 	struct est_rate drain;
-	struct est_time unit; /* of a whole answer, for cost 1 */
-	struct est_time first; /* until its first byte */
+	struct est_time unit; /* until the response is complete, for cost 1 */
+	struct est_time first; /* until the first byte of the response */
 };
 
 struct adm_team {
@@ -37,7 +38,7 @@
 	unsigned int weight;
 	unsigned int queue;
 	unsigned int nwaiting;
-	int64_t virtual_us; /* targets' time used, over the weight */
+	int64_t virtual_us; /* target time used, divided by the weight */
 	LIST_HEAD(adm_lanes, adm_lane) lanes;
 };
 
@@ -47,17 +48,17 @@
 	unsigned int capacity;
 	unsigned int nstarted;
 	int64_t virtual_us; /* of the ticket started last */
-	bool pumping;
-	struct adm_tickets refused; /* by the adm_expire that runs */
+	bool dispatching;
+	struct adm_tickets refused; /* by the adm_expire call in progress */
 	LIST_HEAD(adm_teams, adm_team) teams;
 };
 
-/* When a ticket's turn comes relative to others; lower is earlier. */
-int64_t adm_turn(const struct adm_ticket *ticket);
-/* The ticket whose turn is next; NULL when none waits. */
+/* Key of the order in which tickets start; the lowest starts first. */
+int64_t adm_order_key(const struct adm_ticket *ticket);
+/* The ticket that starts next; NULL when none waits. */
 struct adm_ticket *adm_next(const struct adm_lane *lane);
-/* Cost of the tickets that leave before one that comes now. */
-uint64_t adm_ahead_of_new(
+/* Cost of the tickets that start before one submitted now. */
+uint64_t adm_cost_ahead(
     const struct adm_lane *lane, const struct adm_ticket *ticket);
 void adm_enqueue(
     struct adm_lane *lane, struct adm_ticket *ticket, int64_t now_us);
