--- a/lib/route/choose.c
+++ b/lib/route/choose.c
@@ -1,27 +1,29 @@
-/* Choice of a target. */
+/* Choice of a target for a request. */
 
 #include <string.h>
 
 #include "route/fleet_internal.h"
 
-/* A target of another domain must be emptier by this share of its slots, in
- * permille, before it is preferred: the hop is short, but each one costs. */
+/* A target of another domain is preferred only if its load is lower by this
+ * share of its slots, in permille: a hop between domains is short, but each has
+ * a cost. */
 #define REMOTE_PENALTY 100
-/* A held prefix saves the prefill, which is worth a fuller target but not a
- * wait: one that is full counts as twice as full. */
+/* A cached prefix saves the prefill, which justifies a more loaded target but
+ * not waiting for one: the load of a full target counts twice. */
 #define PREFIX_BONUS 400
-#define FULL 1000
-/* Draws before all targets of a wish are looked at one by one. */
-#define DRAWS 12
-#define ROOTS_MAX 256 /* versions a model may have */
-
-/* A target that owes a first sign for this many times the usual time, and at
- * least so long, is taken to be stuck: links stall without closing. */
-#define SILENT_TIMES 4
-#define SILENT_LEAST_US (500 * 1000)
-
-/* The groups a choice is drawn from. */
-struct field {
+#define LOAD_FULL 1000
+/* Random draws before all candidates are scanned. */
+#define MAX_DRAWS 12
+#define ROOTS_MAX 256 /* versions of a model */
+
+/* A target is considered stalled when it has sent no response data for this
+ * multiple of the usual time to the first data plus a minimum: a connection can
+ * stall without closing. */
+#define STALL_FACTOR 4
+#define STALL_MIN_US (500 * 1000)
+
+/* The groups that a target is chosen from. */
+struct candidates {
 	struct rt_group *group[ROOTS_MAX];
 	size_t ngroups;
 	guint targets;
@@ -40,20 +42,20 @@
 }
 
 /*
- * Requests that got no sign hold their slots there, and more would follow
- * them until the deadlines pass: none is sent until one gives a sign or ends,
- * as long as there is another target.
+ * Requests without response data occupy slots of a stalled target, and more
+ * would join them until their deadlines expire. No request is sent to it until
+ * response data arrives or a request ends, as long as there is another target.
  */
 static bool
-is_silent(const struct rt_target *target, int64_t now_us)
+is_stalled(const struct rt_target *target, int64_t now_us)
 {
 	const struct est_time *first = &target->group->first;
-	int64_t patience_us =
-	    SILENT_TIMES * est_time_high(first, first->seen_us) +
-	    SILENT_LEAST_US;
+	int64_t timeout_us =
+	    STALL_FACTOR * est_time_high(first, first->updated_us) +
+	    STALL_MIN_US;
 
 	return target->unheard > 0 && first->known &&
-	    now_us - target->unheard_since_us > patience_us;
+	    now_us - target->unheard_since_us > timeout_us;
 }
 
 static bool
@@ -95,9 +97,9 @@
     const struct rt_target *target, const struct rt_wish *wish, int64_t now_us)
 {
 	uint64_t running = rt_target_running(target, now_us);
-	uint64_t load = running * FULL / MAX(target->slots, 1);
+	uint64_t load = running * LOAD_FULL / MAX(target->slots, 1);
 
-	if (load >= FULL)
+	if (load >= LOAD_FULL)
 		load *= 2;
 	if (strcmp(target->domain, wish->domain) != 0)
 		load += REMOTE_PENALTY;
@@ -105,102 +107,104 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Two at random                                                       */
+/* Two random targets                                                  */
 /* ------------------------------------------------------------------ */
 
 static void
-add_group(struct field *field, struct rt_fleet *fleet,
+add_group(struct candidates *candidates, struct rt_fleet *fleet,
     const struct rt_wish *wish, const struct digest *root)
 {
 	struct rt_group *group = rt_group_find(fleet, wish, root);
 
-	if (group == NULL || field->ngroups == ROOTS_MAX)
+	if (group == NULL || candidates->ngroups == ROOTS_MAX)
 		return;
-	field->group[field->ngroups++] = group;
-	field->targets += group->targets->len;
+	candidates->group[candidates->ngroups++] = group;
+	candidates->targets += group->targets->len;
 }
 
 static struct rt_target *
-target_at(const struct field *field, uint64_t i)
+target_at(const struct candidates *candidates, uint64_t i)
 {
 	size_t g;
 
-	for (g = 0; i >= field->group[g]->targets->len; g++)
-		i -= field->group[g]->targets->len;
-	return field->group[g]->targets->pdata[i];
+	for (g = 0; i >= candidates->group[g]->targets->len; g++)
+		i -= candidates->group[g]->targets->len;
+	return candidates->group[g]->targets->pdata[i];
 }
 
-/* All usable ones looked at: each has the same chance to be among the two.
- * Silent ones only when there is no other. */
+/* Scans all candidates; each usable one is equally likely to be among the two
+ * that are returned. Stalled targets are included only if `stalled` is set. */
 static size_t
-scan(const struct field *field, const struct rt_wish *wish, int64_t now_us,
-    struct rng *rng, bool silent, struct rt_target *out[2])
+scan(const struct candidates *candidates, const struct rt_wish *wish,
+    int64_t now_us, struct rng *rng, bool stalled, struct rt_target *out[2])
 {
 	struct rt_target *t;
-	uint64_t seen = 0, at;
+	uint64_t nusable = 0, at;
 	guint i;
 
-	for (i = 0; i < field->targets; i++) {
-		t = target_at(field, i);
+	for (i = 0; i < candidates->targets; i++) {
+		t = target_at(candidates, i);
 		if (!is_usable(t, wish, now_us) ||
-		    (!silent && is_silent(t, now_us)))
+		    (!stalled && is_stalled(t, now_us)))
 			continue;
-		seen++;
-		at = seen <= 2 ? seen - 1 : rng_below(rng, seen);
+		nusable++;
+		at = nusable <= 2 ? nusable - 1 : rng_below(rng, nusable);
 		if (at < 2)
 			out[at] = t;
 	}
-	return (size_t)MIN(seen, 2);
+	return (size_t)MIN(nusable, 2);
 }
 
 static size_t
-draw_two(const struct field *field, const struct rt_wish *wish, int64_t now_us,
-    struct rng *rng, struct rt_target *out[2])
+draw_two(const struct candidates *candidates, const struct rt_wish *wish,
+    int64_t now_us, struct rng *rng, struct rt_target *out[2])
 {
 	struct rt_target *t;
 	size_t n = 0, i;
 
-	for (i = 0; i < DRAWS && n < 2 && field->targets > 2; i++) {
-		t = target_at(field, rng_below(rng, field->targets));
-		if (is_usable(t, wish, now_us) && !is_silent(t, now_us) &&
+	for (i = 0; i < MAX_DRAWS && n < 2 && candidates->targets > 2; i++) {
+		t = target_at(candidates, rng_below(rng, candidates->targets));
+		if (is_usable(t, wish, now_us) && !is_stalled(t, now_us) &&
 		    (n == 0 || out[0] != t))
 			out[n++] = t;
 	}
 	if (n < 2)
-		n = scan(field, wish, now_us, rng, false, out);
-	return n > 0 ? n : scan(field, wish, now_us, rng, true, out);
+		n = scan(candidates, wish, now_us, rng, false, out);
+	return n > 0 ? n : scan(candidates, wish, now_us, rng, true, out);
 }
 
 /* ------------------------------------------------------------------ */
-/* With the holders of the prefix                                      */
+/* Targets with the prefix cached                                      */
 /* ------------------------------------------------------------------ */
 
 static bool
-is_in(const struct field *field, const struct rt_target *target)
+is_candidate(
+    const struct candidates *candidates, const struct rt_target *target)
 {
 	size_t g;
 
-	for (g = 0; g < field->ngroups; g++) {
-		if (target->group == field->group[g])
+	for (g = 0; g < candidates->ngroups; g++) {
+		if (target->group == candidates->group[g])
 			return true;
 	}
 	return false;
 }
 
 static struct rt_target *
-choose_in(struct rt_fleet *fleet, const struct field *field,
+choose_in(struct rt_fleet *fleet, const struct candidates *candidates,
     const struct rt_wish *wish, int64_t now_us, struct rng *rng)
 {
-	struct rt_target *two[2], *holders[PREFIX_HOLDERS], *best = NULL;
-	size_t n = draw_two(field, wish, now_us, rng, two), nholders = 0, i;
+	struct rt_target *drawn[2], *holders[PREFIX_HOLDERS], *best = NULL;
+	size_t n = draw_two(candidates, wish, now_us, rng, drawn), nholders = 0,
+	       i;
 	uint64_t load, least = UINT64_MAX;
 
 	if (n == 0)
 		return NULL;
 	for (i = 0; i < n; i++) {
-		load = load_of(two[i], wish, now_us) + PREFIX_BONUS;
+		load = load_of(drawn[i], wish, now_us) + PREFIX_BONUS;
 		if (load < least) {
-			best = two[i];
+			best = drawn[i];
 			least = load;
 		}
 	}
@@ -208,9 +212,9 @@
 		nholders = prefix_map_holders(
 		    fleet->prefixes, wish->prefix, now_us, holders);
 	for (i = 0; i < nholders; i++) {
-		if (!is_in(field, holders[i]) ||
+		if (!is_candidate(candidates, holders[i]) ||
 		    !is_usable(holders[i], wish, now_us) ||
-		    is_silent(holders[i], now_us))
+		    is_stalled(holders[i], now_us))
 			continue;
 		load = load_of(holders[i], wish, now_us);
 		if (load < least) {
@@ -225,19 +229,19 @@
 rt_choose(struct rt_fleet *fleet, const struct rt_wish *wish, int64_t now_us,
     struct rng *rng)
 {
-	struct field field = { .ngroups = 0 };
+	struct candidates candidates = { .ngroups = 0 };
 	struct rt_target *target = NULL;
 	size_t i;
 
 	if (wish->kind == RT_SERVICE) {
-		add_group(&field, fleet, wish, NULL);
-		return choose_in(fleet, &field, wish, now_us, rng);
+		add_group(&candidates, fleet, wish, NULL);
+		return choose_in(fleet, &candidates, wish, now_us, rng);
 	}
 	for (i = 0; i < wish->nroots && target == NULL; i++) {
-		add_group(&field, fleet, wish, &wish->roots[i]);
+		add_group(&candidates, fleet, wish, &wish->roots[i]);
 		if (!wish->ranked && i + 1 < wish->nroots)
 			continue;
-		target = choose_in(fleet, &field, wish, now_us, rng);
+		target = choose_in(fleet, &candidates, wish, now_us, rng);
 	}
 	return target;
 }
@@ -246,17 +250,17 @@
 rt_rest_ends_us(
     struct rt_fleet *fleet, const struct rt_wish *wish, int64_t now_us)
 {
-	struct field field = { .ngroups = 0 };
+	struct candidates candidates = { .ngroups = 0 };
 	const struct rt_target *t;
 	int64_t first = 0;
 	size_t i;
 
 	if (wish->kind == RT_SERVICE)
-		add_group(&field, fleet, wish, NULL);
+		add_group(&candidates, fleet, wish, NULL);
 	for (i = 0; wish->kind == RT_ENGINE && i < wish->nroots; i++)
-		add_group(&field, fleet, wish, &wish->roots[i]);
-	for (i = 0; i < field.targets; i++) {
-		t = target_at(&field, i);
+		add_group(&candidates, fleet, wish, &wish->roots[i]);
+	for (i = 0; i < candidates.targets; i++) {
+		t = target_at(&candidates, i);
 		if (!t->reachable || !t->accepting ||
 		    t->resting_until_us <= now_us)
 			continue;
--- a/lib/route/fleet.c
+++ b/lib/route/fleet.c
@@ -1,21 +1,21 @@
-/* Targets by group, and what is believed of each. */
+/* Targets by group, and the estimated load of each. */
 
 #include <string.h>
 
 #include "route/fleet_internal.h"
 
-/* Others' requests at a target are forgotten by half in this time without a
- * word from its side; an answer takes about as long. */
-#define FORGET_US (500 * 1000)
-#define FORGET_MOST 16 /* halvings */
+/* While no status report arrives, the requests of other gateways at a target
+ * are assumed to halve in this time, which is about the time of a response. */
+#define OTHERS_HALF_LIFE_US (500 * 1000)
+#define OTHERS_HALVINGS_MAX 16
 
-/* Rest after a refusal, when a slot may be free again soon, and after a
- * failure; doubled with each in a row. */
-#define REST_REFUSED_US (20 * 1000)
-#define REST_FAILED_US (100 * 1000)
-/* Bounds how long a target that works again is left out. */
-#define REST_MOST_US (2 * G_USEC_PER_SEC)
-#define FAILS_MOST 16
+/* Initial backoff after a refusal, when a slot may be free again soon, and
+ * after a failure; doubled with each consecutive one. */
+#define BACKOFF_REFUSED_US (20 * 1000)
+#define BACKOFF_FAILED_US (100 * 1000)
+/* Bounds how long a target that has recovered is not used. */
+#define BACKOFF_MAX_US (2 * G_USEC_PER_SEC)
+#define BACKOFF_DOUBLINGS_MAX 16
 
 #define KEY_MAX (4 * (RT_NAME_MAX + 1) + DIGEST_HEX + 2)
 
@@ -55,11 +55,11 @@
 }
 
 static void
-add_part(char **at, const char *part)
+append_field(char **at, const char *field)
 {
-	size_t n = strlen(part);
+	size_t n = strlen(field);
 
-	memcpy(*at, part, n);
+	memcpy(*at, field, n);
 	(*at)[n] = '\n';
 	*at += n + 1;
 }
@@ -73,9 +73,9 @@
 	if (kind == RT_ENGINE)
 		digest_to_hex(root, hex);
 	*at++ = kind == RT_ENGINE ? 'e' : 's';
-	add_part(&at, team);
-	add_part(&at, pool);
-	add_part(&at, service);
+	append_field(&at, team);
+	append_field(&at, pool);
+	append_field(&at, service);
 	strcpy(at, hex);
 }
 
@@ -111,18 +111,18 @@
 	return group;
 }
 
-/* Brings the target's part of its group's sums up to date. */
+/* Updates the contribution of the target to the sums of its group. */
 static void
-count(struct rt_target *target, int64_t now_us)
+update_sums(struct rt_target *target, int64_t now_us)
 {
 	struct rt_group *group = target->group;
-	bool counts = target->reachable && target->accepting;
+	bool usable = target->reachable && target->accepting;
 
 	group->slots -= target->counted_slots;
 	group->running -= target->counted_running;
-	target->counted_slots = counts ? target->slots : 0;
+	target->counted_slots = usable ? target->slots : 0;
 	target->counted_running =
-	    counts ? rt_target_running(target, now_us) : 0;
+	    usable ? rt_target_running(target, now_us) : 0;
 	group->slots += target->counted_slots;
 	group->running += target->counted_running;
 }
@@ -159,7 +159,7 @@
 		target->place = group->targets->len;
 		g_ptr_array_add(group->targets, target);
 	}
-	count(target, target->told_us);
+	update_sums(target, target->told_us);
 }
 
 void
@@ -193,23 +193,25 @@
 		const struct rt_group *group = value;
 
 		for (i = 0; i < group->targets->len; i++)
-			count(group->targets->pdata[i], now_us);
+			update_sums(group->targets->pdata[i], now_us);
 	}
 }
 
 /* ------------------------------------------------------------------ */
-/* Beliefs                                                             */
+/* Estimated load and backoff                                          */
 /* ------------------------------------------------------------------ */
 
 unsigned int
 rt_target_running(const struct rt_target *target, int64_t now_us)
 {
-	int64_t silent = MAX(now_us - target->told_us, 0) / FORGET_US;
+	int64_t halvings =
+	    MAX(now_us - target->told_us, 0) / OTHERS_HALF_LIFE_US;
 	unsigned int others = 0;
 
 	if (target->told_running > target->own_when_told)
 		others = target->told_running - target->own_when_told;
-	return target->own_running + (others >> MIN(silent, FORGET_MOST));
+	return target->own_running +
+	    (others >> MIN(halvings, OTHERS_HALVINGS_MAX));
 }
 
 void
@@ -218,7 +220,7 @@
 	target->told_running = running;
 	target->own_when_told = target->own_running;
 	target->told_us = now_us;
-	count(target, now_us);
+	update_sums(target, now_us);
 }
 
 void
@@ -227,7 +229,7 @@
 	target->own_running++;
 	if (target->unheard++ == 0)
 		target->unheard_since_us = now_us;
-	count(target, now_us);
+	update_sums(target, now_us);
 }
 
 void
@@ -240,27 +242,27 @@
 }
 
 static void
-rest(struct rt_target *target, int64_t first_us, unsigned int asked_ms,
-    int64_t now_us)
+back_off(struct rt_target *target, int64_t first_us,
+    unsigned int retry_after_ms, int64_t now_us)
 {
-	int64_t us = first_us << MIN(target->fails, FAILS_MOST);
+	int64_t us = first_us << MIN(target->fails, BACKOFF_DOUBLINGS_MAX);
 
-	/* Many that ran there ended alike: that is one failure. */
+	/* Requests that fail together count as one failure. */
 	if (target->resting_until_us > now_us)
 		return;
-	us = CLAMP(us, asked_ms * 1000LL, REST_MOST_US);
+	us = CLAMP(us, retry_after_ms * 1000LL, BACKOFF_MAX_US);
 	target->fails++;
 	target->resting_until_us = now_us + us;
 }
 
 static void
-learn(struct rt_target *target, const struct err *err, int64_t now_us)
+handle_result(struct rt_target *target, const struct err *err, int64_t now_us)
 {
 	switch (err->code) {
 	case ERR_NONE:
 		target->fails = 0;
 		return;
-	case ERR_CANCELLED: /* by us: it says nothing of the target */
+	case ERR_CANCELLED: /* by this gateway: no sign of a fault of the target */
 	case ERR_INVALID:
 	case ERR_TOO_LARGE:
 		return;
@@ -268,11 +270,11 @@
 	case ERR_LEAVING:
 	case ERR_WRONG_VERSION:
 	case ERR_NOT_FOUND:
-		rest(target, REST_REFUSED_US,
-		    MIN(err->retry_after_ms, REST_MOST_US / 1000), now_us);
+		back_off(target, BACKOFF_REFUSED_US,
+		    MIN(err->retry_after_ms, BACKOFF_MAX_US / 1000), now_us);
 		return;
 	default:
-		rest(target, REST_FAILED_US, 0, now_us);
+		back_off(target, BACKOFF_FAILED_US, 0, now_us);
 		return;
 	}
 }
@@ -282,10 +284,10 @@
 {
 	if (target->own_running > 0)
 		target->own_running--;
-	/* None is left that could give a sign. */
+	/* Requests that ended can no longer be answered. */
 	target->unheard = MIN(target->unheard, target->own_running);
-	learn(target, err, now_us);
-	count(target, now_us);
+	handle_result(target, err, now_us);
+	update_sums(target, now_us);
 }
 
 void
--- a/lib/route/fleet.h
+++ b/lib/route/fleet.h
@@ -2,21 +2,22 @@
 #define FLEET_H
 
 /*
- * The targets an entry knows, what it believes of each, and the choice of
- * one for a request.
+ * The targets that a gateway knows, an estimate of the load of each, and the
+ * choice of one for a request.
  *
- * Reports of load lag, so an estimate is kept: what a side last said is
- * running, moved by what this entry has sent and seen ended since. What
- * others run is forgotten by halves while the side is silent, or a target that was
- * once full would be avoided for ever.
+ * Status reports lag, so the load is estimated: the number of running requests
+ * last reported by the sidecar, plus those that this gateway has sent and minus
+ * those that ended here since. The part that other gateways run halves at
+ * intervals while no report arrives, or a target that was once full would be
+ * avoided forever.
  *
- * Targets alike in team, kind, pool, service and loaded version form a
- * group. A choice looks at a few of a group's targets, however many it has.
+ * Targets with the same workspace, kind, pool, service and loaded version form
+ * a group. A choice compares a few targets of a group, whatever its size.
  */
 
 #include "common/common.h"
 
-#define RT_NAME_MAX 64 /* a team, model, version, pool, target or service */
+#define RT_NAME_MAX 64 /* workspace, model, version, pool, target or service */
 
 enum rt_target_kind {
 	RT_ENGINE,
@@ -35,56 +36,57 @@
 	char pool[RT_NAME_MAX + 1];
 	char service[RT_NAME_MAX + 1];
 	struct digest loaded;
-	bool reachable; /* the connection to its side is open */
-	bool told_accepting; /* as its side last said */
-	bool ordered_off; /* not accepting by order of a rollout */
-	bool accepting; /* told so, and its host is not leaving */
+	bool reachable; /* the connection to its sidecar is open */
+	bool told_accepting; /* as last reported by its sidecar */
+	bool ordered_off; /* told not to accept by an order of a rollout */
+	bool accepting; /* reported as accepting, and its host is not leaving */
 	unsigned int slots;
-	void *owner; /* the program's connection to its side */
+	void *owner; /* the caller's connection object for the sidecar */
 
-	/* Kept by the fleet. */
-	unsigned int told_running; /* when the side last spoke */
-	unsigned int own_running; /* sent by this entry and not ended */
-	unsigned int own_when_told;
+	/* Private to the fleet. */
+	unsigned int told_running; /* as last reported by the sidecar */
+	unsigned int own_running; /* sent by this gateway and not ended */
+	unsigned int own_when_told; /* own_running at the last report */
 	int64_t told_us;
-	unsigned int fails; /* in a row */
+	unsigned int fails; /* consecutive */
 	int64_t resting_until_us;
-	unsigned int unheard; /* sent since it last gave a sign */
+	unsigned int unheard; /* sent since the last response data from it */
 	int64_t unheard_since_us;
-	uint32_t cache; /* grows when its cache was lost */
+	uint32_t
+	    cache; /* incremented when the contents of its cache are lost */
 	struct rt_group *group;
-	guint place; /* in the group */
+	guint place; /* index in the group */
 	unsigned int counted_slots, counted_running;
 };
 
 TAILQ_HEAD(rt_targets, rt_target);
 
-/* Targets are the caller's and live as long as the fleet. */
+/* The caller owns the targets, which must live as long as the fleet. */
 struct rt_fleet;
 struct rt_fleet *rt_fleet_new(void);
 void rt_fleet_free(struct rt_fleet *fleet);
-/* Lets time pass for the sums of rt_fleet_load; to be called now and then. */
+/* Updates the sums of rt_fleet_load to `now_us`; call periodically. */
 void rt_fleet_refresh(struct rt_fleet *fleet, int64_t now_us);
 
-/* A target is new, or one of its fields above `told_running` changed. */
+/* Call for a new target, and when one of its non-private fields changed. */
 void rt_fleet_update(struct rt_fleet *fleet, struct rt_target *target);
-/* Its side said how many run there, all entries' requests together. */
+/* The sidecar reported the number of requests there, of all gateways. */
 void rt_target_told(
     struct rt_target *target, unsigned int running, int64_t now_us);
 void rt_target_sent(struct rt_target *target, int64_t now_us);
-/* A sign of life on a request sent at `sent_us`; `first`: its first. */
+/* Response data arrived for a request sent at `sent_us`; `first`: the first. */
 void rt_target_heard(
     struct rt_target *target, bool first, int64_t sent_us, int64_t now_us);
-/* A request sent there is over; `err` says how, ERR_NONE for answered. A
- * refusal or failure lets the target rest, longer with each in a row. */
+/* A request sent there ended with `err`, ERR_NONE if it was answered. A refusal
+ * or failure puts the target in backoff, longer with each consecutive one. */
 void rt_target_ended(
     struct rt_target *target, const struct err *err, int64_t now_us);
-/* The link is gone with all that ran there. */
+/* The connection is lost, with all requests that ran there. */
 void rt_target_lost(struct rt_fleet *fleet, struct rt_target *target);
-/* Estimate of what is running there. */
+/* Estimated number of requests running there. */
 unsigned int rt_target_running(const struct rt_target *target, int64_t now_us);
 
-/* What a request may go to. */
+/* The targets that a request may be sent to. */
 struct rt_wish {
 	enum rt_target_kind kind;
 	const char *team;
@@ -92,28 +94,30 @@
 	const char *service; /* "" for engines */
 	const struct digest *roots; /* versions allowed; engines only */
 	size_t nroots;
-	bool ranked; /* a version is used only if the ones before cannot */
-	const char *domain; /* of the entry: nearer targets go first */
-	uint64_t prefix; /* of the prompt; 0: none. See rt_prefix_of */
-	const struct rt_target *const *tried; /* not again */
+	bool ranked; /* use a version only if no earlier one is usable */
+	const char *domain; /* of the gateway; targets in it are preferred */
+	uint64_t
+	    prefix; /* hash of the prompt prefix; 0: none. See rt_prefix_end */
+	const struct rt_target *const *tried; /* not to be chosen again */
 	size_t ntried;
 };
 
 /*
- * Two usable targets at random and those believed to hold the prefix: the one
- * with the lowest estimated load wins, where a held prefix and the own domain
- * count as less load. NULL when none may be used now. Pure but for `rng`.
+ * Compares two random usable targets and those assumed to have the prefix
+ * cached, and returns the one with the lowest estimated load; a cached prefix
+ * and the local domain count as less load. NULL when no target is usable now.
+ * Pure except for `rng`.
  */
 struct rt_target *rt_choose(struct rt_fleet *fleet, const struct rt_wish *wish,
     int64_t now_us, struct rng *rng);
 bool rt_may_use(
     const struct rt_target *target, const struct rt_wish *wish, int64_t now_us);
-/* When the first of the resting targets may be used again; 0 when none
- * rests. For Retry-After. */
+/* Time at which the first target in backoff is usable again; 0 when none is in
+ * backoff. For Retry-After. */
 int64_t rt_rest_ends_us(
     struct rt_fleet *fleet, const struct rt_wish *wish, int64_t now_us);
-/* Slots and estimated load of all that may be used but for rest; for
- * adm_lane_load. */
+/* Slots and estimated load of all eligible targets, including those in backoff;
+ * for adm_lane_load. */
 void rt_fleet_load(struct rt_fleet *fleet, const struct rt_wish *wish,
     unsigned int *slots, unsigned int *running);
 
@@ -122,8 +126,8 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * The hash that engines name prefixes by in their cache events: FNV-1a 64
- * over the first RT_PREFIX_BYTES of the contents of the messages.
+ * The hash that identifies a prefix in the cache events of engines: FNV-1a 64
+ * over the first RT_PREFIX_BYTES of the concatenated message contents.
  */
 #define RT_PREFIX_BYTES 256
 struct rt_prefix {
@@ -132,14 +136,14 @@
 };
 void rt_prefix_begin(struct rt_prefix *prefix);
 void rt_prefix_add(struct rt_prefix *prefix, const char *content);
-/* 0 when the contents are too short for a cache to matter. */
+/* 0 when the contents are too short for caching to matter. */
 #define RT_PREFIX_LEAST 64
 uint64_t rt_prefix_end(const struct rt_prefix *prefix);
 
 /*
- * Who holds which prefix, as far as known: from what was sent there and from cache
- * events, which come late and with gaps. Beliefs age out, so that a lost
- * "gone" event does no lasting harm.
+ * Which targets have which prefix cached, inferred from the requests sent and
+ * from cache events, which may be late or lost. Entries expire, so that a lost
+ * removal event has no lasting effect.
  */
 void rt_fleet_prefix_sent(struct rt_fleet *fleet, struct rt_target *target,
     uint64_t prefix, int64_t now_us);
@@ -147,23 +151,23 @@
     uint64_t prefix, bool present, int64_t now_us);
 
 /* ------------------------------------------------------------------ */
-/* Which sides an entry connects to                                    */
+/* The sidecars that a gateway connects to                             */
 /* ------------------------------------------------------------------ */
 
 struct rt_peer {
 	const char *id;
 	const char *region;
-	const char *info; /* sides: their targets, see rt_info_append */
-	bool wanted; /* sides: the answer */
+	const char *info; /* of a sidecar: its targets, see rt_info_append */
+	bool wanted; /* of a sidecar: the result */
 };
 
 /*
- * Each side is wanted by the RT_SUBSET_ENTRIES entries that rank first for
- * it, those of its own region before the others, so that sides have about
- * equally many connections whatever the numbers; an entry takes more sides
- * until it has RT_SUBSET_SIDES for each group of targets. All
- * entries with the same view compute it alike; one that leaves moves only
- * what it had.
+ * Subset by rendezvous hashing. Each sidecar is connected by the
+ * RT_SUBSET_ENTRIES gateways that rank first for it, those of its own region
+ * before the others, so that all sidecars have about the same number of
+ * connections at any scale. A gateway adds sidecars until it has
+ * RT_SUBSET_SIDES for each group of targets. Gateways with the same member list
+ * compute the same result, and one that leaves moves only its own connections.
  */
 #define RT_SUBSET_ENTRIES 32
 #define RT_SUBSET_SIDES 16
