--- a/bench/route_bench.c
+++ b/bench/route_bench.c
@@ -40,7 +40,7 @@
 	for (i = 0; i < n; i++) {
 		targets[i] = (struct rt_target){
 			.domain = "a",
-			.team = "team",
+			.workspace = "team",
 			.pool = "large",
 			.loaded = root,
 			.reachable = true,
@@ -57,9 +57,9 @@
 bench_choose(const char *name, size_t n, unsigned int resting_pct, bool prefix)
 {
 	struct rt_fleet *fleet = make_fleet(n);
-	struct rt_wish wish = {
+	struct rt_criteria wish = {
 		.kind = RT_ENGINE,
-		.team = "team",
+		.workspace = "team",
 		.pool = "large",
 		.service = "",
 		.roots = &root,
@@ -72,7 +72,7 @@
 	size_t i;
 
 	for (i = 0; i < n * resting_pct / 100; i++)
-		targets[i].resting_until_us = INT64_MAX;
+		targets[i].backoff_until_us = INT64_MAX;
 	do {
 		now = clk_now_us(clk_system());
 		for (i = 0; i < BATCH; i++, ops++) {
@@ -80,7 +80,7 @@
 			t = rt_choose(fleet, &wish, now, &rng);
 			rt_fleet_prefix_sent(fleet, t, wish.prefix, now);
 			rt_target_sent(t, now);
-			rt_target_told(t, (unsigned int)(i % SLOTS), now);
+			rt_target_reported(t, (unsigned int)(i % SLOTS), now);
 			rt_target_ended(t, &none, now);
 		}
 	} while (now - began < RUN_US);
@@ -111,17 +111,17 @@
 	static struct adm_ticket ticket[TICKETS];
 	const struct adm_load load = { TICKETS / 2, 0, 1 };
 	struct adm *adm = adm_new(TICKETS, &ops, NULL);
-	struct adm_team *team = adm_team(adm, "team");
-	struct adm_lane *lane = adm_lane(team, "large");
+	struct adm_workspace *team = adm_workspace(adm, "team");
+	struct adm_queue *lane = adm_queue(team, "large");
 	int64_t began = clk_now_us(clk_system()), now = began, n = 0;
 	size_t i;
 
-	adm_team_set(team, 100, TICKETS);
-	adm_lane_load(lane, &load, now);
+	adm_workspace_set(team, 100, TICKETS);
+	adm_queue_load(lane, &load, now);
 	for (i = 0; i < TICKETS; i++) {
 		ticket[i].priority = (unsigned int)(i % 3) * 100;
 		ticket[i].deadline_us = INT64_MAX / 2;
-		adm_offer(lane, &ticket[i], now, NULL);
+		adm_submit(lane, &ticket[i], now, NULL);
 	}
 	do {
 		now = clk_now_us(clk_system());
@@ -129,13 +129,13 @@
 			if (ticket[i].state != ADM_STARTED)
 				continue;
 			adm_done(&ticket[i], ADM_OTHER, now);
-			adm_offer(lane, &ticket[i], now, NULL);
+			adm_submit(lane, &ticket[i], now, NULL);
 			n++;
 		}
 	} while (now - began < RUN_US);
 	report("admit", 0, n, clk_now_us(clk_system()) - began);
 	for (i = 0; i < TICKETS; i++)
-		adm_leave(&ticket[i], now);
+		adm_cancel(&ticket[i], now);
 	adm_free(adm);
 }
 
--- a/lib/route/activate.c
+++ b/lib/route/activate.c
@@ -12,7 +12,7 @@
 	 * still there: there is no reason to keep the target drained. A new
 	 * holder of the role also finds this when the former one died between
 	 * the drain and the load. */
-	if (t->loaded || t->resting || !t->whole)
+	if (t->loaded || t->in_backoff || !t->complete)
 		return ACT_ADMIT;
 	return t->running > 0 ? ACT_NONE : ACT_LOAD;
 }
@@ -20,14 +20,14 @@
 enum act_step
 act_next(const struct act_rules *rules, const struct act_target *t)
 {
-	if (!t->reachable || t->order_open)
+	if (!t->reachable || t->order_pending)
 		return ACT_NONE;
-	if (t->ordered_off)
+	if (t->drain_ordered)
 		return drained_step(t);
-	if (t->loaded || t->resting)
+	if (t->loaded || t->in_backoff)
 		return ACT_NONE;
-	if (!t->whole)
-		return ACT_ASK;
+	if (!t->complete)
+		return ACT_QUERY;
 	if (rules->room_for_two || t->empty)
 		return ACT_LOAD;
 	return rules->unavailable < rules->max_unavailable ? ACT_DRAIN
@@ -35,7 +35,7 @@
 }
 
 unsigned int
-act_rest_ms(unsigned int failures)
+act_backoff_ms(unsigned int failures)
 {
 	unsigned int ms = BACKOFF_MIN_MS;
 
--- a/lib/route/activate.h
+++ b/lib/route/activate.h
@@ -16,7 +16,7 @@
 
 enum act_step {
 	ACT_NONE, /* done, or an order is in progress */
-	ACT_ASK, /* ask the sidecar for the transfer progress of the version */
+	ACT_QUERY, /* ask the sidecar for the transfer progress of the version */
 	ACT_DRAIN, /* order: accept no new requests */
 	ACT_LOAD, /* order: load the version */
 	ACT_ADMIT, /* order: accept requests again */
@@ -31,12 +31,12 @@
 
 struct act_target {
 	bool reachable;
-	bool whole; /* its sidecar has verified every chunk */
+	bool complete; /* its sidecar has verified every chunk */
 	bool loaded; /* the engine reported the wanted version */
 	bool empty; /* no version is loaded, so no request can be cut off */
-	bool ordered_off; /* an order stops it from accepting requests */
-	bool order_open; /* an order was sent and is not answered yet */
-	bool resting; /* a load failed recently */
+	bool drain_ordered; /* an order stops it from accepting requests */
+	bool order_pending; /* an order was sent and is not answered yet */
+	bool in_backoff; /* a load failed recently */
 	unsigned int running; /* requests running there now */
 };
 
@@ -45,6 +45,6 @@
 
 /* Backoff after the n-th consecutive failed load (n >= 1), so that an engine
  * that cannot load is not drained over and over. */
-unsigned int act_rest_ms(unsigned int failures);
+unsigned int act_backoff_ms(unsigned int failures);
 
 #endif
--- a/lib/route/admit.c
+++ b/lib/route/admit.c
@@ -36,9 +36,9 @@
 }
 
 static void
-free_workspace(struct adm_team *team)
+free_workspace(struct adm_workspace *team)
 {
-	struct adm_lane *lane;
+	struct adm_queue *lane;
 
 	while ((lane = LIST_FIRST(&team->lanes)) != NULL) {
 		g_assert(lane->nwaiting == 0 && lane->nstarted == 0);
@@ -53,7 +53,7 @@
 void
 adm_free(struct adm *adm)
 {
-	struct adm_team *team;
+	struct adm_workspace *team;
 
 	if (adm == NULL)
 		return;
@@ -64,16 +64,16 @@
 	g_free(adm);
 }
 
-struct adm_team *
-adm_team(struct adm *adm, const char *name)
+struct adm_workspace *
+adm_workspace(struct adm *adm, const char *name)
 {
-	struct adm_team *team;
+	struct adm_workspace *team;
 
 	LIST_FOREACH (team, &adm->teams, link) {
 		if (strcmp(team->name, name) == 0)
 			return team;
 	}
-	team = g_new0(struct adm_team, 1);
+	team = g_new0(struct adm_workspace, 1);
 	team->adm = adm;
 	team->name = g_strdup(name);
 	team->weight = DEFAULT_WEIGHT;
@@ -82,18 +82,18 @@
 	return team;
 }
 
-struct adm_lane *
-adm_lane(struct adm_team *team, const char *name)
+struct adm_queue *
+adm_queue(struct adm_workspace *team, const char *name)
 {
-	struct adm_lane *lane;
+	struct adm_queue *lane;
 	size_t i;
 
 	LIST_FOREACH (lane, &team->lanes, link) {
 		if (strcmp(lane->name, name) == 0)
 			return lane;
 	}
-	lane = g_new0(struct adm_lane, 1);
-	lane->team = team;
+	lane = g_new0(struct adm_queue, 1);
+	lane->workspace = team;
 	lane->name = g_strdup(name);
 	lane->slot_permille = SLOT_PERMILLE_MAX;
 	for (i = 0; i < PRIORITY_CLASSES; i++)
@@ -103,11 +103,11 @@
 }
 
 void
-adm_team_set(
-    struct adm_team *team, unsigned int weight, unsigned int max_waiting)
+adm_workspace_set(
+    struct adm_workspace *team, unsigned int weight, unsigned int max_waiting)
 {
 	team->weight = MAX(weight, 1);
-	team->queue = max_waiting;
+	team->max_waiting = max_waiting;
 }
 
 /* ------------------------------------------------------------------ */
@@ -115,9 +115,9 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-has_room(const struct adm_lane *lane)
+has_room(const struct adm_queue *lane)
 {
-	const struct adm *adm = lane->team->adm;
+	const struct adm *adm = lane->workspace->adm;
 
 	return lane->nstarted < lane->limit && adm->nstarted < adm->capacity;
 }
@@ -131,8 +131,8 @@
 static void
 start_ticket(struct adm_ticket *ticket, int64_t now_us)
 {
-	struct adm_lane *lane = ticket->lane;
-	struct adm_team *team = lane->team;
+	struct adm_queue *lane = ticket->queue;
+	struct adm_workspace *team = lane->workspace;
 	struct adm *adm = team->adm;
 
 	ticket->state = ADM_STARTED;
@@ -149,10 +149,10 @@
 }
 
 static struct adm_ticket *
-next_in_workspace(const struct adm_team *team)
+next_in_workspace(const struct adm_workspace *team)
 {
 	struct adm_ticket *best = NULL, *next;
-	const struct adm_lane *lane;
+	const struct adm_queue *lane;
 
 	LIST_FOREACH (lane, &team->lanes, link) {
 		if (lane->nwaiting == 0 || !has_room(lane))
@@ -168,7 +168,7 @@
 next_ticket(const struct adm *adm)
 {
 	struct adm_ticket *best = NULL, *next;
-	const struct adm_team *team;
+	const struct adm_workspace *team;
 
 	LIST_FOREACH (team, &adm->teams, link) {
 		if (team->nwaiting == 0)
@@ -177,7 +177,7 @@
 		if (next == NULL)
 			continue;
 		if (best == NULL ||
-		    team->virtual_us < best->lane->team->virtual_us)
+		    team->virtual_us < best->queue->workspace->virtual_us)
 			best = next;
 	}
 	return best;
@@ -193,7 +193,7 @@
 	adm->dispatching = true;
 	while (adm->nstarted < adm->capacity &&
 	    (ticket = next_ticket(adm)) != NULL) {
-		est_rate_start(&ticket->lane->drain, ticket->cost, now_us);
+		est_rate_start(&ticket->queue->drain, ticket->cost, now_us);
 		adm_dequeue(ticket);
 		start_ticket(ticket, now_us);
 		adm->ops->start(ticket, adm->ctx);
@@ -209,12 +209,12 @@
 }
 
 void
-adm_lane_load(
-    struct adm_lane *lane, const struct adm_load *load, int64_t now_us)
+adm_queue_load(
+    struct adm_queue *lane, const struct adm_load *load, int64_t now_us)
 {
 	lane->load = *load;
 	adm_step_limit(lane, now_us);
-	dispatch(lane->team->adm, now_us);
+	dispatch(lane->workspace->adm, now_us);
 }
 
 /* ------------------------------------------------------------------ */
@@ -223,7 +223,7 @@
 
 /* Time until `cost` has left the queue; 0 when unknown. */
 static int64_t
-wait_us(const struct adm_lane *lane, uint64_t cost, int64_t now_us)
+wait_us(const struct adm_queue *lane, uint64_t cost, int64_t now_us)
 {
 	uint64_t rate = est_rate_now(&lane->drain, lane->started_cost, now_us);
 
@@ -239,7 +239,7 @@
 	int64_t ms = retry_us / 1000;
 
 	ticket->state = ADM_REFUSED;
-	ticket->lane = NULL;
+	ticket->queue = NULL;
 	err_set(err, code, VERDICT_NOT_RUN, "%s", why);
 	if (err != NULL)
 		err->retry_after_ms =
@@ -249,7 +249,7 @@
 
 /* Time until half of the waiting cost has left the queue. */
 static int64_t
-retry_us(const struct adm_lane *lane, int64_t now_us)
+retry_us(const struct adm_queue *lane, int64_t now_us)
 {
 	uint64_t cost = 0;
 	int64_t us;
@@ -267,7 +267,7 @@
 static bool
 misses_deadline(const struct adm_ticket *ticket, int64_t wait, int64_t now_us)
 {
-	const struct adm_lane *lane = ticket->lane;
+	const struct adm_queue *lane = ticket->queue;
 	int64_t start_us = now_us + wait;
 
 	return start_us + est_time_low(&lane->unit, now_us) * ticket->cost >=
@@ -277,18 +277,19 @@
 static bool
 misses_first_byte(const struct adm_ticket *ticket, int64_t wait, int64_t first)
 {
-	return ticket->goal_us != 0 && wait + first > ticket->goal_us;
+	return ticket->first_byte_by_us != 0 &&
+	    wait + first > ticket->first_byte_by_us;
 }
 
 static enum adm_state
 refuse_or_wait(struct adm_ticket *ticket, int64_t now_us, struct err *err)
 {
-	struct adm_lane *lane = ticket->lane;
+	struct adm_queue *lane = ticket->queue;
 	int64_t wait =
 	    wait_us(lane, adm_cost_ahead(lane, ticket) + ticket->cost, now_us);
 	int64_t service_us = est_time_mean(&lane->unit, now_us) * ticket->cost;
 
-	if (lane->team->nwaiting >= lane->team->queue)
+	if (lane->workspace->nwaiting >= lane->workspace->max_waiting)
 		return refuse(ticket, ERR_OVERLOADED, retry_us(lane, now_us),
 		    err, "the admission queue of the workspace is full");
 	if (now_us + wait + service_us >= ticket->deadline_us)
@@ -303,11 +304,11 @@
 }
 
 enum adm_state
-adm_offer(struct adm_lane *lane, struct adm_ticket *ticket, int64_t now_us,
+adm_submit(struct adm_queue *lane, struct adm_ticket *ticket, int64_t now_us,
     struct err *err)
 {
-	ticket->lane = lane;
-	ticket->offered_us = now_us;
+	ticket->queue = lane;
+	ticket->submitted_us = now_us;
 	ticket->cost = MAX(ticket->cost, 1);
 	if (lane->load.slots == 0)
 		return refuse(ticket, ERR_UNAVAILABLE, RETRY_UNKNOWN_MS * 1000,
@@ -326,7 +327,7 @@
 static enum err_code
 refusal_of(const struct adm_ticket *ticket, uint64_t ahead, int64_t now_us)
 {
-	const struct adm_lane *lane = ticket->lane;
+	const struct adm_queue *lane = ticket->queue;
 	int64_t wait =
 	    wait_us(lane, ahead + ticket->cost, now_us) * 100 / RATE_MARGIN_PCT;
 
@@ -339,7 +340,7 @@
 }
 
 static void
-collect_refused(struct adm_lane *lane, int64_t now_us)
+collect_refused(struct adm_queue *lane, int64_t now_us)
 {
 	struct adm_ticket *ticket, *next;
 	uint64_t ahead = 0;
@@ -349,15 +350,15 @@
 		for (ticket = TAILQ_FIRST(&lane->waiting[i]); ticket != NULL;
 		     ticket = next) {
 			next = TAILQ_NEXT(ticket, link);
-			ticket->loss = refusal_of(ticket, ahead, now_us);
-			if (ticket->loss == ERR_NONE) {
+			ticket->refusal = refusal_of(ticket, ahead, now_us);
+			if (ticket->refusal == ERR_NONE) {
 				ahead += ticket->cost;
 				continue;
 			}
 			adm_dequeue(ticket);
 			ticket->state = ADM_REFUSED;
 			TAILQ_INSERT_TAIL(
-			    &lane->team->adm->refused, ticket, link);
+			    &lane->workspace->adm->refused, ticket, link);
 		}
 	}
 }
@@ -368,8 +369,8 @@
 	struct err err = { 0 };
 
 	TAILQ_REMOVE(&adm->refused, ticket, link);
-	refuse(ticket, ticket->loss, retry_us(ticket->lane, now_us), &err,
-	    ticket->loss == ERR_DEADLINE
+	refuse(ticket, ticket->refusal, retry_us(ticket->queue, now_us), &err,
+	    ticket->refusal == ERR_DEADLINE
 		? "the request waited too long to meet its deadline"
 		: "the first byte will miss its deadline");
 	adm->ops->refuse(ticket, &err, adm->ctx);
@@ -379,8 +380,8 @@
 adm_expire(struct adm *adm, int64_t now_us)
 {
 	struct adm_ticket *ticket;
-	struct adm_team *team;
-	struct adm_lane *lane;
+	struct adm_workspace *team;
+	struct adm_queue *lane;
 
 	LIST_FOREACH (team, &adm->teams, link) {
 		LIST_FOREACH (lane, &team->lanes, link) {
@@ -399,11 +400,11 @@
 /* ------------------------------------------------------------------ */
 
 void
-adm_head(struct adm_ticket *ticket, int64_t now_us)
+adm_first_byte(struct adm_ticket *ticket, int64_t now_us)
 {
 	if (ticket->state == ADM_STARTED)
 		est_time_add(
-		    &ticket->lane->first, now_us - ticket->started_us, now_us);
+		    &ticket->queue->first, now_us - ticket->started_us, now_us);
 }
 
 void
@@ -411,15 +412,15 @@
 {
 	if (ticket->state != ADM_STARTED)
 		return;
-	ticket->lane->refusals = true;
-	adm_step_limit(ticket->lane, now_us);
+	ticket->queue->refusals = true;
+	adm_step_limit(ticket->queue, now_us);
 }
 
 void
 adm_done(struct adm_ticket *ticket, enum adm_outcome outcome, int64_t now_us)
 {
-	struct adm_lane *lane = ticket->lane;
-	struct adm_team *team = lane->team;
+	struct adm_queue *lane = ticket->queue;
+	struct adm_workspace *team = lane->workspace;
 	int64_t used_us = now_us - ticket->started_us;
 
 	g_assert(ticket->state == ADM_STARTED);
@@ -430,7 +431,7 @@
 	team->virtual_us +=
 	    (used_us - ticket->charged_us) * DEFAULT_WEIGHT / team->weight;
 	ticket->state = ADM_IDLE;
-	ticket->lane = NULL;
+	ticket->queue = NULL;
 	lane->nstarted--;
 	lane->started_cost -= ticket->cost;
 	if (lane->load.running > 0)
@@ -441,7 +442,7 @@
 }
 
 void
-adm_leave(struct adm_ticket *ticket, int64_t now_us)
+adm_cancel(struct adm_ticket *ticket, int64_t now_us)
 {
 	switch (ticket->state) {
 	case ADM_IDLE:
@@ -453,20 +454,20 @@
 		adm_done(ticket, ADM_OTHER, now_us);
 		return;
 	case ADM_REFUSED:
-		if (ticket->lane != NULL) /* still listed by adm_expire */
-			TAILQ_REMOVE(
-			    &ticket->lane->team->adm->refused, ticket, link);
+		if (ticket->queue != NULL) /* still listed by adm_expire */
+			TAILQ_REMOVE(&ticket->queue->workspace->adm->refused,
+			    ticket, link);
 		break;
 	}
 	ticket->state = ADM_IDLE;
-	ticket->lane = NULL;
+	ticket->queue = NULL;
 }
 
 void
-adm_lane_stats(
-    const struct adm_lane *lane, int64_t now_us, struct adm_lane_stats *out)
+adm_queue_stats(
+    const struct adm_queue *lane, int64_t now_us, struct adm_queue_stats *out)
 {
-	*out = (struct adm_lane_stats){
+	*out = (struct adm_queue_stats){
 		.limit = lane->limit,
 		.started = lane->nstarted,
 		.waiting = lane->nwaiting,
--- a/lib/route/admit.h
+++ b/lib/route/admit.h
@@ -31,8 +31,8 @@
 #include "common/common.h"
 
 struct adm;
-struct adm_team;
-struct adm_lane;
+struct adm_workspace;
+struct adm_queue;
 
 enum adm_state {
 	ADM_IDLE,
@@ -49,16 +49,16 @@
 	 * responses also predict long ones. 0 counts as 1. */
 	unsigned int cost;
 	int64_t deadline_us; /* of the complete response */
-	int64_t goal_us; /* deadline of the first byte; 0: none */
+	int64_t first_byte_by_us; /* deadline of the first byte; 0: none */
 
 	/* Private to adm. */
 	TAILQ_ENTRY(adm_ticket) link;
-	struct adm_lane *lane;
+	struct adm_queue *queue;
 	enum adm_state state;
-	int64_t offered_us;
+	int64_t submitted_us;
 	int64_t started_us;
 	int64_t charged_us;
-	enum err_code loss;
+	enum err_code refusal;
 };
 
 struct adm_ops {
@@ -78,11 +78,11 @@
 void adm_set_capacity(struct adm *adm, unsigned int capacity, int64_t now_us);
 
 /* Both are created on first use and live as long as `adm`. */
-struct adm_team *adm_team(struct adm *adm, const char *name);
-struct adm_lane *adm_lane(struct adm_team *team, const char *name);
+struct adm_workspace *adm_workspace(struct adm *adm, const char *name);
+struct adm_queue *adm_queue(struct adm_workspace *team, const char *name);
 /* `max_waiting`: this gateway's share of the requests that may wait. */
-void adm_team_set(
-    struct adm_team *team, unsigned int weight, unsigned int max_waiting);
+void adm_workspace_set(
+    struct adm_workspace *team, unsigned int weight, unsigned int max_waiting);
 
 /*
  * Load that the sidecars report for the targets of the queue; call on each
@@ -93,20 +93,20 @@
 	unsigned int slots; /* of the targets that are usable now */
 	unsigned int running;
 	unsigned int
-	    entries; /* live gateways that share them, this one included */
+	    gateways; /* live gateways that share them, this one included */
 };
-void adm_lane_load(
-    struct adm_lane *lane, const struct adm_load *load, int64_t now_us);
+void adm_queue_load(
+    struct adm_queue *lane, const struct adm_load *load, int64_t now_us);
 
 /*
  * ADM_STARTED, ADM_WAITING (`start` or `refuse` follows) or ADM_REFUSED with
  * `err`: ERR_DEADLINE, ERR_OVERLOADED or, when the queue has no targets,
  * ERR_UNAVAILABLE; the verdict is NOT_RUN and retry_after_ms is set.
  */
-enum adm_state adm_offer(struct adm_lane *lane, struct adm_ticket *ticket,
+enum adm_state adm_submit(struct adm_queue *lane, struct adm_ticket *ticket,
     int64_t now_us, struct err *err);
 /* The first byte of the response arrived. */
-void adm_head(struct adm_ticket *ticket, int64_t now_us);
+void adm_first_byte(struct adm_ticket *ticket, int64_t now_us);
 
 enum adm_outcome {
 	ADM_ANSWERED, /* complete response: its duration feeds the estimates */
@@ -120,19 +120,19 @@
 void adm_done(
     struct adm_ticket *ticket, enum adm_outcome outcome, int64_t now_us);
 /* The caller disconnected; allowed for a ticket in any state. */
-void adm_leave(struct adm_ticket *ticket, int64_t now_us);
+void adm_cancel(struct adm_ticket *ticket, int64_t now_us);
 
 /* Refuses the waiting tickets that missed their deadline or are expected to
  * miss it before they start. Call every ADM_TICK_MS. */
 #define ADM_TICK_MS 20
 void adm_expire(struct adm *adm, int64_t now_us);
 
-struct adm_lane_stats {
+struct adm_queue_stats {
 	unsigned int limit, started, waiting;
 	uint64_t drain_milli_s; /* thousandths of cost a second; 0: unknown */
 	int64_t unit_us, first_us; /* mean for cost 1; 0: unknown */
 };
-void adm_lane_stats(
-    const struct adm_lane *lane, int64_t now_us, struct adm_lane_stats *out);
+void adm_queue_stats(
+    const struct adm_queue *lane, int64_t now_us, struct adm_queue_stats *out);
 
 #endif
--- a/lib/route/admit_internal.h
+++ b/lib/route/admit_internal.h
@@ -11,9 +11,9 @@
 
 TAILQ_HEAD(adm_tickets, adm_ticket);
 
-struct adm_lane {
-	LIST_ENTRY(adm_lane) link;
-	struct adm_team *team;
+struct adm_queue {
+	LIST_ENTRY(adm_queue) link;
+	struct adm_workspace *workspace;
 	char *name;
 	struct adm_tickets waiting[PRIORITY_CLASSES]; /* oldest first */
 	uint64_t cost[PRIORITY_CLASSES]; /* of the waiting tickets */
@@ -31,15 +31,15 @@
 	struct est_time first; /* until the first byte of the response */
 };
 
-struct adm_team {
-	LIST_ENTRY(adm_team) link;
+struct adm_workspace {
+	LIST_ENTRY(adm_workspace) link;
 	struct adm *adm;
 	char *name;
 	unsigned int weight;
-	unsigned int queue;
+	unsigned int max_waiting;
 	unsigned int nwaiting;
 	int64_t virtual_us; /* target time used, divided by the weight */
-	LIST_HEAD(adm_lanes, adm_lane) lanes;
+	LIST_HEAD(adm_lanes, adm_queue) lanes;
 };
 
 struct adm {
@@ -50,19 +50,19 @@
 	int64_t virtual_us; /* of the ticket started last */
 	bool dispatching;
 	struct adm_tickets refused; /* by the adm_expire call in progress */
-	LIST_HEAD(adm_teams, adm_team) teams;
+	LIST_HEAD(adm_teams, adm_workspace) teams;
 };
 
 /* Key of the order in which tickets start; the lowest starts first. */
 int64_t adm_order_key(const struct adm_ticket *ticket);
 /* The ticket that starts next; NULL when none waits. */
-struct adm_ticket *adm_next(const struct adm_lane *lane);
+struct adm_ticket *adm_next(const struct adm_queue *lane);
 /* Cost of the tickets that start before one submitted now. */
 uint64_t adm_cost_ahead(
-    const struct adm_lane *lane, const struct adm_ticket *ticket);
+    const struct adm_queue *lane, const struct adm_ticket *ticket);
 void adm_enqueue(
-    struct adm_lane *lane, struct adm_ticket *ticket, int64_t now_us);
+    struct adm_queue *lane, struct adm_ticket *ticket, int64_t now_us);
 void adm_dequeue(struct adm_ticket *ticket);
-void adm_step_limit(struct adm_lane *lane, int64_t now_us);
+void adm_step_limit(struct adm_queue *lane, int64_t now_us);
 
 #endif
--- a/lib/route/admit_lane.c
+++ b/lib/route/admit_lane.c
@@ -32,11 +32,11 @@
 int64_t
 adm_order_key(const struct adm_ticket *ticket)
 {
-	return ticket->offered_us + class_of(ticket) * CLASS_HEAD_START_US;
+	return ticket->submitted_us + class_of(ticket) * CLASS_HEAD_START_US;
 }
 
 struct adm_ticket *
-adm_next(const struct adm_lane *lane)
+adm_next(const struct adm_queue *lane)
 {
 	struct adm_ticket *best = NULL, *head;
 	size_t i;
@@ -55,7 +55,7 @@
  * assuming that they were submitted at an even rate. */
 static uint64_t
 cost_aged_before(
-    const struct adm_lane *lane, unsigned int class, int64_t key_us)
+    const struct adm_queue *lane, unsigned int class, int64_t key_us)
 {
 	const struct adm_ticket *head = TAILQ_FIRST(&lane->waiting[class]);
 	const struct adm_ticket *tail;
@@ -76,7 +76,7 @@
 }
 
 uint64_t
-adm_cost_ahead(const struct adm_lane *lane, const struct adm_ticket *ticket)
+adm_cost_ahead(const struct adm_queue *lane, const struct adm_ticket *ticket)
 {
 	unsigned int class = class_of(ticket), i;
 	uint64_t cost = 0;
@@ -90,7 +90,7 @@
 }
 
 void
-adm_enqueue(struct adm_lane *lane, struct adm_ticket *ticket, int64_t now_us)
+adm_enqueue(struct adm_queue *lane, struct adm_ticket *ticket, int64_t now_us)
 {
 	unsigned int class = class_of(ticket);
 	int64_t unit_us = est_time_mean(&lane->unit, now_us);
@@ -106,19 +106,19 @@
 	TAILQ_INSERT_TAIL(&lane->waiting[class], ticket, link);
 	lane->cost[class] += ticket->cost;
 	lane->nwaiting++;
-	lane->team->nwaiting++;
+	lane->workspace->nwaiting++;
 	ticket->state = ADM_WAITING;
 }
 
 void
 adm_dequeue(struct adm_ticket *ticket)
 {
-	struct adm_lane *lane = ticket->lane;
+	struct adm_queue *lane = ticket->queue;
 	unsigned int class = class_of(ticket);
 
 	TAILQ_REMOVE(&lane->waiting[class], ticket, link);
 	lane->cost[class] -= ticket->cost;
-	lane->team->nwaiting--;
+	lane->workspace->nwaiting--;
 	if (--lane->nwaiting == 0)
 		est_rate_end(&lane->drain);
 }
@@ -128,7 +128,7 @@
 /* ------------------------------------------------------------------ */
 
 static unsigned int
-usable_slots(const struct adm_lane *lane)
+usable_slots(const struct adm_queue *lane)
 {
 	uint64_t slots = (uint64_t)lane->load.slots * lane->slot_permille;
 
@@ -136,9 +136,9 @@
 }
 
 static unsigned int
-even_share(const struct adm_lane *lane)
+even_share(const struct adm_queue *lane)
 {
-	unsigned int entries = MAX(lane->load.entries, 1);
+	unsigned int entries = MAX(lane->load.gateways, 1);
 
 	if (lane->load.slots == 0)
 		return 0;
@@ -148,16 +148,16 @@
 /* More requests run than there are slots, by more than the rounding up of each
  * gateway's share explains: another gateway is reclaiming its own share. */
 static bool
-is_oversubscribed(const struct adm_lane *lane)
+is_oversubscribed(const struct adm_queue *lane)
 {
-	return lane->load.running > usable_slots(lane) + lane->load.entries;
+	return lane->load.running > usable_slots(lane) + lane->load.gateways;
 }
 
 /* Requests running here plus an equal share of the free slots. */
 static unsigned int
-limit_with_borrowed(const struct adm_lane *lane)
+limit_with_borrowed(const struct adm_queue *lane)
 {
-	unsigned int entries = MAX(lane->load.entries, 1);
+	unsigned int entries = MAX(lane->load.gateways, 1);
 	unsigned int slots = usable_slots(lane), room = 0;
 
 	if (is_oversubscribed(lane))
@@ -168,7 +168,7 @@
 }
 
 static void
-step_slot_permille(struct adm_lane *lane)
+step_slot_permille(struct adm_queue *lane)
 {
 	if (lane->refusals)
 		lane->slot_permille -=
@@ -181,7 +181,7 @@
 }
 
 void
-adm_step_limit(struct adm_lane *lane, int64_t now_us)
+adm_step_limit(struct adm_queue *lane, int64_t now_us)
 {
 	int64_t steps = (now_us - lane->last_step_us) / STEP_US;
 
--- a/lib/route/budget.c
+++ b/lib/route/budget.c
@@ -11,7 +11,7 @@
 conf_of(unsigned int permille)
 {
 	return (struct spend_conf){ .ratio = permille / 1000.0,
-		.slack = BUD_FLOOR,
+		.slack = BUD_MIN_RETRIES,
 		.used = 1,
 		.window_us = (int64_t)BUD_SLOTS * BUD_SLOT_MS * 1000,
 		.sharers = 1 };
--- a/lib/route/choose.c
+++ b/lib/route/choose.c
@@ -30,7 +30,7 @@
 };
 
 static bool
-was_tried(const struct rt_target *target, const struct rt_wish *wish)
+was_tried(const struct rt_target *target, const struct rt_criteria *wish)
 {
 	size_t i;
 
@@ -54,20 +54,21 @@
 	    STALL_FACTOR * est_time_high(first, first->updated_us) +
 	    STALL_MIN_US;
 
-	return target->unheard > 0 && first->known &&
-	    now_us - target->unheard_since_us > timeout_us;
+	return target->unanswered > 0 && first->known &&
+	    now_us - target->unanswered_since_us > timeout_us;
 }
 
 static bool
-is_usable(
-    const struct rt_target *target, const struct rt_wish *wish, int64_t now_us)
+is_usable(const struct rt_target *target, const struct rt_criteria *wish,
+    int64_t now_us)
 {
 	return target->reachable && target->accepting &&
-	    target->resting_until_us <= now_us && !was_tried(target, wish);
+	    target->backoff_until_us <= now_us && !was_tried(target, wish);
 }
 
 static bool
-is_allowed_version(const struct rt_target *target, const struct rt_wish *wish)
+is_allowed_version(
+    const struct rt_target *target, const struct rt_criteria *wish)
 {
 	size_t i;
 
@@ -81,11 +82,11 @@
 }
 
 bool
-rt_may_use(
-    const struct rt_target *target, const struct rt_wish *wish, int64_t now_us)
+rt_target_eligible(const struct rt_target *target,
+    const struct rt_criteria *wish, int64_t now_us)
 {
 	return target->kind == wish->kind &&
-	    strcmp(target->team, wish->team) == 0 &&
+	    strcmp(target->workspace, wish->workspace) == 0 &&
 	    strcmp(target->pool, wish->pool) == 0 &&
 	    strcmp(target->service, wish->service) == 0 &&
 	    is_allowed_version(target, wish) && is_usable(target, wish, now_us);
@@ -93,8 +94,8 @@
 
 /* Estimated load in permille of the slots. */
 static uint64_t
-load_of(
-    const struct rt_target *target, const struct rt_wish *wish, int64_t now_us)
+load_of(const struct rt_target *target, const struct rt_criteria *wish,
+    int64_t now_us)
 {
 	uint64_t running = rt_target_running(target, now_us);
 	uint64_t load = running * LOAD_FULL / MAX(target->slots, 1);
@@ -112,7 +113,7 @@
 
 static void
 add_group(struct candidates *candidates, struct rt_fleet *fleet,
-    const struct rt_wish *wish, const struct digest *root)
+    const struct rt_criteria *wish, const struct digest *root)
 {
 	struct rt_group *group = rt_group_find(fleet, wish, root);
 
@@ -135,7 +136,7 @@
 /* Scans all candidates; each usable one is equally likely to be among the two
  * that are returned. Stalled targets are included only if `stalled` is set. */
 static size_t
-scan(const struct candidates *candidates, const struct rt_wish *wish,
+scan(const struct candidates *candidates, const struct rt_criteria *wish,
     int64_t now_us, struct rng *rng, bool stalled, struct rt_target *out[2])
 {
 	struct rt_target *t;
@@ -156,7 +157,7 @@
 }
 
 static size_t
-draw_two(const struct candidates *candidates, const struct rt_wish *wish,
+draw_two(const struct candidates *candidates, const struct rt_criteria *wish,
     int64_t now_us, struct rng *rng, struct rt_target *out[2])
 {
 	struct rt_target *t;
@@ -192,7 +193,7 @@
 
 static struct rt_target *
 choose_in(struct rt_fleet *fleet, const struct candidates *candidates,
-    const struct rt_wish *wish, int64_t now_us, struct rng *rng)
+    const struct rt_criteria *wish, int64_t now_us, struct rng *rng)
 {
 	struct rt_target *drawn[2], *holders[PREFIX_HOLDERS], *best = NULL;
 	size_t n = draw_two(candidates, wish, now_us, rng, drawn), nholders = 0,
@@ -226,8 +227,8 @@
 }
 
 struct rt_target *
-rt_choose(struct rt_fleet *fleet, const struct rt_wish *wish, int64_t now_us,
-    struct rng *rng)
+rt_choose(struct rt_fleet *fleet, const struct rt_criteria *wish,
+    int64_t now_us, struct rng *rng)
 {
 	struct candidates candidates = { .ngroups = 0 };
 	struct rt_target *target = NULL;
@@ -247,8 +248,8 @@
 }
 
 int64_t
-rt_rest_ends_us(
-    struct rt_fleet *fleet, const struct rt_wish *wish, int64_t now_us)
+rt_backoff_ends_us(
+    struct rt_fleet *fleet, const struct rt_criteria *wish, int64_t now_us)
 {
 	struct candidates candidates = { .ngroups = 0 };
 	const struct rt_target *t;
@@ -262,10 +263,10 @@
 	for (i = 0; i < candidates.targets; i++) {
 		t = target_at(&candidates, i);
 		if (!t->reachable || !t->accepting ||
-		    t->resting_until_us <= now_us)
+		    t->backoff_until_us <= now_us)
 			continue;
-		if (first == 0 || t->resting_until_us < first)
-			first = t->resting_until_us;
+		if (first == 0 || t->backoff_until_us < first)
+			first = t->backoff_until_us;
 	}
 	return first;
 }
--- a/lib/route/fleet.c
+++ b/lib/route/fleet.c
@@ -80,16 +80,17 @@
 }
 
 struct rt_group *
-rt_group_find(struct rt_fleet *fleet, const struct rt_wish *wish,
+rt_group_find(struct rt_fleet *fleet, const struct rt_criteria *wish,
     const struct digest *root)
 {
 	char key[KEY_MAX];
 
-	if (strlen(wish->team) > RT_NAME_MAX ||
+	if (strlen(wish->workspace) > RT_NAME_MAX ||
 	    strlen(wish->pool) > RT_NAME_MAX ||
 	    strlen(wish->service) > RT_NAME_MAX)
 		return NULL;
-	make_key(key, wish->kind, wish->team, wish->pool, wish->service, root);
+	make_key(
+	    key, wish->kind, wish->workspace, wish->pool, wish->service, root);
 	return g_hash_table_lookup(fleet->groups, key);
 }
 
@@ -99,8 +100,8 @@
 	struct rt_group *group;
 	char key[KEY_MAX];
 
-	make_key(key, target->kind, target->team, target->pool, target->service,
-	    &target->loaded);
+	make_key(key, target->kind, target->workspace, target->pool,
+	    target->service, &target->loaded);
 	group = g_hash_table_lookup(fleet->groups, key);
 	if (group != NULL)
 		return group;
@@ -138,11 +139,11 @@
 	target->counted_slots = 0;
 	target->counted_running = 0;
 	last = g_ptr_array_index(group->targets, group->targets->len - 1);
-	group->targets->pdata[target->place] = last;
-	last->place = target->place;
+	group->targets->pdata[target->group_index] = last;
+	last->group_index = target->group_index;
 	g_ptr_array_set_size(group->targets, (gint)group->targets->len - 1);
 	target->group = NULL;
-	target->cache++;
+	target->cache_epoch++;
 	if (group->targets->len == 0)
 		g_hash_table_remove(fleet->groups, group->key);
 }
@@ -156,14 +157,14 @@
 		if (target->group != NULL)
 			leave_group(fleet, target);
 		target->group = group;
-		target->place = group->targets->len;
+		target->group_index = group->targets->len;
 		g_ptr_array_add(group->targets, target);
 	}
-	update_sums(target, target->told_us);
+	update_sums(target, target->reported_us);
 }
 
 void
-rt_fleet_load(struct rt_fleet *fleet, const struct rt_wish *wish,
+rt_fleet_load(struct rt_fleet *fleet, const struct rt_criteria *wish,
     unsigned int *slots, unsigned int *running)
 {
 	size_t n = wish->kind == RT_ENGINE ? wish->nroots : 1, i;
@@ -205,38 +206,39 @@
 rt_target_running(const struct rt_target *target, int64_t now_us)
 {
 	int64_t halvings =
-	    MAX(now_us - target->told_us, 0) / OTHERS_HALF_LIFE_US;
+	    MAX(now_us - target->reported_us, 0) / OTHERS_HALF_LIFE_US;
 	unsigned int others = 0;
 
-	if (target->told_running > target->own_when_told)
-		others = target->told_running - target->own_when_told;
-	return target->own_running +
+	if (target->reported_running > target->local_at_report)
+		others = target->reported_running - target->local_at_report;
+	return target->local_inflight +
 	    (others >> MIN(halvings, OTHERS_HALVINGS_MAX));
 }
 
 void
-rt_target_told(struct rt_target *target, unsigned int running, int64_t now_us)
+rt_target_reported(
+    struct rt_target *target, unsigned int running, int64_t now_us)
 {
-	target->told_running = running;
-	target->own_when_told = target->own_running;
-	target->told_us = now_us;
+	target->reported_running = running;
+	target->local_at_report = target->local_inflight;
+	target->reported_us = now_us;
 	update_sums(target, now_us);
 }
 
 void
 rt_target_sent(struct rt_target *target, int64_t now_us)
 {
-	target->own_running++;
-	if (target->unheard++ == 0)
-		target->unheard_since_us = now_us;
+	target->local_inflight++;
+	if (target->unanswered++ == 0)
+		target->unanswered_since_us = now_us;
 	update_sums(target, now_us);
 }
 
 void
-rt_target_heard(
+rt_target_responded(
     struct rt_target *target, bool first, int64_t sent_us, int64_t now_us)
 {
-	target->unheard = 0;
+	target->unanswered = 0;
 	if (first)
 		est_time_add(&target->group->first, now_us - sent_us, now_us);
 }
@@ -245,14 +247,15 @@
 back_off(struct rt_target *target, int64_t first_us,
     unsigned int retry_after_ms, int64_t now_us)
 {
-	int64_t us = first_us << MIN(target->fails, BACKOFF_DOUBLINGS_MAX);
+	int64_t us = first_us
+	    << MIN(target->consecutive_failures, BACKOFF_DOUBLINGS_MAX);
 
 	/* Requests that fail together count as one failure. */
-	if (target->resting_until_us > now_us)
+	if (target->backoff_until_us > now_us)
 		return;
 	us = CLAMP(us, retry_after_ms * 1000LL, BACKOFF_MAX_US);
-	target->fails++;
-	target->resting_until_us = now_us + us;
+	target->consecutive_failures++;
+	target->backoff_until_us = now_us + us;
 }
 
 static void
@@ -260,7 +263,7 @@
 {
 	switch (err->code) {
 	case ERR_NONE:
-		target->fails = 0;
+		target->consecutive_failures = 0;
 		return;
 	case ERR_CANCELLED: /* by this gateway: no sign of a fault of the target */
 	case ERR_INVALID:
@@ -282,24 +285,24 @@
 void
 rt_target_ended(struct rt_target *target, const struct err *err, int64_t now_us)
 {
-	if (target->own_running > 0)
-		target->own_running--;
+	if (target->local_inflight > 0)
+		target->local_inflight--;
 	/* Requests that ended can no longer be answered. */
-	target->unheard = MIN(target->unheard, target->own_running);
+	target->unanswered = MIN(target->unanswered, target->local_inflight);
 	handle_result(target, err, now_us);
 	update_sums(target, now_us);
 }
 
 void
-rt_target_lost(struct rt_fleet *fleet, struct rt_target *target)
+rt_target_disconnected(struct rt_fleet *fleet, struct rt_target *target)
 {
 	target->reachable = false;
-	target->own_running = 0;
-	target->told_running = 0;
-	target->own_when_told = 0;
-	target->unheard = 0;
-	target->fails = 0;
-	target->resting_until_us = 0;
-	target->cache++;
+	target->local_inflight = 0;
+	target->reported_running = 0;
+	target->local_at_report = 0;
+	target->unanswered = 0;
+	target->consecutive_failures = 0;
+	target->backoff_until_us = 0;
+	target->cache_epoch++;
 	rt_fleet_update(fleet, target);
 }
--- a/lib/route/fleet.h
+++ b/lib/route/fleet.h
@@ -28,34 +28,34 @@
 
 struct rt_target {
 	TAILQ_ENTRY(rt_target) link;
-	char side[RT_NAME_MAX + 1];
+	char sidecar[RT_NAME_MAX + 1];
 	char domain[RT_NAME_MAX + 1];
 	char name[RT_NAME_MAX + 1];
 	enum rt_target_kind kind;
-	char team[RT_NAME_MAX + 1];
+	char workspace[RT_NAME_MAX + 1];
 	char pool[RT_NAME_MAX + 1];
 	char service[RT_NAME_MAX + 1];
 	struct digest loaded;
 	bool reachable; /* the connection to its sidecar is open */
-	bool told_accepting; /* as last reported by its sidecar */
-	bool ordered_off; /* told not to accept by an order of a rollout */
+	bool reported_accepting; /* as last reported by its sidecar */
+	bool drain_ordered; /* told not to accept by an order of a rollout */
 	bool accepting; /* reported as accepting, and its host is not leaving */
 	unsigned int slots;
 	void *owner; /* the caller's connection object for the sidecar */
 
 	/* Private to the fleet. */
-	unsigned int told_running; /* as last reported by the sidecar */
-	unsigned int own_running; /* sent by this gateway and not ended */
-	unsigned int own_when_told; /* own_running at the last report */
-	int64_t told_us;
-	unsigned int fails; /* consecutive */
-	int64_t resting_until_us;
-	unsigned int unheard; /* sent since the last response data from it */
-	int64_t unheard_since_us;
+	unsigned int reported_running; /* as last reported by the sidecar */
+	unsigned int local_inflight; /* sent by this gateway and not ended */
+	unsigned int local_at_report; /* own_running at the last report */
+	int64_t reported_us;
+	unsigned int consecutive_failures; /* consecutive */
+	int64_t backoff_until_us;
+	unsigned int unanswered; /* sent since the last response data from it */
+	int64_t unanswered_since_us;
 	uint32_t
-	    cache; /* incremented when the contents of its cache are lost */
+	    cache_epoch; /* incremented when the contents of its cache are lost */
 	struct rt_group *group;
-	guint place; /* index in the group */
+	guint group_index; /* index in the group */
 	unsigned int counted_slots, counted_running;
 };
 
@@ -71,25 +71,25 @@
 /* Call for a new target, and when one of its non-private fields changed. */
 void rt_fleet_update(struct rt_fleet *fleet, struct rt_target *target);
 /* The sidecar reported the number of requests there, of all gateways. */
-void rt_target_told(
+void rt_target_reported(
     struct rt_target *target, unsigned int running, int64_t now_us);
 void rt_target_sent(struct rt_target *target, int64_t now_us);
 /* Response data arrived for a request sent at `sent_us`; `first`: the first. */
-void rt_target_heard(
+void rt_target_responded(
     struct rt_target *target, bool first, int64_t sent_us, int64_t now_us);
 /* A request sent there ended with `err`, ERR_NONE if it was answered. A refusal
  * or failure puts the target in backoff, longer with each consecutive one. */
 void rt_target_ended(
     struct rt_target *target, const struct err *err, int64_t now_us);
 /* The connection is lost, with all requests that ran there. */
-void rt_target_lost(struct rt_fleet *fleet, struct rt_target *target);
+void rt_target_disconnected(struct rt_fleet *fleet, struct rt_target *target);
 /* Estimated number of requests running there. */
 unsigned int rt_target_running(const struct rt_target *target, int64_t now_us);
 
 /* The targets that a request may be sent to. */
-struct rt_wish {
+struct rt_criteria {
 	enum rt_target_kind kind;
-	const char *team;
+	const char *workspace;
 	const char *pool;
 	const char *service; /* "" for engines */
 	const struct digest *roots; /* versions allowed; engines only */
@@ -108,17 +108,17 @@
  * and the local domain count as less load. NULL when no target is usable now.
  * Pure except for `rng`.
  */
-struct rt_target *rt_choose(struct rt_fleet *fleet, const struct rt_wish *wish,
-    int64_t now_us, struct rng *rng);
-bool rt_may_use(
-    const struct rt_target *target, const struct rt_wish *wish, int64_t now_us);
+struct rt_target *rt_choose(struct rt_fleet *fleet,
+    const struct rt_criteria *wish, int64_t now_us, struct rng *rng);
+bool rt_target_eligible(const struct rt_target *target,
+    const struct rt_criteria *wish, int64_t now_us);
 /* Time at which the first target in backoff is usable again; 0 when none is in
  * backoff. For Retry-After. */
-int64_t rt_rest_ends_us(
-    struct rt_fleet *fleet, const struct rt_wish *wish, int64_t now_us);
+int64_t rt_backoff_ends_us(
+    struct rt_fleet *fleet, const struct rt_criteria *wish, int64_t now_us);
 /* Slots and estimated load of all eligible targets, including those in backoff;
- * for adm_lane_load. */
-void rt_fleet_load(struct rt_fleet *fleet, const struct rt_wish *wish,
+ * for adm_queue_load. */
+void rt_fleet_load(struct rt_fleet *fleet, const struct rt_criteria *wish,
     unsigned int *slots, unsigned int *running);
 
 /* ------------------------------------------------------------------ */
@@ -137,7 +137,7 @@
 void rt_prefix_begin(struct rt_prefix *prefix);
 void rt_prefix_add(struct rt_prefix *prefix, const char *content);
 /* 0 when the contents are too short for caching to matter. */
-#define RT_PREFIX_LEAST 64
+#define RT_PREFIX_MIN_BYTES 64
 uint64_t rt_prefix_end(const struct rt_prefix *prefix);
 
 /*
@@ -163,14 +163,14 @@
 
 /*
  * Subset by rendezvous hashing. Each sidecar is connected by the
- * RT_SUBSET_ENTRIES gateways that rank first for it, those of its own region
+ * RT_SUBSET_GATEWAYS gateways that rank first for it, those of its own region
  * before the others, so that all sidecars have about the same number of
  * connections at any scale. A gateway adds sidecars until it has
- * RT_SUBSET_SIDES for each group of targets. Gateways with the same member list
+ * RT_SUBSET_SIDECARS for each group of targets. Gateways with the same member list
  * compute the same result, and one that leaves moves only its own connections.
  */
-#define RT_SUBSET_ENTRIES 32
-#define RT_SUBSET_SIDES 16
+#define RT_SUBSET_GATEWAYS 32
+#define RT_SUBSET_SIDECARS 16
 void rt_subset(const char *self, const struct rt_peer *entries, size_t nentries,
     struct rt_peer *sides, size_t nsides);
 
--- a/lib/route/limit.c
+++ b/lib/route/limit.c
@@ -88,12 +88,12 @@
 /* ------------------------------------------------------------------ */
 
 unsigned int
-lim_tell_ms(unsigned int entries)
+lim_report_ms(unsigned int entries)
 {
 	unsigned int times =
 	    (entries + ENTRIES_AT_LEAST_PERIOD - 1) / ENTRIES_AT_LEAST_PERIOD;
 
-	return LIM_TELL_PERIOD_MS * MAX(times, 1);
+	return LIM_REPORT_PERIOD_MS * MAX(times, 1);
 }
 
 /* Demands of the others that count: how many are below `level` and their
@@ -103,7 +103,7 @@
     const struct lim *lim, uint64_t level, unsigned int *n, int64_t now_us)
 {
 	int64_t oldest =
-	    now_us - HEARD_PERIODS * lim_tell_ms(lim->entries) * 1000LL;
+	    now_us - HEARD_PERIODS * lim_report_ms(lim->entries) * 1000LL;
 	GHashTableIter iter;
 	gpointer value;
 	uint64_t sum = 0;
@@ -191,7 +191,7 @@
 }
 
 void
-lim_told(
+lim_reported(
     struct lim *lim, const char *entry, uint64_t demand_milli_s, int64_t now_us)
 {
 	struct lim_other *other = g_hash_table_lookup(lim->others, entry);
@@ -206,7 +206,7 @@
 }
 
 void
-lim_gone(struct lim *lim, const char *entry)
+lim_remove(struct lim *lim, const char *entry)
 {
 	g_hash_table_remove(lim->others, entry);
 }
@@ -240,7 +240,7 @@
 }
 
 bool
-lim_tell(struct lim *lim, int64_t now_us)
+lim_report_due(struct lim *lim, int64_t now_us)
 {
 	uint64_t demand = lim_demand(lim, now_us);
 	uint64_t even = (uint64_t)lim->requests_s * MILLI / lim->entries;
@@ -250,8 +250,8 @@
 	turn_slots(lim, now_us);
 	/* Others' words grow old without a sound. */
 	settle(lim, now_us);
-	if (lim->told_us != 0 && since_ms < lim_tell_ms(lim->entries) &&
-	    !(risen && since_ms >= LIM_TELL_LEAST_MS))
+	if (lim->told_us != 0 && since_ms < lim_report_ms(lim->entries) &&
+	    !(risen && since_ms >= LIM_REPORT_MIN_MS))
 		return false;
 	lim->told_demand = demand;
 	lim->told_us = now_us;
--- a/lib/route/limit.h
+++ b/lib/route/limit.h
@@ -14,11 +14,11 @@
  *   common level, so that an uneven balancer does not waste the limit;
  * - an entry that was not heard lately is taken to need its whole part.
  *
- * With the limit L, n entries, period T (lim_tell_ms) and delay D of a word:
+ * With the limit L, n entries, period T (lim_report_ms) and delay D of a word:
  * while demands are steady, no more than L is admitted, give or take what an
  * entry's demand moves within LIM_WINDOW_MS. When entries that had no demand
  * begin all at once, at most L (n - 1) / n more a second is admitted, for
- * LIM_TELL_LEAST_MS + LIM_WINDOW_MS + D at most, as a rise is told at once. On top comes
+ * LIM_REPORT_MIN_MS + LIM_WINDOW_MS + D at most, as a rise is told at once. On top comes
  * LIM_BURST_MS of each part in a burst. A cut-off entry goes on with its
  * L / n; the others, who no longer count it, share L between them.
  */
@@ -28,8 +28,8 @@
 
 #define LIM_WINDOW_MS 500 /* over which demand is measured */
 #define LIM_BURST_MS 250 /* of its part an entry may admit at once */
-#define LIM_TELL_LEAST_MS 100
-#define LIM_TELL_PERIOD_MS 500 /* while demand is steady, few entries */
+#define LIM_REPORT_MIN_MS 100
+#define LIM_REPORT_PERIOD_MS 500 /* while demand is steady, few entries */
 
 struct lim;
 
@@ -42,19 +42,19 @@
  * ERR_OVERLOADED, NOT_RUN, with advice when to come back. */
 bool lim_take(struct lim *lim, int64_t now_us, struct err *err);
 /* Another entry said what is asked of it. */
-void lim_told(struct lim *lim, const char *entry, uint64_t demand_milli_s,
+void lim_reported(struct lim *lim, const char *entry, uint64_t demand_milli_s,
     int64_t now_us);
-void lim_gone(struct lim *lim, const char *entry);
+void lim_remove(struct lim *lim, const char *entry);
 
 /* What to tell the others: thousandths of a request a second. */
 uint64_t lim_demand(const struct lim *lim, int64_t now_us);
 /* Whether to tell it now; if so, it is taken as told. To be asked every
  * LIM_TICK_MS, as it also moves the part to the demand. */
 #define LIM_TICK_MS 20
-bool lim_tell(struct lim *lim, int64_t now_us);
+bool lim_report_due(struct lim *lim, int64_t now_us);
 /* Period of telling: grows with the entries, so that each sends no more
  * bytes a second to many than to few. */
-unsigned int lim_tell_ms(unsigned int entries);
+unsigned int lim_report_ms(unsigned int entries);
 
 /* ------------------------------------------------------------------ */
 /* Retry budget                                                        */
@@ -64,7 +64,7 @@
 #define BUD_SLOT_MS 1000
 /* Retries in a window whatever the requests, so that a team with few of
  * them is not without any retry. */
-#define BUD_FLOOR 10
+#define BUD_MIN_RETRIES 10
 
 /* Embedded where it is used; zero it first. */
 struct bud {
--- a/lib/route/prefix.c
+++ b/lib/route/prefix.c
@@ -50,7 +50,7 @@
 uint64_t
 rt_prefix_end(const struct rt_prefix *prefix)
 {
-	return prefix->len < RT_PREFIX_LEAST ? 0 : prefix->hash;
+	return prefix->len < RT_PREFIX_MIN_BYTES ? 0 : prefix->hash;
 }
 
 /* ------------------------------------------------------------------ */
@@ -110,7 +110,7 @@
 holds(const struct holder *h, int64_t now_us)
 {
 	return h->target != NULL && h->until_us > now_us &&
-	    h->cache == h->target->cache;
+	    h->cache == h->target->cache_epoch;
 }
 
 /* The target's own place, else the one whose belief ends first. */
@@ -142,7 +142,7 @@
 	*place_for(find_or_add(fleet->prefixes, prefix), target, now_us) =
 	    (struct holder){
 		    .target = target,
-		    .cache = target->cache,
+		    .cache = target->cache_epoch,
 		    .until_us = now_us + KEEP_US,
 	    };
 }
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -169,7 +169,7 @@
 	struct slice json; /* an array of events */
 };
 
-/* Entry to entry: what is asked of me for this team; see lim_told(). */
+/* Entry to entry: what is asked of me for this team; see lim_reported(). */
 struct rt_demand {
 	struct slice team;
 	uint64_t demand_milli_s;
--- a/lib/route/subset.c
+++ b/lib/route/subset.c
@@ -37,12 +37,12 @@
 	unsigned int before = 0;
 	size_t i;
 
-	for (i = 0; i < nentries && before < RT_SUBSET_ENTRIES; i++) {
+	for (i = 0; i < nentries && before < RT_SUBSET_GATEWAYS; i++) {
 		other = rank_of(&entries[i], side);
 		if (is_before(&other, &own))
 			before++;
 	}
-	return before < RT_SUBSET_ENTRIES;
+	return before < RT_SUBSET_GATEWAYS;
 }
 
 /* ------------------------------------------------------------------ */
@@ -63,7 +63,7 @@
 	    g_strjoin("\n", target->team, target->pool, target->service, NULL);
 	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(c->sides, key));
 
-	if (n < RT_SUBSET_SIDES)
+	if (n < RT_SUBSET_SIDECARS)
 		c->lacks = true;
 	if (c->add)
 		g_hash_table_replace(c->sides, key, GUINT_TO_POINTER(n + 1));
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -173,7 +173,7 @@
     struct entry *entry, const char *from, const struct msg *m);
 /* A target's side said something new of it. */
 void gatekeeper_spoke(struct entry *entry, const struct rt_target *target);
-struct adm_lane *gatekeeper_lane(struct entry *entry, const char *team,
+struct adm_queue *gatekeeper_lane(struct entry *entry, const char *team,
     const char *model, const char *service);
 /* Takes one request from the team's limit; ERR_OVERLOADED when over it. */
 bool gatekeeper_take(struct entry *entry, const char *team, struct err *err);
--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -43,7 +43,7 @@
 
 /* A lane is a model or a plain service of a team: what competes for the same
  * targets. */
-struct adm_lane *
+struct adm_queue *
 gatekeeper_lane(struct entry *entry, const char *team, const char *model,
     const char *service)
 {
@@ -52,7 +52,7 @@
 	g_snprintf(name, sizeof(name), "%s:%s",
 	    service[0] != '\0' ? "service" : "model",
 	    service[0] != '\0' ? service : model);
-	return adm_lane(adm_team(entry->gatekeeper->adm, team), name);
+	return adm_queue(adm_workspace(entry->gatekeeper->adm, team), name);
 }
 
 static unsigned int
@@ -62,12 +62,14 @@
 }
 
 static void
-load_lane(struct entry *entry, const struct rt_wish *wish, const char *model)
+load_lane(
+    struct entry *entry, const struct rt_criteria *wish, const char *model)
 {
-	struct adm_load load = { .entries = live_entries(entry) };
+	struct adm_load load = { .gateways = live_entries(entry) };
 
 	rt_fleet_load(entry->fleet, wish, &load.slots, &load.running);
-	adm_lane_load(gatekeeper_lane(entry, wish->team, model, wish->service),
+	adm_queue_load(
+	    gatekeeper_lane(entry, wish->workspace, model, wish->service),
 	    &load, now_us());
 }
 
@@ -76,9 +78,9 @@
     const struct rt_model *model)
 {
 	struct digest roots[VERSIONS_MAX];
-	struct rt_wish wish = {
+	struct rt_criteria wish = {
 		.kind = RT_ENGINE,
-		.team = team->name,
+		.workspace = team->name,
 		.pool = model->pool,
 		.service = "",
 		.roots = roots,
@@ -93,9 +95,9 @@
 load_service(struct entry *entry, const struct rt_team *team,
     const struct rt_service *service)
 {
-	const struct rt_wish wish = {
+	const struct rt_criteria wish = {
 		.kind = RT_SERVICE,
-		.team = team->name,
+		.workspace = team->name,
 		.pool = service->pool,
 		.service = service->name,
 	};
@@ -106,7 +108,7 @@
 void
 gatekeeper_spoke(struct entry *entry, const struct rt_target *target)
 {
-	const struct rt_team *team = entry_team(entry, target->team);
+	const struct rt_team *team = entry_team(entry, target->workspace);
 	size_t i;
 
 	if (team == NULL)
@@ -162,7 +164,7 @@
 
 	t->retry_permille = team->retry_budget_permille;
 	lim_set(t->limit, team->requests_s, entries, now_us());
-	adm_team_set(adm_team(g->adm, t->name), team->weight,
+	adm_workspace_set(adm_workspace(g->adm, t->name), team->weight,
 	    (team->queue + entries - 1) / entries);
 }
 
@@ -206,7 +208,7 @@
 
 	g_hash_table_iter_init(&iter, entry->gatekeeper->teams);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		lim_gone(((struct gate_team *)value)->limit, id);
+		lim_remove(((struct gate_team *)value)->limit, id);
 }
 
 void
@@ -221,7 +223,7 @@
 	name = slice_dup(demand.team);
 	t = find_team(entry->gatekeeper, name);
 	if (t != NULL)
-		lim_told(t->limit, from, demand.demand_milli_s, now_us());
+		lim_reported(t->limit, from, demand.demand_milli_s, now_us());
 	g_free(name);
 }
 
@@ -285,7 +287,7 @@
 		struct gate_team *t = value;
 		struct rt_demand demand = { .team = slice_str(t->name) };
 
-		if (!lim_tell(t->limit, now_us()))
+		if (!lim_report_due(t->limit, now_us()))
 			continue;
 		demand.demand_milli_s = lim_demand(t->limit, now_us());
 		peers_send_all(g->entry, &rt_demand_desc, &demand);
--- a/programs/entry/lead.c
+++ b/programs/entry/lead.c
@@ -139,7 +139,7 @@
 	}
 	rest->failures++;
 	rest->until_us =
-	    clk_now_us(clk_system()) + act_rest_ms(rest->failures) * 1000LL;
+	    clk_now_us(clk_system()) + act_backoff_ms(rest->failures) * 1000LL;
 }
 
 static void
@@ -179,9 +179,9 @@
 is_place(const struct rt_target *t, const struct lead *lead,
     const struct rt_model *model, const GArray *hosts)
 {
-	return t->kind == RT_ENGINE && strcmp(t->team, lead->team) == 0 &&
+	return t->kind == RT_ENGINE && strcmp(t->workspace, lead->team) == 0 &&
 	    rt_model_placed(model, t->pool, t->domain) &&
-	    rt_place_has(hosts, t->side);
+	    rt_place_has(hosts, t->sidecar);
 }
 
 /* Sides tell each change of a version's phase by themselves; the question is
@@ -213,13 +213,13 @@
 
 	return (struct act_target){
 		.reachable = t->reachable,
-		.whole = status != NULL && status->phase == WTS_WHOLE,
+		.complete = status != NULL && status->phase == WTS_WHOLE,
 		.loaded = digest_equal(&t->loaded, root),
 		.empty = digest_is_none(&t->loaded),
-		.ordered_off = t->ordered_off,
-		.order_open = has_order(lead, t),
-		.resting = rests(lead, t),
-		.running = t->told_running,
+		.drain_ordered = t->drain_ordered,
+		.order_pending = has_order(lead, t),
+		.in_backoff = rests(lead, t),
+		.running = t->reported_running,
 	};
 }
 
@@ -232,7 +232,7 @@
 	switch (act_next(rules, &facts)) {
 	case ACT_NONE:
 		break;
-	case ACT_ASK:
+	case ACT_QUERY:
 		ask_status(t->owner, &model->rollout->root);
 		break;
 	case ACT_DRAIN:
@@ -295,7 +295,7 @@
 	unsigned int n = 0;
 
 	TAILQ_FOREACH (t, &lead->entry->targets, link) {
-		if (is_place(t, lead, model, hosts) && t->ordered_off)
+		if (is_place(t, lead, model, hosts) && t->drain_ordered)
 			n++;
 	}
 	return n;
--- a/programs/entry/ops.c
+++ b/programs/entry/ops.c
@@ -259,8 +259,8 @@
 	digest_to_hex(&t->loaded, hex);
 	json_builder_begin_object(b);
 	put_string(b, "target", t->name);
-	put_string(b, "host", t->side);
-	put_string(b, "team", t->team);
+	put_string(b, "host", t->sidecar);
+	put_string(b, "team", t->workspace);
 	put_string(b, "loaded", digest_is_none(&t->loaded) ? "" : hex);
 	json_builder_set_member_name(b, "accepting");
 	json_builder_add_boolean_value(b, t->accepting);
@@ -362,7 +362,8 @@
 	json_builder_set_member_name(b, "hosts");
 	json_builder_begin_array(b);
 	TAILQ_FOREACH (t, &entry->targets, link) {
-		if (t->kind != RT_ENGINE || strcmp(t->team, team->name) != 0 ||
+		if (t->kind != RT_ENGINE ||
+		    strcmp(t->workspace, team->name) != 0 ||
 		    !rt_model_placed(model, t->pool, t->domain))
 			continue;
 		places++;
--- a/programs/entry/request.c
+++ b/programs/entry/request.c
@@ -41,7 +41,7 @@
 static void
 heard(struct request *r)
 {
-	rt_target_heard(
+	rt_target_responded(
 	    r->target, !r->heard, r->sent_us, clk_now_us(clk_system()));
 	r->heard = true;
 }
@@ -101,9 +101,9 @@
 	const struct rt_service *service =
 	    team == NULL ? NULL : rt_team_service(team, r->service);
 	struct digest roots[VERSIONS_MAX];
-	struct rt_wish wish = {
+	struct rt_criteria wish = {
 		.kind = r->model[0] != '\0' ? RT_ENGINE : RT_SERVICE,
-		.team = r->team,
+		.workspace = r->team,
 		.service = r->service,
 		.roots = roots,
 		.domain = cfg_str(r->entry->proc.cfg, "node.domain"),
@@ -123,7 +123,8 @@
 		    hash64(0, r->id, strlen(r->id)), roots, &wish.ranked);
 	target = rt_choose(r->entry->fleet, &wish, now_us, &r->entry->rng);
 	if (target == NULL)
-		*rest_ends_us = rt_rest_ends_us(r->entry->fleet, &wish, now_us);
+		*rest_ends_us =
+		    rt_backoff_ends_us(r->entry->fleet, &wish, now_us);
 	return target;
 }
 
@@ -260,7 +261,7 @@
 	    : g_strdup("application/octet-stream");
 	g_free(headers);
 	g_byte_array_set_size(r->held, 0);
-	adm_head(&r->ticket, clk_now_us(clk_system()));
+	adm_first_byte(&r->ticket, clk_now_us(clk_system()));
 	if (r->streamed)
 		request_take(r, ATT_HEAD);
 }
@@ -422,7 +423,7 @@
 static void
 offer(struct request *r, unsigned int tokens)
 {
-	struct adm_lane *lane =
+	struct adm_queue *lane =
 	    gatekeeper_lane(r->entry, r->team, r->model, r->service);
 	int64_t now_us = clk_now_us(clk_system());
 
@@ -430,8 +431,8 @@
 	r->ticket.cost = tokens;
 	r->ticket.deadline_us = r->deadline_us;
 	if (r->streamed)
-		r->ticket.goal_us = now_us + FIRST_TOKEN_GOAL_US;
-	switch (adm_offer(lane, &r->ticket, now_us, &r->last)) {
+		r->ticket.first_byte_by_us = now_us + FIRST_TOKEN_GOAL_US;
+	switch (adm_submit(lane, &r->ticket, now_us, &r->last)) {
 	case ADM_STARTED:
 		request_take(r, ATT_START);
 		break;
@@ -455,7 +456,7 @@
 	else if (r->ticket.state == ADM_STARTED)
 		adm_done(&r->ticket, ADM_OTHER, now_us);
 	else if (r->ticket.state == ADM_WAITING)
-		adm_leave(&r->ticket, now_us);
+		adm_cancel(&r->ticket, now_us);
 }
 
 /* ------------------------------------------------------------------ */
--- a/programs/entry/sides.c
+++ b/programs/entry/sides.c
@@ -60,23 +60,24 @@
 	if (t == NULL) {
 		t = g_new0(struct rt_target, 1);
 		t->owner = side;
-		g_strlcpy(t->side, side->id, sizeof(t->side));
+		g_strlcpy(t->sidecar, side->id, sizeof(t->sidecar));
 		g_strlcpy(t->domain, side->domain, sizeof(t->domain));
 		g_strlcpy(t->name, name, sizeof(t->name));
 		TAILQ_INSERT_TAIL(&side->entry->targets, t, link);
 	}
 	t->kind = (enum rt_target_kind)told.kind;
-	copy_slice(t->team, sizeof(t->team), told.team);
+	copy_slice(t->workspace, sizeof(t->workspace), told.team);
 	copy_slice(t->pool, sizeof(t->pool), told.pool);
 	copy_slice(t->service, sizeof(t->service), told.service);
 	t->loaded = told.loaded;
 	t->slots = (unsigned int)told.slots;
 	t->reachable = true;
-	t->told_accepting = told.accepting != 0;
-	t->ordered_off = told.ordered_off != 0;
-	t->accepting = t->told_accepting && !is_leaving(side);
+	t->reported_accepting = told.accepting != 0;
+	t->drain_ordered = told.ordered_off != 0;
+	t->accepting = t->reported_accepting && !is_leaving(side);
 	rt_fleet_update(side->entry->fleet, t);
-	rt_target_told(t, (unsigned int)told.running, clk_now_us(clk_system()));
+	rt_target_reported(
+	    t, (unsigned int)told.running, clk_now_us(clk_system()));
 	gatekeeper_spoke(side->entry, t);
 	lead_wake(side->entry);
 }
@@ -88,7 +89,7 @@
 	bool accepting;
 
 	TAILQ_FOREACH (t, &entry->targets, link) {
-		accepting = t->told_accepting && !is_leaving(t->owner);
+		accepting = t->reported_accepting && !is_leaving(t->owner);
 		if (accepting == t->accepting)
 			continue;
 		t->accepting = accepting;
@@ -108,7 +109,7 @@
 			continue;
 		/* Requests hold pointers to the targets they tried, so a
 		 * target stays and is only out of reach. */
-		rt_target_lost(side->entry->fleet, t);
+		rt_target_disconnected(side->entry->fleet, t);
 		gatekeeper_spoke(side->entry, t);
 	}
 }
@@ -148,7 +149,7 @@
 	err.retry_after_ms = (unsigned int)end->retry_after_ms;
 	target = request_target(r);
 	/* Told is the load without this request. */
-	rt_target_told(
+	rt_target_reported(
 	    target, (unsigned int)end->running + 1, clk_now_us(clk_system()));
 	request_end(r, &err);
 	gatekeeper_spoke(side->entry, target);
--- a/tests/replay/choice.c
+++ b/tests/replay/choice.c
@@ -44,7 +44,7 @@
 	}
 	g_assert(t != NULL);
 	g_strlcpy(t->domain, "a", sizeof(t->domain));
-	g_strlcpy(t->team, "t", sizeof(t->team));
+	g_strlcpy(t->workspace, "t", sizeof(t->workspace));
 	g_strlcpy(t->pool, "p", sizeof(t->pool));
 	version_digest(value_of(step, "version", "v1"), &t->loaded);
 	t->reachable = !has_flag(step, "cut_off");
@@ -61,9 +61,9 @@
 	char **names = g_strsplit(value_of(step, "versions", "v1"), ",", 4);
 	bool came[TARGETS] = { false }, nobody = false;
 	struct digest roots[4];
-	struct rt_wish wish = {
+	struct rt_criteria wish = {
 		.kind = RT_ENGINE,
-		.team = "t",
+		.workspace = "t",
 		.pool = "p",
 		.service = "",
 		.roots = roots,
@@ -110,13 +110,14 @@
 	} else if (t == NULL) {
 		bad_input(step, "no such input or target");
 	} else if (is_word(step, 0, "told")) {
-		rt_target_told(t, number_of(step, "running", 0), step->now_us);
+		rt_target_reported(
+		    t, number_of(step, "running", 0), step->now_us);
 	} else if (is_word(step, 0, "sent")) {
 		rt_target_sent(t, step->now_us);
 	} else if (is_word(step, 0, "refused")) {
 		rt_target_ended(t, &refused, step->now_us);
 	} else if (is_word(step, 0, "lost")) {
-		rt_target_lost(s->fleet, t);
+		rt_target_disconnected(s->fleet, t);
 	} else {
 		bad_input(step, "no such input");
 	}
@@ -148,7 +149,7 @@
 
 static const char *const step_names[] = {
 	[ACT_NONE] = "none",
-	[ACT_ASK] = "ask",
+	[ACT_QUERY] = "ask",
 	[ACT_DRAIN] = "drain",
 	[ACT_LOAD] = "load",
 	[ACT_ADMIT] = "admit",
@@ -164,12 +165,12 @@
 	};
 	struct act_target target = {
 		.reachable = !has_flag(step, "cut_off"),
-		.whole = has_flag(step, "whole"),
+		.complete = has_flag(step, "whole"),
 		.loaded = has_flag(step, "loaded"),
 		.empty = has_flag(step, "empty"),
-		.ordered_off = has_flag(step, "ordered_off"),
-		.order_open = has_flag(step, "order_open"),
-		.resting = has_flag(step, "resting"),
+		.drain_ordered = has_flag(step, "ordered_off"),
+		.order_pending = has_flag(step, "order_open"),
+		.in_backoff = has_flag(step, "resting"),
 		.running = number_of(step, "running", 0),
 	};
 
--- a/tests/route/test_activate.c
+++ b/tests/route/test_activate.c
@@ -17,12 +17,12 @@
 {
 	struct act_target t = { .reachable = true, .running = 5 };
 
-	assert_int_equal(act_next(&roomy, &t), ACT_ASK);
-	t.whole = true;
+	assert_int_equal(act_next(&roomy, &t), ACT_QUERY);
+	t.complete = true;
 	assert_int_equal(act_next(&roomy, &t), ACT_LOAD);
-	t.order_open = true;
+	t.order_pending = true;
 	assert_int_equal(act_next(&roomy, &t), ACT_NONE);
-	t.order_open = false;
+	t.order_pending = false;
 	t.loaded = true;
 	assert_int_equal(act_next(&roomy, &t), ACT_NONE);
 }
@@ -35,17 +35,17 @@
 test_drained_first_without_room(void **state)
 {
 	struct act_target t = {
-		.reachable = true, .whole = true, .running = 2
+		.reachable = true, .complete = true, .running = 2
 	};
 
 	assert_int_equal(act_next(&tight, &t), ACT_DRAIN);
-	t.ordered_off = true;
+	t.drain_ordered = true;
 	assert_int_equal(act_next(&taken, &t), ACT_NONE);
 	t.running = 0;
 	assert_int_equal(act_next(&taken, &t), ACT_LOAD);
 	t.loaded = true;
 	assert_int_equal(act_next(&taken, &t), ACT_ADMIT);
-	t.ordered_off = false;
+	t.drain_ordered = false;
 	assert_int_equal(act_next(&tight, &t), ACT_NONE);
 }
 
@@ -54,7 +54,7 @@
 test_empty_engine_is_loaded_at_once(void **state)
 {
 	struct act_target t = {
-		.reachable = true, .whole = true, .empty = true
+		.reachable = true, .complete = true, .empty = true
 	};
 
 	assert_int_equal(act_next(&taken, &t), ACT_LOAD);
@@ -65,7 +65,7 @@
 static void
 test_no_more_than_max_unavailable(void **state)
 {
-	struct act_target t = { .reachable = true, .whole = true };
+	struct act_target t = { .reachable = true, .complete = true };
 
 	assert_int_equal(act_next(&taken, &t), ACT_NONE);
 	assert_int_equal(act_next(&tight, &t), ACT_DRAIN);
@@ -77,17 +77,17 @@
 test_failed_load_goes_back_to_work(void **state)
 {
 	struct act_target t = { .reachable = true,
-		.whole = true,
-		.ordered_off = true,
-		.resting = true };
+		.complete = true,
+		.drain_ordered = true,
+		.in_backoff = true };
 
 	assert_int_equal(act_next(&taken, &t), ACT_ADMIT);
-	t.ordered_off = false;
+	t.drain_ordered = false;
 	assert_int_equal(act_next(&tight, &t), ACT_NONE);
-	t.resting = false;
+	t.in_backoff = false;
 	assert_int_equal(act_next(&tight, &t), ACT_DRAIN);
-	assert_true(act_rest_ms(1) < act_rest_ms(2));
-	assert_int_equal(act_rest_ms(20), act_rest_ms(30));
+	assert_true(act_backoff_ms(1) < act_backoff_ms(2));
+	assert_int_equal(act_backoff_ms(20), act_backoff_ms(30));
 }
 
 /* The side restarted empty after the drain: the version is not whole any
@@ -95,7 +95,7 @@
 static void
 test_not_kept_off_for_nothing(void **state)
 {
-	struct act_target t = { .reachable = true, .ordered_off = true };
+	struct act_target t = { .reachable = true, .drain_ordered = true };
 
 	assert_int_equal(act_next(&taken, &t), ACT_ADMIT);
 }
--- a/tests/route/test_admit.c
+++ b/tests/route/test_admit.c
@@ -14,7 +14,7 @@
 
 struct gate {
 	struct adm *adm;
-	struct adm_lane *lane;
+	struct adm_queue *lane;
 	int64_t now_us;
 	unsigned int started, refused;
 	struct adm_ticket *last; /* started by the queue */
@@ -55,20 +55,20 @@
 {
 	const struct adm_load told = { slots, running, entries };
 
-	adm_lane_load(g->lane, &told, g->now_us);
+	adm_queue_load(g->lane, &told, g->now_us);
 }
 
 static struct gate *
 open_gate(unsigned int slots)
 {
 	struct gate *g = g_new0(struct gate, 1);
-	struct adm_team *team;
+	struct adm_workspace *team;
 
 	g->now_us = 1000 * MS;
 	g->adm = adm_new(1000, &ops, g);
-	team = adm_team(g->adm, "t");
-	adm_team_set(team, 100, 100);
-	g->lane = adm_lane(team, "p");
+	team = adm_workspace(g->adm, "t");
+	adm_workspace_set(team, 100, 100);
+	g->lane = adm_queue(team, "p");
 	load(g, slots, 0, 1);
 	return g;
 }
@@ -79,7 +79,7 @@
 	size_t i;
 
 	for (i = 0; i < TICKETS; i++)
-		adm_leave(&g->ticket[i], g->now_us);
+		adm_cancel(&g->ticket[i], g->now_us);
 	adm_free(g->adm);
 	g_free(g);
 }
@@ -91,10 +91,10 @@
 	struct adm_ticket *t = &g->ticket[i];
 
 	t->priority = priority;
-	t->goal_us = goal_ms == 0 ? 0 : g->now_us + goal_ms * MS;
+	t->first_byte_by_us = goal_ms == 0 ? 0 : g->now_us + goal_ms * MS;
 	t->deadline_us = g->now_us + deadline_ms * MS;
 	memset(&g->err, 0, sizeof(g->err));
-	return adm_offer(g->lane, t, g->now_us, &g->err);
+	return adm_submit(g->lane, t, g->now_us, &g->err);
 }
 
 static enum adm_state
@@ -119,7 +119,7 @@
 	assert_true(g->err.retry_after_ms > 0);
 	adm_done(&g->ticket[1], ADM_ANSWERED, g->now_us);
 	assert_ptr_equal(g->last, &g->ticket[2]);
-	adm_leave(&g->ticket[3], g->now_us);
+	adm_cancel(&g->ticket[3], g->now_us);
 	adm_done(&g->ticket[0], ADM_ANSWERED, g->now_us);
 	assert_ptr_equal(g->last, &g->ticket[4]);
 	assert_int_equal(g->started, 2);
@@ -171,13 +171,13 @@
     enum adm_outcome outcome)
 {
 	struct gate *g = open_gate(1000);
-	struct adm_team *second = adm_team(g->adm, "u");
-	struct adm_lane *lane[2] = { g->lane, adm_lane(second, "p") };
+	struct adm_workspace *second = adm_workspace(g->adm, "u");
+	struct adm_queue *lane[2] = { g->lane, adm_queue(second, "p") };
 	const struct adm_load told = { 1000, 0, 1 };
 	unsigned int got[2] = { 0 }, i, n;
 
-	adm_team_set(second, weight, 1000);
-	adm_lane_load(lane[1], &told, g->now_us);
+	adm_workspace_set(second, weight, 1000);
+	adm_queue_load(lane[1], &told, g->now_us);
 	adm_set_capacity(g->adm, 1, g->now_us);
 	g->last = &g->ticket[0];
 	for (i = 0; i < TICKETS; i++) {
@@ -185,12 +185,12 @@
 
 		t->deadline_us = g->now_us + FAR;
 		if (i < 2) {
-			adm_offer(lane[i], t, g->now_us, NULL);
+			adm_submit(lane[i], t, g->now_us, NULL);
 			continue;
 		}
-		n = g->last->lane == lane[1];
+		n = g->last->queue == lane[1];
 		got[n]++;
-		adm_offer(lane[n], t, g->now_us, NULL);
+		adm_submit(lane[n], t, g->now_us, NULL);
 		g->now_us += answer_ms[n] * MS;
 		adm_done(g->last, outcome, g->now_us);
 	}
@@ -217,12 +217,12 @@
 test_idle_share_is_not_saved(void **state)
 {
 	struct gate *g = open_gate(1000);
-	struct adm_lane *other = adm_lane(adm_team(g->adm, "u"), "p");
+	struct adm_queue *other = adm_queue(adm_workspace(g->adm, "u"), "p");
 	const struct adm_load told = { 1000, 0, 1 };
 	unsigned int i, own = 0;
 
-	adm_team_set(adm_team(g->adm, "u"), 100, 1000);
-	adm_lane_load(other, &told, g->now_us);
+	adm_workspace_set(adm_workspace(g->adm, "u"), 100, 1000);
+	adm_queue_load(other, &told, g->now_us);
 	adm_set_capacity(g->adm, 1, g->now_us);
 	for (i = 0; i < 50; i++) {
 		offer_plain(g, i);
@@ -233,11 +233,11 @@
 	for (i = 1; i <= 40; i++) {
 		offer_plain(g, i);
 		g->ticket[100 + i].deadline_us = g->now_us + FAR;
-		adm_offer(other, &g->ticket[100 + i], g->now_us, NULL);
+		adm_submit(other, &g->ticket[100 + i], g->now_us, NULL);
 	}
 	g->last = &g->ticket[0];
 	for (i = 0; i < 40; i++) {
-		own += g->last->lane == g->lane ? 1 : 0;
+		own += g->last->queue == g->lane ? 1 : 0;
 		g->now_us += 10 * MS;
 		adm_done(g->last, ADM_ANSWERED, g->now_us);
 	}
@@ -261,7 +261,7 @@
 			if (ticket->state != ADM_STARTED ||
 			    g->now_us - ticket->started_us < 100 * MS)
 				continue;
-			adm_head(ticket, g->now_us - 50 * MS);
+			adm_first_byte(ticket, g->now_us - 50 * MS);
 			adm_done(ticket, ADM_ANSWERED, g->now_us);
 			offer_plain(g, i);
 		}
@@ -272,10 +272,10 @@
 test_early_refusal(void **state)
 {
 	struct gate *g = open_gate(4);
-	struct adm_lane_stats stats;
+	struct adm_queue_stats stats;
 
 	run_busy(g, 4, 2000);
-	adm_lane_stats(g->lane, g->now_us, &stats);
+	adm_queue_stats(g->lane, g->now_us, &stats);
 	assert_in_range(stats.drain_milli_s, 36000, 44000);
 	assert_in_range(stats.unit_us, 90 * MS, 110 * MS);
 	/* Eight wait: a new one starts in 225 ms, ends in 325 ms. */
@@ -297,7 +297,7 @@
 test_cost(void **state)
 {
 	struct gate *g = open_gate(4);
-	struct adm_lane_stats stats;
+	struct adm_queue_stats stats;
 	unsigned int i;
 
 	run_busy(g, 4, 2000); /* 40 of cost 1 a second, 8 wait */
@@ -314,7 +314,7 @@
 	offer_plain(g, 0);
 	g->now_us += 1000 * MS;
 	adm_done(&g->ticket[0], ADM_ANSWERED, g->now_us);
-	adm_lane_stats(g->lane, g->now_us, &stats);
+	adm_queue_stats(g->lane, g->now_us, &stats);
 	assert_int_equal(stats.unit_us, 100 * MS);
 	close_gate(g);
 }
@@ -431,7 +431,7 @@
 test_refusals_by_targets(void **state)
 {
 	struct gate *g = open_gate(100);
-	struct adm_lane_stats stats;
+	struct adm_queue_stats stats;
 	unsigned int i;
 
 	offer_plain(g, 0);
@@ -439,13 +439,13 @@
 		g->now_us += 20 * MS;
 		adm_overloaded(&g->ticket[0], g->now_us);
 	}
-	adm_lane_stats(g->lane, g->now_us, &stats);
+	adm_queue_stats(g->lane, g->now_us, &stats);
 	assert_in_range(stats.limit, 30, 45);
 	for (i = 0; i < 100; i++) {
 		g->now_us += 20 * MS;
 		adm_expire(g->adm, g->now_us);
 	}
-	adm_lane_stats(g->lane, g->now_us, &stats);
+	adm_queue_stats(g->lane, g->now_us, &stats);
 	assert_int_equal(stats.limit, 100);
 	close_gate(g);
 }
--- a/tests/route/test_choose.c
+++ b/tests/route/test_choose.c
@@ -16,7 +16,7 @@
 	struct rt_target target[MANY];
 	struct digest roots[2];
 	struct rng rng;
-	struct rt_wish wish;
+	struct rt_criteria wish;
 	int64_t now_us;
 };
 
@@ -34,7 +34,7 @@
 	for (i = 0; i < n; i++) {
 		b->target[i] = (struct rt_target){
 			.domain = "a",
-			.team = "t",
+			.workspace = "t",
 			.pool = "p",
 			.loaded = b->roots[0],
 			.reachable = true,
@@ -43,9 +43,9 @@
 		};
 		rt_fleet_update(b->fleet, &b->target[i]);
 	}
-	b->wish = (struct rt_wish){
+	b->wish = (struct rt_criteria){
 		.kind = RT_ENGINE,
-		.team = "t",
+		.workspace = "t",
 		.pool = "p",
 		.service = "",
 		.roots = b->roots,
@@ -86,7 +86,7 @@
 static void
 told(struct bed *b, int i, unsigned int running)
 {
-	rt_target_told(&b->target[i], running, b->now_us);
+	rt_target_reported(&b->target[i], running, b->now_us);
 }
 
 static void
@@ -128,7 +128,7 @@
 			b.wish.ntried = 1;
 			break;
 		case 5:
-			b.wish.team = "u";
+			b.wish.workspace = "u";
 			break;
 		case 6:
 			b.wish.pool = "q";
@@ -137,12 +137,13 @@
 			b.wish.kind = RT_SERVICE;
 			break;
 		case 8:
-			rt_target_lost(b.fleet, &b.target[0]);
+			rt_target_disconnected(b.fleet, &b.target[0]);
 			break;
 		}
 		rt_fleet_update(b.fleet, &b.target[0]);
 		assert_int_equal(choose(&b), -1);
-		assert_false(rt_may_use(&b.target[0], &b.wish, b.now_us));
+		assert_false(
+		    rt_target_eligible(&b.target[0], &b.wish, b.now_us));
 		rt_fleet_free(b.fleet);
 	}
 }
@@ -182,8 +183,8 @@
 	ended(&b, 0, ERR_OVERLOADED);
 	ended(&b, 1, ERR_OVERLOADED);
 	assert_always(&b, 2);
-	assert_int_equal(rt_rest_ends_us(b.fleet, &b.wish, b.now_us),
-	    b.target[0].resting_until_us);
+	assert_int_equal(rt_backoff_ends_us(b.fleet, &b.wish, b.now_us),
+	    b.target[0].backoff_until_us);
 	rt_fleet_free(b.fleet);
 }
 
@@ -275,7 +276,7 @@
 	for (i = 0; i < 12; i++) {
 		ended(&b, 0, ERR_OVERLOADED);
 		ended(&b, 0, ERR_OVERLOADED); /* at once: counts once */
-		rest = t->resting_until_us - b.now_us;
+		rest = t->backoff_until_us - b.now_us;
 		assert_true(rest > before || rest == 2000 * MS);
 		assert_true(before == 0 || rest <= 2 * before);
 		assert_int_equal(choose(&b), -1);
@@ -287,7 +288,7 @@
 	ended(&b, 0, ERR_CANCELLED);
 	assert_int_equal(choose(&b), 0);
 	ended(&b, 0, ERR_OVERLOADED);
-	assert_true(t->resting_until_us - b.now_us < 100 * MS);
+	assert_true(t->backoff_until_us - b.now_us < 100 * MS);
 	rt_fleet_free(b.fleet);
 }
 
@@ -307,14 +308,14 @@
 	make(&b, 3);
 	for (i = 0; i < 3; i++) {
 		rt_target_sent(&b.target[i], b.now_us);
-		rt_target_heard(
+		rt_target_responded(
 		    &b.target[i], true, b.now_us - 20 * MS, b.now_us);
 		rt_target_ended(&b.target[i], &none, b.now_us);
 	}
 	for (i = 0; i < 3; i++)
 		rt_target_sent(&b.target[i], b.now_us);
-	rt_target_heard(&b.target[0], false, 0, b.now_us);
-	rt_target_heard(&b.target[2], false, 0, b.now_us);
+	rt_target_responded(&b.target[0], false, 0, b.now_us);
+	rt_target_responded(&b.target[2], false, 0, b.now_us);
 	b.now_us += 400 * MS;
 	assert_true(share(&b, 1) > 0);
 	b.now_us += 600 * MS;
@@ -325,7 +326,7 @@
 	rt_target_sent(&b.target[1], b.now_us);
 	b.now_us += 1000 * MS;
 	assert_int_equal(share(&b, 1), 0);
-	rt_target_heard(&b.target[1], false, 0, b.now_us);
+	rt_target_responded(&b.target[1], false, 0, b.now_us);
 	assert_true(share(&b, 1) > 0);
 	/* All silent: better than none. */
 	for (i = 0; i < 3; i++)
@@ -463,7 +464,7 @@
 		services += strstr(net->side[i].info, "notes") != NULL;
 		per_side[i]++;
 	}
-	assert_true(services >= RT_SUBSET_SIDES);
+	assert_true(services >= RT_SUBSET_SIDECARS);
 	return wanted;
 }
 
@@ -480,12 +481,13 @@
 	memset(per_side, 0, sizeof(per_side));
 	for (i = 0; i < ENTRIES; i++)
 		assert_in_range(subset(net, i, ENTRIES, per_side),
-		    RT_SUBSET_SIDES, SIDES * RT_SUBSET_ENTRIES * 2 / ENTRIES);
+		    RT_SUBSET_SIDECARS,
+		    SIDES * RT_SUBSET_GATEWAYS * 2 / ENTRIES);
 	for (i = 0; i < SIDES; i++)
-		assert_in_range(per_side[i], RT_SUBSET_ENTRIES,
+		assert_in_range(per_side[i], RT_SUBSET_GATEWAYS,
 		    strstr(net->side[i].info, "notes") != NULL
 			? ENTRIES /* there are few of these */
-			: RT_SUBSET_ENTRIES * 5 / 4);
+			: RT_SUBSET_GATEWAYS * 5 / 4);
 	/* An entry goes: the others keep what they had. */
 	before = subset(net, 0, ENTRIES, per_side);
 	for (i = 0; i < SIDES; i++)
--- a/tests/route/test_limit.c
+++ b/tests/route/test_limit.c
@@ -51,11 +51,11 @@
 	unsigned int i, j;
 
 	for (i = 0; i < ENTRIES; i++) {
-		if (!lim_tell(f->lim[i], f->now_us) || f->cut_off)
+		if (!lim_report_due(f->lim[i], f->now_us) || f->cut_off)
 			continue;
 		for (j = 0; j < ENTRIES; j++) {
 			if (j != i)
-				lim_told(f->lim[j], names[i],
+				lim_reported(f->lim[j], names[i],
 				    lim_demand(f->lim[i], f->now_us),
 				    f->now_us + DELAY_MS * MS);
 		}
@@ -139,7 +139,7 @@
 {
 	static const unsigned int *const before[] = { one, none };
 	const unsigned int extra_ms =
-	    LIM_TELL_LEAST_MS + LIM_WINDOW_MS + DELAY_MS + STEP_MS;
+	    LIM_REPORT_MIN_MS + LIM_WINDOW_MS + DELAY_MS + STEP_MS;
 	const unsigned int bound =
 	    LIMIT * (ENTRIES - 1) / ENTRIES * extra_ms / 1000 +
 	    LIMIT * LIM_BURST_MS / 1000;
@@ -218,17 +218,17 @@
 	unsigned int i;
 
 	lim_set(lim, 100, 2, 1000 * MS);
-	assert_true(lim_tell(lim, 1000 * MS));
-	assert_false(lim_tell(lim, 1400 * MS));
-	assert_true(lim_tell(lim, 1500 * MS));
+	assert_true(lim_report_due(lim, 1000 * MS));
+	assert_false(lim_report_due(lim, 1400 * MS));
+	assert_true(lim_report_due(lim, 1500 * MS));
 	for (i = 0; i < 50; i++)
 		lim_take(lim, 1510 * MS, NULL);
-	assert_false(lim_tell(lim, 1520 * MS));
-	assert_true(lim_tell(lim, 1600 * MS)); /* it rose */
+	assert_false(lim_report_due(lim, 1520 * MS));
+	assert_true(lim_report_due(lim, 1600 * MS)); /* it rose */
 	assert_int_equal(lim_demand(lim, 1600 * MS), 100000);
 	assert_int_equal(lim_demand(lim, 2600 * MS), 0);
-	assert_int_equal(lim_tell_ms(4), LIM_TELL_PERIOD_MS);
-	assert_int_equal(lim_tell_ms(320), 20 * LIM_TELL_PERIOD_MS);
+	assert_int_equal(lim_report_ms(4), LIM_REPORT_PERIOD_MS);
+	assert_int_equal(lim_report_ms(320), 20 * LIM_REPORT_PERIOD_MS);
 	lim_free(lim);
 }
 
@@ -252,7 +252,7 @@
 			retries++;
 		}
 	}
-	assert_in_range(retries, 1900, 2000 + 3 * BUD_FLOOR);
+	assert_in_range(retries, 1900, 2000 + 3 * BUD_MIN_RETRIES);
 }
 
 static void
@@ -263,7 +263,7 @@
 	unsigned int i;
 
 	assert_false(bud_has_room(&bud, 0, now_us));
-	for (i = 0; i < BUD_FLOOR; i++) {
+	for (i = 0; i < BUD_MIN_RETRIES; i++) {
 		assert_true(bud_has_room(&bud, 100, now_us));
 		bud_retry(&bud, now_us);
 	}
