--- a/lib/route/budget.c
+++ b/lib/route/budget.c
@@ -1,11 +1,11 @@
-/* Retries held to a part of the requests. */
+/* Retry budget: retries limited to a share of the requests. */
 
 #include "route/limit.h"
 
 /*
- * When most targets fail, each request would come back as several, and the
- * targets that are left would drown in retries. Held to a part of the requests,
- * retries add no more than that part to the load.
+ * When most targets fail, each request would cause several attempts, and the
+ * retries would overload the remaining targets. With the budget, retries add no
+ * more than the given share to the load.
  */
 static struct spend_conf
 conf_of(unsigned int permille)
--- a/lib/route/limit.c
+++ b/lib/route/limit.c
@@ -1,4 +1,4 @@
-/* A team's requests a second over all entries. */
+/* Rate limit of a workspace over all gateways. */
 
 #include <string.h>
 
@@ -7,27 +7,30 @@
 #define SLOT_MS 50
 #define SLOTS (LIM_WINDOW_MS / SLOT_MS)
 #define MILLI 1000
-#define HEARD_PERIODS 3 /* silent for longer: taken to need its whole part */
-/* A rise by this share of the even part is told at once. */
+/* A gateway without a report for this many periods is assumed to need its even
+ * share. */
+#define STALE_PERIODS 3
+/* A rise by this percentage of the even share is reported at once. */
 #define RISE_PCT 10
-#define ENTRIES_AT_LEAST_PERIOD 16
+#define GATEWAYS_AT_MIN_PERIOD 16
 
-struct lim_other {
+struct lim_peer {
 	uint64_t demand;
-	int64_t told_us;
+	int64_t reported_us;
 };
 
 struct lim {
 	unsigned int requests_s;
-	unsigned int entries;
-	GHashTable *others; /* entry id -> struct lim_other */
-	unsigned int asked[SLOTS]; /* a ring */
+	unsigned int gateways;
+	GHashTable *peers; /* gateway id -> struct lim_peer */
+	unsigned int offered[SLOTS]; /* requests per slot, a ring buffer */
 	int64_t slot_number; /* of the newest slot */
-	uint64_t part; /* thousandths of a request a second */
-	uint64_t tokens; /* millionths, so that low rates do not round away */
+	uint64_t share; /* thousandths of a request per second */
+	/* Millionths of a request, so that low rates are not rounded to 0. */
+	uint64_t tokens;
 	int64_t filled_us;
-	uint64_t told_demand;
-	int64_t told_us;
+	uint64_t reported_demand;
+	int64_t reported_us;
 };
 
 #define TOKEN G_USEC_PER_SEC
@@ -37,8 +40,8 @@
 {
 	struct lim *lim = g_new0(struct lim, 1);
 
-	lim->entries = 1;
-	lim->others =
+	lim->gateways = 1;
+	lim->peers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	lim->filled_us = now_us;
 	lim->slot_number = now_us / (SLOT_MS * 1000);
@@ -50,7 +53,7 @@
 {
 	if (lim == NULL)
 		return;
-	g_hash_table_unref(lim->others);
+	g_hash_table_unref(lim->peers);
 	g_free(lim);
 }
 
@@ -59,16 +62,16 @@
 /* ------------------------------------------------------------------ */
 
 static void
-turn_slots(struct lim *lim, int64_t now_us)
+advance_slots(struct lim *lim, int64_t now_us)
 {
 	int64_t number = now_us / (SLOT_MS * 1000);
 
 	if (number - lim->slot_number >= SLOTS) {
-		memset(lim->asked, 0, sizeof(lim->asked));
+		memset(lim->offered, 0, sizeof(lim->offered));
 		lim->slot_number = number;
 	}
 	while (lim->slot_number < number)
-		lim->asked[++lim->slot_number % SLOTS] = 0;
+		lim->offered[++lim->slot_number % SLOTS] = 0;
 }
 
 uint64_t
@@ -79,140 +82,141 @@
 	uint64_t sum = 0;
 
 	for (; i <= lim->slot_number; i++)
-		sum += lim->asked[i % SLOTS];
+		sum += lim->offered[i % SLOTS];
 	return sum * MILLI * 1000 / LIM_WINDOW_MS;
 }
 
 /* ------------------------------------------------------------------ */
-/* The part of the limit                                               */
+/* Share of the limit                                                  */
 /* ------------------------------------------------------------------ */
 
 unsigned int
-lim_report_ms(unsigned int entries)
+lim_report_ms(unsigned int gateways)
 {
 	unsigned int times =
-	    (entries + ENTRIES_AT_LEAST_PERIOD - 1) / ENTRIES_AT_LEAST_PERIOD;
+	    (gateways + GATEWAYS_AT_MIN_PERIOD - 1) / GATEWAYS_AT_MIN_PERIOD;
 
 	return LIM_REPORT_PERIOD_MS * MAX(times, 1);
 }
 
-/* Demands of the others that count: how many are below `level` and their
- * sum, with the silent ones as asking for their whole part. */
+/* Sum and number of the demands of other gateways that are below `level`. Those
+ * without a recent report are not included, so they count as at the level. */
 static uint64_t
 sum_below(
     const struct lim *lim, uint64_t level, unsigned int *n, int64_t now_us)
 {
 	int64_t oldest =
-	    now_us - HEARD_PERIODS * lim_report_ms(lim->entries) * 1000LL;
+	    now_us - STALE_PERIODS * lim_report_ms(lim->gateways) * 1000LL;
 	GHashTableIter iter;
 	gpointer value;
 	uint64_t sum = 0;
 
 	*n = 0;
-	g_hash_table_iter_init(&iter, lim->others);
+	g_hash_table_iter_init(&iter, lim->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct lim_other *other = value;
+		const struct lim_peer *peer = value;
 
-		if (other->told_us < oldest || other->demand >= level)
+		if (peer->reported_us < oldest || peer->demand >= level)
 			continue;
-		sum += other->demand;
+		sum += peer->demand;
 		(*n)++;
 	}
 	return sum;
 }
 
 /*
- * The level up to which demands are met: those below it leave their rest to
- * those above. Raised until no more entries fall below, at most once for each.
+ * Level up to which demands are met (max-min fairness): what gateways below it
+ * do not use is divided among those above. It is raised until no more gateways
+ * fall below it, which happens at most once for each.
  */
 static uint64_t
 level_of(const struct lim *lim, int64_t now_us)
 {
 	uint64_t limit = (uint64_t)lim->requests_s * MILLI, sum, level;
-	unsigned int below = 0, before;
+	unsigned int below = 0, prev;
 
-	level = limit / lim->entries;
+	level = limit / lim->gateways;
 	do {
-		before = below;
+		prev = below;
 		sum = sum_below(lim, level, &below, now_us);
-		below = MIN(below, lim->entries - 1);
+		below = MIN(below, lim->gateways - 1);
 		sum = MIN(sum, limit);
-		level = (limit - sum) / (lim->entries - below);
-	} while (below > before);
+		level = (limit - sum) / (lim->gateways - below);
+	} while (below > prev);
 	return level;
 }
 
 /*
- * What this entry may admit. Where its own demand is met, an equal part of
- * what is over on top: were it all of it, a burst that comes to all entries
- * at once after a quiet time would be let in n-fold.
+ * Rate that this gateway may admit. Where its demand is met, it gets only an
+ * equal share of the surplus on top: with the whole surplus, a burst that
+ * reaches all n gateways at once after an idle period would be admitted n-fold.
  */
 static uint64_t
-part_of(const struct lim *lim, int64_t now_us)
+share_of(const struct lim *lim, int64_t now_us)
 {
-	uint64_t even = (uint64_t)lim->requests_s * MILLI / lim->entries;
+	uint64_t even_share = (uint64_t)lim->requests_s * MILLI / lim->gateways;
 	uint64_t level = level_of(lim, now_us);
 	uint64_t demand = lim_demand(lim, now_us);
 
 	if (demand >= level)
-		return MAX(level, even);
-	return MAX(demand + (level - demand) / lim->entries, even);
+		return MAX(level, even_share);
+	return MAX(demand + (level - demand) / lim->gateways, even_share);
 }
 
 static void
-fill(struct lim *lim, int64_t now_us)
+refill(struct lim *lim, int64_t now_us)
 {
-	uint64_t most = MAX(lim->part * LIM_BURST_MS, TOKEN);
+	uint64_t max_tokens = MAX(lim->share * LIM_BURST_MS, TOKEN);
 
 	lim->tokens +=
-	    lim->part * (uint64_t)MAX(now_us - lim->filled_us, 0) / MILLI;
-	lim->tokens = MIN(lim->tokens, most);
+	    lim->share * (uint64_t)MAX(now_us - lim->filled_us, 0) / MILLI;
+	lim->tokens = MIN(lim->tokens, max_tokens);
 	lim->filled_us = now_us;
 }
 
 static void
-settle(struct lim *lim, int64_t now_us)
+update_share(struct lim *lim, int64_t now_us)
 {
-	fill(lim, now_us);
-	lim->part = part_of(lim, now_us);
+	refill(lim, now_us);
+	lim->share = share_of(lim, now_us);
 }
 
 void
-lim_set(struct lim *lim, unsigned int requests_s, unsigned int entries,
+lim_set(struct lim *lim, unsigned int requests_s, unsigned int gateways,
     int64_t now_us)
 {
 	bool first = lim->requests_s == 0;
 
 	lim->requests_s = requests_s;
-	lim->entries = MAX(entries, 1);
-	settle(lim, now_us);
+	lim->gateways = MAX(gateways, 1);
+	update_share(lim, now_us);
 	if (first)
-		lim->tokens = MAX(lim->part * LIM_BURST_MS, TOKEN);
+		lim->tokens = MAX(lim->share * LIM_BURST_MS, TOKEN);
 }
 
 void
-lim_reported(
-    struct lim *lim, const char *entry, uint64_t demand_milli_s, int64_t now_us)
+lim_reported(struct lim *lim, const char *gateway, uint64_t demand_milli_s,
+    int64_t now_us)
 {
-	struct lim_other *other = g_hash_table_lookup(lim->others, entry);
+	struct lim_peer *peer = g_hash_table_lookup(lim->peers, gateway);
 
-	if (other == NULL) {
-		other = g_new0(struct lim_other, 1);
-		g_hash_table_insert(lim->others, g_strdup(entry), other);
+	if (peer == NULL) {
+		peer = g_new0(struct lim_peer, 1);
+		g_hash_table_insert(lim->peers, g_strdup(gateway), peer);
 	}
-	other->demand = demand_milli_s;
-	other->told_us = now_us;
-	settle(lim, now_us);
+	peer->demand = demand_milli_s;
+	peer->reported_us = now_us;
+	update_share(lim, now_us);
 }
 
 void
-lim_remove(struct lim *lim, const char *entry)
+lim_remove(struct lim *lim, const char *gateway)
 {
-	g_hash_table_remove(lim->others, entry);
+	g_hash_table_remove(lim->peers, gateway);
 }
 
 /* ------------------------------------------------------------------ */
-/* Taking and telling                                                  */
+/* Taking tokens and reporting demand                                  */
 /* ------------------------------------------------------------------ */
 
 bool
@@ -220,22 +224,22 @@
 {
 	uint64_t missing;
 
-	turn_slots(lim, now_us);
-	lim->asked[lim->slot_number % SLOTS]++;
+	advance_slots(lim, now_us);
+	lim->offered[lim->slot_number % SLOTS]++;
 	if (lim->requests_s == 0)
 		return true;
-	fill(lim, now_us);
+	refill(lim, now_us);
 	if (lim->tokens >= TOKEN) {
 		lim->tokens -= TOKEN;
 		return true;
 	}
 	missing = TOKEN - lim->tokens;
 	err_set(err, ERR_OVERLOADED, VERDICT_NOT_RUN,
-	    "the team's limit of %u requests a second is reached",
+	    "the workspace limit of %u requests per second is reached",
 	    lim->requests_s);
 	if (err != NULL)
 		err->retry_after_ms =
-		    (unsigned int)(missing / MAX(lim->part, 1) + 1);
+		    (unsigned int)(missing / MAX(lim->share, 1) + 1);
 	return false;
 }
 
@@ -243,17 +247,18 @@
 lim_report_due(struct lim *lim, int64_t now_us)
 {
 	uint64_t demand = lim_demand(lim, now_us);
-	uint64_t even = (uint64_t)lim->requests_s * MILLI / lim->entries;
-	int64_t since_ms = (now_us - lim->told_us) / 1000;
-	bool risen = demand > lim->told_demand + even * RISE_PCT / 100;
-
-	turn_slots(lim, now_us);
-	/* Others' words grow old without a sound. */
-	settle(lim, now_us);
-	if (lim->told_us != 0 && since_ms < lim_report_ms(lim->entries) &&
+	uint64_t even_share = (uint64_t)lim->requests_s * MILLI / lim->gateways;
+	int64_t since_ms = (now_us - lim->reported_us) / 1000;
+	bool risen =
+	    demand > lim->reported_demand + even_share * RISE_PCT / 100;
+
+	advance_slots(lim, now_us);
+	/* Reports of other gateways expire without an event. */
+	update_share(lim, now_us);
+	if (lim->reported_us != 0 && since_ms < lim_report_ms(lim->gateways) &&
 	    !(risen && since_ms >= LIM_REPORT_MIN_MS))
 		return false;
-	lim->told_demand = demand;
-	lim->told_us = now_us;
+	lim->reported_demand = demand;
+	lim->reported_us = now_us;
 	return true;
 }
