--- a/lib/route/choose.c
+++ b/lib/route/choose.c
@@ -30,12 +30,12 @@
 };
 
 static bool
-was_tried(const struct rt_target *target, const struct rt_criteria *wish)
+was_tried(const struct rt_target *target, const struct rt_criteria *criteria)
 {
 	size_t i;
 
-	for (i = 0; i < wish->ntried; i++) {
-		if (wish->tried[i] == target)
+	for (i = 0; i < criteria->ntried; i++) {
+		if (criteria->tried[i] == target)
 			return true;
 	}
 	return false;
@@ -59,23 +59,23 @@
 }
 
 static bool
-is_usable(const struct rt_target *target, const struct rt_criteria *wish,
+is_usable(const struct rt_target *target, const struct rt_criteria *criteria,
     int64_t now_us)
 {
 	return target->reachable && target->accepting &&
-	    target->backoff_until_us <= now_us && !was_tried(target, wish);
+	    target->backoff_until_us <= now_us && !was_tried(target, criteria);
 }
 
 static bool
 is_allowed_version(
-    const struct rt_target *target, const struct rt_criteria *wish)
+    const struct rt_target *target, const struct rt_criteria *criteria)
 {
 	size_t i;
 
-	if (wish->kind == RT_SERVICE)
+	if (criteria->kind == RT_SERVICE)
 		return true;
-	for (i = 0; i < wish->nroots; i++) {
-		if (digest_equal(&target->loaded, &wish->roots[i]))
+	for (i = 0; i < criteria->nroots; i++) {
+		if (digest_equal(&target->loaded, &criteria->roots[i]))
 			return true;
 	}
 	return false;
@@ -83,18 +83,19 @@
 
 bool
 rt_target_eligible(const struct rt_target *target,
-    const struct rt_criteria *wish, int64_t now_us)
+    const struct rt_criteria *criteria, int64_t now_us)
 {
-	return target->kind == wish->kind &&
-	    strcmp(target->workspace, wish->workspace) == 0 &&
-	    strcmp(target->pool, wish->pool) == 0 &&
-	    strcmp(target->service, wish->service) == 0 &&
-	    is_allowed_version(target, wish) && is_usable(target, wish, now_us);
+	return target->kind == criteria->kind &&
+	    strcmp(target->workspace, criteria->workspace) == 0 &&
+	    strcmp(target->pool, criteria->pool) == 0 &&
+	    strcmp(target->service, criteria->service) == 0 &&
+	    is_allowed_version(target, criteria) &&
+	    is_usable(target, criteria, now_us);
 }
 
 /* Estimated load in permille of the slots. */
 static uint64_t
-load_of(const struct rt_target *target, const struct rt_criteria *wish,
+load_of(const struct rt_target *target, const struct rt_criteria *criteria,
     int64_t now_us)
 {
 	uint64_t running = rt_target_running(target, now_us);
@@ -102,7 +103,7 @@
 
 	if (load >= LOAD_FULL)
 		load *= 2;
-	if (strcmp(target->domain, wish->domain) != 0)
+	if (strcmp(target->domain, criteria->domain) != 0)
 		load += REMOTE_PENALTY;
 	return load;
 }
@@ -113,9 +114,9 @@
 
 static void
 add_group(struct candidates *candidates, struct rt_fleet *fleet,
-    const struct rt_criteria *wish, const struct digest *root)
+    const struct rt_criteria *criteria, const struct digest *root)
 {
-	struct rt_group *group = rt_group_find(fleet, wish, root);
+	struct rt_group *group = rt_group_find(fleet, criteria, root);
 
 	if (group == NULL || candidates->ngroups == ROOTS_MAX)
 		return;
@@ -136,7 +137,7 @@
 /* Scans all candidates; each usable one is equally likely to be among the two
  * that are returned. Stalled targets are included only if `stalled` is set. */
 static size_t
-scan(const struct candidates *candidates, const struct rt_criteria *wish,
+scan(const struct candidates *candidates, const struct rt_criteria *criteria,
     int64_t now_us, struct rng *rng, bool stalled, struct rt_target *out[2])
 {
 	struct rt_target *t;
@@ -145,7 +146,7 @@
 
 	for (i = 0; i < candidates->targets; i++) {
 		t = target_at(candidates, i);
-		if (!is_usable(t, wish, now_us) ||
+		if (!is_usable(t, criteria, now_us) ||
 		    (!stalled && is_stalled(t, now_us)))
 			continue;
 		nusable++;
@@ -157,21 +158,22 @@
 }
 
 static size_t
-draw_two(const struct candidates *candidates, const struct rt_criteria *wish,
-    int64_t now_us, struct rng *rng, struct rt_target *out[2])
+draw_two(const struct candidates *candidates,
+    const struct rt_criteria *criteria, int64_t now_us, struct rng *rng,
+    struct rt_target *out[2])
 {
 	struct rt_target *t;
 	size_t n = 0, i;
 
 	for (i = 0; i < MAX_DRAWS && n < 2 && candidates->targets > 2; i++) {
 		t = target_at(candidates, rng_below(rng, candidates->targets));
-		if (is_usable(t, wish, now_us) && !is_stalled(t, now_us) &&
+		if (is_usable(t, criteria, now_us) && !is_stalled(t, now_us) &&
 		    (n == 0 || out[0] != t))
 			out[n++] = t;
 	}
 	if (n < 2)
-		n = scan(candidates, wish, now_us, rng, false, out);
-	return n > 0 ? n : scan(candidates, wish, now_us, rng, true, out);
+		n = scan(candidates, criteria, now_us, rng, false, out);
+	return n > 0 ? n : scan(candidates, criteria, now_us, rng, true, out);
 }
 
 /* ------------------------------------------------------------------ */
@@ -193,31 +195,31 @@
 
 static struct rt_target *
 choose_in(struct rt_fleet *fleet, const struct candidates *candidates,
-    const struct rt_criteria *wish, int64_t now_us, struct rng *rng)
+    const struct rt_criteria *criteria, int64_t now_us, struct rng *rng)
 {
 	struct rt_target *drawn[2], *holders[PREFIX_HOLDERS], *best = NULL;
-	size_t n = draw_two(candidates, wish, now_us, rng, drawn), nholders = 0,
-	       i;
+	size_t n = draw_two(candidates, criteria, now_us, rng, drawn),
+	       nholders = 0, i;
 	uint64_t load, least = UINT64_MAX;
 
 	if (n == 0)
 		return NULL;
 	for (i = 0; i < n; i++) {
-		load = load_of(drawn[i], wish, now_us) + PREFIX_BONUS;
+		load = load_of(drawn[i], criteria, now_us) + PREFIX_BONUS;
 		if (load < least) {
 			best = drawn[i];
 			least = load;
 		}
 	}
-	if (wish->prefix != 0)
+	if (criteria->prefix != 0)
 		nholders = prefix_map_holders(
-		    fleet->prefixes, wish->prefix, now_us, holders);
+		    fleet->prefixes, criteria->prefix, now_us, holders);
 	for (i = 0; i < nholders; i++) {
 		if (!is_candidate(candidates, holders[i]) ||
-		    !is_usable(holders[i], wish, now_us) ||
+		    !is_usable(holders[i], criteria, now_us) ||
 		    is_stalled(holders[i], now_us))
 			continue;
-		load = load_of(holders[i], wish, now_us);
+		load = load_of(holders[i], criteria, now_us);
 		if (load < least) {
 			best = holders[i];
 			least = load;
@@ -227,39 +229,39 @@
 }
 
 struct rt_target *
-rt_choose(struct rt_fleet *fleet, const struct rt_criteria *wish,
+rt_choose(struct rt_fleet *fleet, const struct rt_criteria *criteria,
     int64_t now_us, struct rng *rng)
 {
 	struct candidates candidates = { .ngroups = 0 };
 	struct rt_target *target = NULL;
 	size_t i;
 
-	if (wish->kind == RT_SERVICE) {
-		add_group(&candidates, fleet, wish, NULL);
-		return choose_in(fleet, &candidates, wish, now_us, rng);
+	if (criteria->kind == RT_SERVICE) {
+		add_group(&candidates, fleet, criteria, NULL);
+		return choose_in(fleet, &candidates, criteria, now_us, rng);
 	}
-	for (i = 0; i < wish->nroots && target == NULL; i++) {
-		add_group(&candidates, fleet, wish, &wish->roots[i]);
-		if (!wish->ranked && i + 1 < wish->nroots)
+	for (i = 0; i < criteria->nroots && target == NULL; i++) {
+		add_group(&candidates, fleet, criteria, &criteria->roots[i]);
+		if (!criteria->ranked && i + 1 < criteria->nroots)
 			continue;
-		target = choose_in(fleet, &candidates, wish, now_us, rng);
+		target = choose_in(fleet, &candidates, criteria, now_us, rng);
 	}
 	return target;
 }
 
 int64_t
 rt_backoff_ends_us(
-    struct rt_fleet *fleet, const struct rt_criteria *wish, int64_t now_us)
+    struct rt_fleet *fleet, const struct rt_criteria *criteria, int64_t now_us)
 {
 	struct candidates candidates = { .ngroups = 0 };
 	const struct rt_target *t;
 	int64_t first = 0;
 	size_t i;
 
-	if (wish->kind == RT_SERVICE)
-		add_group(&candidates, fleet, wish, NULL);
-	for (i = 0; wish->kind == RT_ENGINE && i < wish->nroots; i++)
-		add_group(&candidates, fleet, wish, &wish->roots[i]);
+	if (criteria->kind == RT_SERVICE)
+		add_group(&candidates, fleet, criteria, NULL);
+	for (i = 0; criteria->kind == RT_ENGINE && i < criteria->nroots; i++)
+		add_group(&candidates, fleet, criteria, &criteria->roots[i]);
 	for (i = 0; i < candidates.targets; i++) {
 		t = target_at(&candidates, i);
 		if (!t->reachable || !t->accepting ||
--- a/lib/route/fleet.c
+++ b/lib/route/fleet.c
@@ -65,7 +65,7 @@
 }
 
 static void
-make_key(char out[KEY_MAX], enum rt_target_kind kind, const char *team,
+make_key(char out[KEY_MAX], enum rt_target_kind kind, const char *workspace,
     const char *pool, const char *service, const struct digest *root)
 {
 	char hex[DIGEST_HEX] = "", *at = out;
@@ -73,24 +73,24 @@
 	if (kind == RT_ENGINE)
 		digest_to_hex(root, hex);
 	*at++ = kind == RT_ENGINE ? 'e' : 's';
-	append_field(&at, team);
+	append_field(&at, workspace);
 	append_field(&at, pool);
 	append_field(&at, service);
 	strcpy(at, hex);
 }
 
 struct rt_group *
-rt_group_find(struct rt_fleet *fleet, const struct rt_criteria *wish,
+rt_group_find(struct rt_fleet *fleet, const struct rt_criteria *criteria,
     const struct digest *root)
 {
 	char key[KEY_MAX];
 
-	if (strlen(wish->workspace) > RT_NAME_MAX ||
-	    strlen(wish->pool) > RT_NAME_MAX ||
-	    strlen(wish->service) > RT_NAME_MAX)
+	if (strlen(criteria->workspace) > RT_NAME_MAX ||
+	    strlen(criteria->pool) > RT_NAME_MAX ||
+	    strlen(criteria->service) > RT_NAME_MAX)
 		return NULL;
-	make_key(
-	    key, wish->kind, wish->workspace, wish->pool, wish->service, root);
+	make_key(key, criteria->kind, criteria->workspace, criteria->pool,
+	    criteria->service, root);
 	return g_hash_table_lookup(fleet->groups, key);
 }
 
@@ -164,17 +164,17 @@
 }
 
 void
-rt_fleet_load(struct rt_fleet *fleet, const struct rt_criteria *wish,
+rt_fleet_load(struct rt_fleet *fleet, const struct rt_criteria *criteria,
     unsigned int *slots, unsigned int *running)
 {
-	size_t n = wish->kind == RT_ENGINE ? wish->nroots : 1, i;
+	size_t n = criteria->kind == RT_ENGINE ? criteria->nroots : 1, i;
 	const struct rt_group *group;
 
 	*slots = 0;
 	*running = 0;
 	for (i = 0; i < n; i++) {
-		group = rt_group_find(fleet, wish,
-		    wish->kind == RT_ENGINE ? &wish->roots[i] : NULL);
+		group = rt_group_find(fleet, criteria,
+		    criteria->kind == RT_ENGINE ? &criteria->roots[i] : NULL);
 		if (group == NULL)
 			continue;
 		*slots += group->slots;
--- a/lib/route/fleet.h
+++ b/lib/route/fleet.h
@@ -38,7 +38,7 @@
 	struct digest loaded;
 	bool reachable; /* the connection to its sidecar is open */
 	bool reported_accepting; /* as last reported by its sidecar */
-	bool drain_ordered; /* told not to accept by an order of a rollout */
+	bool drain_ordered; /* not accepting, by an order of a rollout */
 	bool accepting; /* reported as accepting, and its host is not leaving */
 	unsigned int slots;
 	void *owner; /* the caller's connection object for the sidecar */
@@ -46,16 +46,15 @@
 	/* Private to the fleet. */
 	unsigned int reported_running; /* as last reported by the sidecar */
 	unsigned int local_inflight; /* sent by this gateway and not ended */
-	unsigned int local_at_report; /* own_running at the last report */
+	unsigned int local_at_report; /* local_inflight at the last report */
 	int64_t reported_us;
-	unsigned int consecutive_failures; /* consecutive */
+	unsigned int consecutive_failures;
 	int64_t backoff_until_us;
 	unsigned int unanswered; /* sent since the last response data from it */
 	int64_t unanswered_since_us;
-	uint32_t
-	    cache_epoch; /* incremented when the contents of its cache are lost */
+	uint32_t cache_epoch; /* incremented when its cache is lost */
 	struct rt_group *group;
-	guint group_index; /* index in the group */
+	guint group_index;
 	unsigned int counted_slots, counted_running;
 };
 
@@ -97,7 +96,7 @@
 	bool ranked; /* use a version only if no earlier one is usable */
 	const char *domain; /* of the gateway; targets in it are preferred */
 	uint64_t
-	    prefix; /* hash of the prompt prefix; 0: none. See rt_prefix_end */
+	    prefix; /* hash of the prompt prefix, by rt_prefix_end; 0: none */
 	const struct rt_target *const *tried; /* not to be chosen again */
 	size_t ntried;
 };
@@ -109,16 +108,16 @@
  * Pure except for `rng`.
  */
 struct rt_target *rt_choose(struct rt_fleet *fleet,
-    const struct rt_criteria *wish, int64_t now_us, struct rng *rng);
+    const struct rt_criteria *criteria, int64_t now_us, struct rng *rng);
 bool rt_target_eligible(const struct rt_target *target,
-    const struct rt_criteria *wish, int64_t now_us);
+    const struct rt_criteria *criteria, int64_t now_us);
 /* Time at which the first target in backoff is usable again; 0 when none is in
  * backoff. For Retry-After. */
 int64_t rt_backoff_ends_us(
-    struct rt_fleet *fleet, const struct rt_criteria *wish, int64_t now_us);
+    struct rt_fleet *fleet, const struct rt_criteria *criteria, int64_t now_us);
 /* Slots and estimated load of all eligible targets, including those in backoff;
  * for adm_queue_load. */
-void rt_fleet_load(struct rt_fleet *fleet, const struct rt_criteria *wish,
+void rt_fleet_load(struct rt_fleet *fleet, const struct rt_criteria *criteria,
     unsigned int *slots, unsigned int *running);
 
 /* ------------------------------------------------------------------ */
@@ -166,12 +165,13 @@
  * RT_SUBSET_GATEWAYS gateways that rank first for it, those of its own region
  * before the others, so that all sidecars have about the same number of
  * connections at any scale. A gateway adds sidecars until it has
- * RT_SUBSET_SIDECARS for each group of targets. Gateways with the same member list
- * compute the same result, and one that leaves moves only its own connections.
+ * RT_SUBSET_SIDECARS for each group of targets. Gateways with the same member
+ * list compute the same result, and one that leaves moves only its own
+ * connections.
  */
 #define RT_SUBSET_GATEWAYS 32
 #define RT_SUBSET_SIDECARS 16
-void rt_subset(const char *self, const struct rt_peer *entries, size_t nentries,
-    struct rt_peer *sides, size_t nsides);
+void rt_subset(const char *self, const struct rt_peer *gateways,
+    size_t ngateways, struct rt_peer *sidecars, size_t nsidecars);
 
 #endif
--- a/lib/route/fleet_internal.h
+++ b/lib/route/fleet_internal.h
@@ -23,9 +23,9 @@
 	struct prefix_map *prefixes;
 };
 
-/* The group of a selector and, for engines, a version; NULL if none. */
+/* The group that matches; `root` is for engines only. NULL if none. */
 struct rt_group *rt_group_find(struct rt_fleet *fleet,
-    const struct rt_criteria *wish, const struct digest *root);
+    const struct rt_criteria *criteria, const struct digest *root);
 
 struct prefix_map *prefix_map_new(void);
 void prefix_map_free(struct prefix_map *map);
--- a/lib/route/prefix.c
+++ b/lib/route/prefix.c
@@ -1,29 +1,29 @@
-/* Which targets are believed to hold which prefix of a prompt. */
+/* Targets assumed to have a prompt prefix cached. */
 
 #include "route/fleet_internal.h"
 
-#define FNV_START 0xcbf29ce484222325ULL
+#define FNV_OFFSET_BASIS 0xcbf29ce484222325ULL
 #define FNV_PRIME 0x100000001b3ULL
 
-#define PREFIXES_MAX 16384 /* the least recently used one goes first */
-/* A belief ends by itself: the event that ends it may be lost in a gap. */
-#define KEEP_US (120 * G_USEC_PER_SEC)
+#define PREFIXES_MAX 16384 /* the least recently used is evicted */
+/* Holders expire, as the event for the removal of a prefix may be lost. */
+#define HOLDER_TTL_US (120 * G_USEC_PER_SEC)
 
 struct holder {
 	struct rt_target *target; /* NULL: none */
-	uint32_t cache; /* its count when the belief began */
-	int64_t until_us;
+	uint32_t cache_epoch; /* of the target, at insertion */
+	int64_t expires_us;
 };
 
-struct belief {
-	TAILQ_ENTRY(belief) link;
+struct prefix_entry {
+	TAILQ_ENTRY(prefix_entry) link;
 	uint64_t prefix;
 	struct holder holder[PREFIX_HOLDERS];
 };
 
 struct prefix_map {
-	GHashTable *beliefs; /* prefix -> struct belief */
-	TAILQ_HEAD(belief_list, belief) by_use; /* least recent first */
+	GHashTable *entries; /* prefix -> struct prefix_entry */
+	TAILQ_HEAD(prefix_entries, prefix_entry) lru; /* oldest use first */
 };
 
 /* ------------------------------------------------------------------ */
@@ -33,7 +33,7 @@
 void
 rt_prefix_begin(struct rt_prefix *prefix)
 {
-	prefix->hash = FNV_START;
+	prefix->hash = FNV_OFFSET_BASIS;
 	prefix->len = 0;
 }
 
@@ -54,7 +54,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Beliefs                                                             */
+/* Map of prefixes to targets                                          */
 /* ------------------------------------------------------------------ */
 
 struct prefix_map *
@@ -62,73 +62,74 @@
 {
 	struct prefix_map *map = g_new0(struct prefix_map, 1);
 
-	map->beliefs =
+	map->entries =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	TAILQ_INIT(&map->by_use);
+	TAILQ_INIT(&map->lru);
 	return map;
 }
 
 void
 prefix_map_free(struct prefix_map *map)
 {
-	g_hash_table_unref(map->beliefs);
+	g_hash_table_unref(map->entries);
 	g_free(map);
 }
 
-static struct belief *
-find(struct prefix_map *map, uint64_t prefix)
+static struct prefix_entry *
+lookup(struct prefix_map *map, uint64_t prefix)
 {
-	struct belief *b = g_hash_table_lookup(map->beliefs, &prefix);
+	struct prefix_entry *entry = g_hash_table_lookup(map->entries, &prefix);
 
-	if (b == NULL)
+	if (entry == NULL)
 		return NULL;
-	TAILQ_REMOVE(&map->by_use, b, link);
-	TAILQ_INSERT_TAIL(&map->by_use, b, link);
-	return b;
+	TAILQ_REMOVE(&map->lru, entry, link);
+	TAILQ_INSERT_TAIL(&map->lru, entry, link);
+	return entry;
 }
 
-static struct belief *
-find_or_add(struct prefix_map *map, uint64_t prefix)
+static struct prefix_entry *
+lookup_or_add(struct prefix_map *map, uint64_t prefix)
 {
-	struct belief *b = find(map, prefix);
-
-	if (b != NULL)
-		return b;
-	if (g_hash_table_size(map->beliefs) >= PREFIXES_MAX) {
-		b = TAILQ_FIRST(&map->by_use);
-		TAILQ_REMOVE(&map->by_use, b, link);
-		g_hash_table_remove(map->beliefs, &b->prefix);
+	struct prefix_entry *entry = lookup(map, prefix);
+
+	if (entry != NULL)
+		return entry;
+	if (g_hash_table_size(map->entries) >= PREFIXES_MAX) {
+		entry = TAILQ_FIRST(&map->lru);
+		TAILQ_REMOVE(&map->lru, entry, link);
+		g_hash_table_remove(map->entries, &entry->prefix);
 	}
-	b = g_new0(struct belief, 1);
-	b->prefix = prefix;
-	TAILQ_INSERT_TAIL(&map->by_use, b, link);
-	g_hash_table_insert(map->beliefs, &b->prefix, b);
-	return b;
+	entry = g_new0(struct prefix_entry, 1);
+	entry->prefix = prefix;
+	TAILQ_INSERT_TAIL(&map->lru, entry, link);
+	g_hash_table_insert(map->entries, &entry->prefix, entry);
+	return entry;
 }
 
 static bool
-holds(const struct holder *h, int64_t now_us)
+is_valid(const struct holder *h, int64_t now_us)
 {
-	return h->target != NULL && h->until_us > now_us &&
-	    h->cache == h->target->cache_epoch;
+	return h->target != NULL && h->expires_us > now_us &&
+	    h->cache_epoch == h->target->cache_epoch;
 }
 
-/* The target's own place, else the one whose belief ends first. */
+/* The slot of the target, else a free one, else the first to expire. */
 static struct holder *
-place_for(struct belief *b, const struct rt_target *target, int64_t now_us)
+holder_slot(
+    struct prefix_entry *entry, const struct rt_target *target, int64_t now_us)
 {
-	struct holder *oldest = &b->holder[0];
+	struct holder *oldest = &entry->holder[0];
 	size_t i;
 
 	for (i = 0; i < PREFIX_HOLDERS; i++) {
-		if (b->holder[i].target == target)
-			return &b->holder[i];
+		if (entry->holder[i].target == target)
+			return &entry->holder[i];
 	}
 	for (i = 0; i < PREFIX_HOLDERS; i++) {
-		if (!holds(&b->holder[i], now_us))
-			return &b->holder[i];
-		if (b->holder[i].until_us < oldest->until_us)
-			oldest = &b->holder[i];
+		if (!is_valid(&entry->holder[i], now_us))
+			return &entry->holder[i];
+		if (entry->holder[i].expires_us < oldest->expires_us)
+			oldest = &entry->holder[i];
 	}
 	return oldest;
 }
@@ -139,11 +140,11 @@
 {
 	if (prefix == 0)
 		return;
-	*place_for(find_or_add(fleet->prefixes, prefix), target, now_us) =
+	*holder_slot(lookup_or_add(fleet->prefixes, prefix), target, now_us) =
 	    (struct holder){
 		    .target = target,
-		    .cache = target->cache_epoch,
-		    .until_us = now_us + KEEP_US,
+		    .cache_epoch = target->cache_epoch,
+		    .expires_us = now_us + HOLDER_TTL_US,
 	    };
 }
 
@@ -151,17 +152,17 @@
 rt_fleet_prefix_event(struct rt_fleet *fleet, struct rt_target *target,
     uint64_t prefix, bool present, int64_t now_us)
 {
-	struct belief *b;
+	struct prefix_entry *entry;
 	size_t i;
 
 	if (present) {
 		rt_fleet_prefix_sent(fleet, target, prefix, now_us);
 		return;
 	}
-	b = g_hash_table_lookup(fleet->prefixes->beliefs, &prefix);
-	for (i = 0; b != NULL && i < PREFIX_HOLDERS; i++) {
-		if (b->holder[i].target == target)
-			b->holder[i].target = NULL;
+	entry = g_hash_table_lookup(fleet->prefixes->entries, &prefix);
+	for (i = 0; entry != NULL && i < PREFIX_HOLDERS; i++) {
+		if (entry->holder[i].target == target)
+			entry->holder[i].target = NULL;
 	}
 }
 
@@ -169,12 +170,12 @@
 prefix_map_holders(struct prefix_map *map, uint64_t prefix, int64_t now_us,
     struct rt_target *out[PREFIX_HOLDERS])
 {
-	struct belief *b = find(map, prefix);
+	struct prefix_entry *entry = lookup(map, prefix);
 	size_t n = 0, i;
 
-	for (i = 0; b != NULL && i < PREFIX_HOLDERS; i++) {
-		if (holds(&b->holder[i], now_us))
-			out[n++] = b->holder[i].target;
+	for (i = 0; entry != NULL && i < PREFIX_HOLDERS; i++) {
+		if (is_valid(&entry->holder[i], now_us))
+			out[n++] = entry->holder[i].target;
 	}
 	return n;
 }
