--- a/lib/route/place.c
+++ b/lib/route/place.c
@@ -1,4 +1,4 @@
-/* Which hosts a model is placed on. */
+/* Selection of the hosts that a model is placed on. */
 
 #include <string.h>
 
@@ -8,7 +8,7 @@
 	const char *team;
 	const struct rt_model *model;
 	GArray *hosts;
-	/* The host on offer, while its targets are looked through. */
+	/* State of the rt_place_offer call in progress. */
 	const char *domain;
 	bool fits;
 };
@@ -25,7 +25,7 @@
 }
 
 static void
-look_at_target(const struct rt_target_info *target, void *ctx)
+check_target(const struct rt_target_info *target, void *ctx)
 {
 	struct rt_place *place = ctx;
 
@@ -44,7 +44,7 @@
 
 	place->domain = domain;
 	place->fits = false;
-	rt_info_each(info, look_at_target, place);
+	rt_info_each(info, check_target, place);
 	if (!place->fits)
 		return;
 	g_strlcpy(host.id, id, sizeof(host.id));
@@ -69,11 +69,11 @@
 rt_place_end(struct rt_place *place)
 {
 	GArray *hosts = place->hosts;
-	unsigned int most = place->model->hosts;
+	unsigned int max_hosts = place->model->hosts;
 
 	g_array_sort(hosts, by_rank);
-	if (most != 0 && hosts->len > most)
-		g_array_set_size(hosts, most);
+	if (max_hosts != 0 && hosts->len > max_hosts)
+		g_array_set_size(hosts, max_hosts);
 	g_free(place);
 	return hosts;
 }
