--- a/lib/route/admit.c
+++ b/lib/route/admit.c
@@ -31,35 +31,35 @@
 	adm->ctx = ctx;
 	adm->capacity = capacity;
 	TAILQ_INIT(&adm->refused);
-	LIST_INIT(&adm->teams);
+	LIST_INIT(&adm->workspaces);
 	return adm;
 }
 
 static void
-free_workspace(struct adm_workspace *team)
+free_workspace(struct adm_workspace *workspace)
 {
-	struct adm_queue *lane;
+	struct adm_queue *queue;
 
-	while ((lane = LIST_FIRST(&team->lanes)) != NULL) {
-		g_assert(lane->nwaiting == 0 && lane->nstarted == 0);
-		LIST_REMOVE(lane, link);
-		g_free(lane->name);
-		g_free(lane);
+	while ((queue = LIST_FIRST(&workspace->queues)) != NULL) {
+		g_assert(queue->nwaiting == 0 && queue->nstarted == 0);
+		LIST_REMOVE(queue, link);
+		g_free(queue->name);
+		g_free(queue);
 	}
-	g_free(team->name);
-	g_free(team);
+	g_free(workspace->name);
+	g_free(workspace);
 }
 
 void
 adm_free(struct adm *adm)
 {
-	struct adm_workspace *team;
+	struct adm_workspace *workspace;
 
 	if (adm == NULL)
 		return;
-	while ((team = LIST_FIRST(&adm->teams)) != NULL) {
-		LIST_REMOVE(team, link);
-		free_workspace(team);
+	while ((workspace = LIST_FIRST(&adm->workspaces)) != NULL) {
+		LIST_REMOVE(workspace, link);
+		free_workspace(workspace);
 	}
 	g_free(adm);
 }
@@ -67,47 +67,47 @@
 struct adm_workspace *
 adm_workspace(struct adm *adm, const char *name)
 {
-	struct adm_workspace *team;
+	struct adm_workspace *workspace;
 
-	LIST_FOREACH (team, &adm->teams, link) {
-		if (strcmp(team->name, name) == 0)
-			return team;
+	LIST_FOREACH (workspace, &adm->workspaces, link) {
+		if (strcmp(workspace->name, name) == 0)
+			return workspace;
 	}
-	team = g_new0(struct adm_workspace, 1);
-	team->adm = adm;
-	team->name = g_strdup(name);
-	team->weight = DEFAULT_WEIGHT;
-	LIST_INIT(&team->lanes);
-	LIST_INSERT_HEAD(&adm->teams, team, link);
-	return team;
+	workspace = g_new0(struct adm_workspace, 1);
+	workspace->adm = adm;
+	workspace->name = g_strdup(name);
+	workspace->weight = DEFAULT_WEIGHT;
+	LIST_INIT(&workspace->queues);
+	LIST_INSERT_HEAD(&adm->workspaces, workspace, link);
+	return workspace;
 }
 
 struct adm_queue *
-adm_queue(struct adm_workspace *team, const char *name)
+adm_queue(struct adm_workspace *workspace, const char *name)
 {
-	struct adm_queue *lane;
+	struct adm_queue *queue;
 	size_t i;
 
-	LIST_FOREACH (lane, &team->lanes, link) {
-		if (strcmp(lane->name, name) == 0)
-			return lane;
+	LIST_FOREACH (queue, &workspace->queues, link) {
+		if (strcmp(queue->name, name) == 0)
+			return queue;
 	}
-	lane = g_new0(struct adm_queue, 1);
-	lane->workspace = team;
-	lane->name = g_strdup(name);
-	lane->slot_permille = SLOT_PERMILLE_MAX;
+	queue = g_new0(struct adm_queue, 1);
+	queue->workspace = workspace;
+	queue->name = g_strdup(name);
+	queue->slot_permille = SLOT_PERMILLE_MAX;
 	for (i = 0; i < PRIORITY_CLASSES; i++)
-		TAILQ_INIT(&lane->waiting[i]);
-	LIST_INSERT_HEAD(&team->lanes, lane, link);
-	return lane;
+		TAILQ_INIT(&queue->waiting[i]);
+	LIST_INSERT_HEAD(&workspace->queues, queue, link);
+	return queue;
 }
 
 void
-adm_workspace_set(
-    struct adm_workspace *team, unsigned int weight, unsigned int max_waiting)
+adm_workspace_set(struct adm_workspace *workspace, unsigned int weight,
+    unsigned int max_waiting)
 {
-	team->weight = MAX(weight, 1);
-	team->max_waiting = max_waiting;
+	workspace->weight = MAX(weight, 1);
+	workspace->max_waiting = max_waiting;
 }
 
 /* ------------------------------------------------------------------ */
@@ -115,11 +115,11 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-has_room(const struct adm_queue *lane)
+has_room(const struct adm_queue *queue)
 {
-	const struct adm *adm = lane->workspace->adm;
+	const struct adm *adm = queue->workspace->adm;
 
-	return lane->nstarted < lane->limit && adm->nstarted < adm->capacity;
+	return queue->nstarted < queue->limit && adm->nstarted < adm->capacity;
 }
 
 /*
@@ -131,33 +131,34 @@
 static void
 start_ticket(struct adm_ticket *ticket, int64_t now_us)
 {
-	struct adm_queue *lane = ticket->queue;
-	struct adm_workspace *team = lane->workspace;
-	struct adm *adm = team->adm;
+	struct adm_queue *queue = ticket->queue;
+	struct adm_workspace *workspace = queue->workspace;
+	struct adm *adm = workspace->adm;
 
 	ticket->state = ADM_STARTED;
 	ticket->started_us = now_us;
 	ticket->charged_us =
-	    MAX(est_time_mean(&lane->unit, now_us) * ticket->cost, 1);
-	lane->nstarted++;
-	lane->started_cost += ticket->cost;
-	lane->load.running++;
+	    MAX(est_time_mean(&queue->unit, now_us) * ticket->cost, 1);
+	queue->nstarted++;
+	queue->started_cost += ticket->cost;
+	queue->load.running++;
 	adm->nstarted++;
-	team->virtual_us = MAX(team->virtual_us, adm->virtual_us);
-	adm->virtual_us = team->virtual_us;
-	team->virtual_us += ticket->charged_us * DEFAULT_WEIGHT / team->weight;
+	workspace->virtual_us = MAX(workspace->virtual_us, adm->virtual_us);
+	adm->virtual_us = workspace->virtual_us;
+	workspace->virtual_us +=
+	    ticket->charged_us * DEFAULT_WEIGHT / workspace->weight;
 }
 
 static struct adm_ticket *
-next_in_workspace(const struct adm_workspace *team)
+next_in_workspace(const struct adm_workspace *workspace)
 {
 	struct adm_ticket *best = NULL, *next;
-	const struct adm_queue *lane;
+	const struct adm_queue *queue;
 
-	LIST_FOREACH (lane, &team->lanes, link) {
-		if (lane->nwaiting == 0 || !has_room(lane))
+	LIST_FOREACH (queue, &workspace->queues, link) {
+		if (queue->nwaiting == 0 || !has_room(queue))
 			continue;
-		next = adm_next(lane);
+		next = adm_next(queue);
 		if (best == NULL || adm_order_key(next) < adm_order_key(best))
 			best = next;
 	}
@@ -168,16 +169,16 @@
 next_ticket(const struct adm *adm)
 {
 	struct adm_ticket *best = NULL, *next;
-	const struct adm_workspace *team;
+	const struct adm_workspace *workspace;
 
-	LIST_FOREACH (team, &adm->teams, link) {
-		if (team->nwaiting == 0)
+	LIST_FOREACH (workspace, &adm->workspaces, link) {
+		if (workspace->nwaiting == 0)
 			continue;
-		next = next_in_workspace(team);
+		next = next_in_workspace(workspace);
 		if (next == NULL)
 			continue;
 		if (best == NULL ||
-		    team->virtual_us < best->queue->workspace->virtual_us)
+		    workspace->virtual_us < best->queue->workspace->virtual_us)
 			best = next;
 	}
 	return best;
@@ -193,7 +194,8 @@
 	adm->dispatching = true;
 	while (adm->nstarted < adm->capacity &&
 	    (ticket = next_ticket(adm)) != NULL) {
-		est_rate_start(&ticket->queue->drain, ticket->cost, now_us);
+		est_rate_start(
+		    &ticket->queue->dequeue_rate, ticket->cost, now_us);
 		adm_dequeue(ticket);
 		start_ticket(ticket, now_us);
 		adm->ops->start(ticket, adm->ctx);
@@ -210,11 +212,11 @@
 
 void
 adm_queue_load(
-    struct adm_queue *lane, const struct adm_load *load, int64_t now_us)
+    struct adm_queue *queue, const struct adm_load *load, int64_t now_us)
 {
-	lane->load = *load;
-	adm_step_limit(lane, now_us);
-	dispatch(lane->workspace->adm, now_us);
+	queue->load = *load;
+	adm_step_limit(queue, now_us);
+	dispatch(queue->workspace->adm, now_us);
 }
 
 /* ------------------------------------------------------------------ */
@@ -223,9 +225,10 @@
 
 /* Time until `cost` has left the queue; 0 when unknown. */
 static int64_t
-wait_us(const struct adm_queue *lane, uint64_t cost, int64_t now_us)
+wait_us(const struct adm_queue *queue, uint64_t cost, int64_t now_us)
 {
-	uint64_t rate = est_rate_now(&lane->drain, lane->started_cost, now_us);
+	uint64_t rate =
+	    est_rate_now(&queue->dequeue_rate, queue->started_cost, now_us);
 
 	if (rate == 0)
 		return 0;
@@ -249,15 +252,15 @@
 
 /* Time until half of the waiting cost has left the queue. */
 static int64_t
-retry_us(const struct adm_queue *lane, int64_t now_us)
+retry_us(const struct adm_queue *queue, int64_t now_us)
 {
 	uint64_t cost = 0;
 	int64_t us;
 	size_t i;
 
 	for (i = 0; i < PRIORITY_CLASSES; i++)
-		cost += lane->cost[i];
-	us = wait_us(lane, MAX(cost / 2, 1), now_us);
+		cost += queue->cost[i];
+	us = wait_us(queue, MAX(cost / 2, 1), now_us);
 
 	return us == 0 ? RETRY_UNKNOWN_MS * 1000 : us;
 }
@@ -267,10 +270,10 @@
 static bool
 misses_deadline(const struct adm_ticket *ticket, int64_t wait, int64_t now_us)
 {
-	const struct adm_queue *lane = ticket->queue;
+	const struct adm_queue *queue = ticket->queue;
 	int64_t start_us = now_us + wait;
 
-	return start_us + est_time_low(&lane->unit, now_us) * ticket->cost >=
+	return start_us + est_time_low(&queue->unit, now_us) * ticket->cost >=
 	    ticket->deadline_us;
 }
 
@@ -284,39 +287,40 @@
 static enum adm_state
 refuse_or_wait(struct adm_ticket *ticket, int64_t now_us, struct err *err)
 {
-	struct adm_queue *lane = ticket->queue;
-	int64_t wait =
-	    wait_us(lane, adm_cost_ahead(lane, ticket) + ticket->cost, now_us);
-	int64_t service_us = est_time_mean(&lane->unit, now_us) * ticket->cost;
+	struct adm_queue *queue = ticket->queue;
+	int64_t wait = wait_us(
+	    queue, adm_cost_ahead(queue, ticket) + ticket->cost, now_us);
+	int64_t service_us = est_time_mean(&queue->unit, now_us) * ticket->cost;
 
-	if (lane->workspace->nwaiting >= lane->workspace->max_waiting)
-		return refuse(ticket, ERR_OVERLOADED, retry_us(lane, now_us),
+	if (queue->workspace->nwaiting >= queue->workspace->max_waiting)
+		return refuse(ticket, ERR_OVERLOADED, retry_us(queue, now_us),
 		    err, "the admission queue of the workspace is full");
 	if (now_us + wait + service_us >= ticket->deadline_us)
-		return refuse(ticket, ERR_DEADLINE, retry_us(lane, now_us), err,
+		return refuse(ticket, ERR_DEADLINE, retry_us(queue, now_us),
+		    err,
 		    "the request would wait too long to meet its deadline");
 	if (misses_first_byte(ticket, now_us + wait * 100 / MAX_WAIT_PCT,
-		est_time_high(&lane->first, now_us)))
-		return refuse(ticket, ERR_OVERLOADED, retry_us(lane, now_us),
+		est_time_high(&queue->first, now_us)))
+		return refuse(ticket, ERR_OVERLOADED, retry_us(queue, now_us),
 		    err, "the first byte would miss its deadline");
-	adm_enqueue(lane, ticket, now_us);
+	adm_enqueue(queue, ticket, now_us);
 	return ADM_WAITING;
 }
 
 enum adm_state
-adm_submit(struct adm_queue *lane, struct adm_ticket *ticket, int64_t now_us,
+adm_submit(struct adm_queue *queue, struct adm_ticket *ticket, int64_t now_us,
     struct err *err)
 {
-	ticket->queue = lane;
+	ticket->queue = queue;
 	ticket->submitted_us = now_us;
 	ticket->cost = MAX(ticket->cost, 1);
-	if (lane->load.slots == 0)
+	if (queue->load.slots == 0)
 		return refuse(ticket, ERR_UNAVAILABLE, RETRY_UNKNOWN_MS * 1000,
 		    err, "no target is available");
 	if (misses_deadline(ticket, 0, now_us))
-		return refuse(ticket, ERR_DEADLINE, retry_us(lane, now_us), err,
-		    "the deadline is shorter than the fastest response");
-	if (lane->nwaiting > 0 || !has_room(lane))
+		return refuse(ticket, ERR_DEADLINE, retry_us(queue, now_us),
+		    err, "the deadline is shorter than the fastest response");
+	if (queue->nwaiting > 0 || !has_room(queue))
 		return refuse_or_wait(ticket, now_us, err);
 	start_ticket(ticket, now_us);
 	return ADM_STARTED;
@@ -327,27 +331,27 @@
 static enum err_code
 refusal_of(const struct adm_ticket *ticket, uint64_t ahead, int64_t now_us)
 {
-	const struct adm_queue *lane = ticket->queue;
-	int64_t wait =
-	    wait_us(lane, ahead + ticket->cost, now_us) * 100 / RATE_MARGIN_PCT;
+	const struct adm_queue *queue = ticket->queue;
+	int64_t wait = wait_us(queue, ahead + ticket->cost, now_us) * 100 /
+	    RATE_MARGIN_PCT;
 
 	if (misses_deadline(ticket, wait, now_us))
 		return ERR_DEADLINE;
 	if (misses_first_byte(
-		ticket, now_us + wait, est_time_low(&lane->first, now_us)))
+		ticket, now_us + wait, est_time_low(&queue->first, now_us)))
 		return ERR_OVERLOADED;
 	return ERR_NONE;
 }
 
 static void
-collect_refused(struct adm_queue *lane, int64_t now_us)
+collect_refused(struct adm_queue *queue, int64_t now_us)
 {
 	struct adm_ticket *ticket, *next;
 	uint64_t ahead = 0;
 	unsigned int i;
 
 	for (i = 0; i < PRIORITY_CLASSES; i++) {
-		for (ticket = TAILQ_FIRST(&lane->waiting[i]); ticket != NULL;
+		for (ticket = TAILQ_FIRST(&queue->waiting[i]); ticket != NULL;
 		     ticket = next) {
 			next = TAILQ_NEXT(ticket, link);
 			ticket->refusal = refusal_of(ticket, ahead, now_us);
@@ -358,7 +362,7 @@
 			adm_dequeue(ticket);
 			ticket->state = ADM_REFUSED;
 			TAILQ_INSERT_TAIL(
-			    &lane->workspace->adm->refused, ticket, link);
+			    &queue->workspace->adm->refused, ticket, link);
 		}
 	}
 }
@@ -380,13 +384,13 @@
 adm_expire(struct adm *adm, int64_t now_us)
 {
 	struct adm_ticket *ticket;
-	struct adm_workspace *team;
-	struct adm_queue *lane;
+	struct adm_workspace *workspace;
+	struct adm_queue *queue;
 
-	LIST_FOREACH (team, &adm->teams, link) {
-		LIST_FOREACH (lane, &team->lanes, link) {
-			collect_refused(lane, now_us);
-			adm_step_limit(lane, now_us);
+	LIST_FOREACH (workspace, &adm->workspaces, link) {
+		LIST_FOREACH (queue, &workspace->queues, link) {
+			collect_refused(queue, now_us);
+			adm_step_limit(queue, now_us);
 		}
 	}
 	/* Notified after the loops, as the callback may change the queues. */
@@ -419,26 +423,26 @@
 void
 adm_done(struct adm_ticket *ticket, enum adm_outcome outcome, int64_t now_us)
 {
-	struct adm_queue *lane = ticket->queue;
-	struct adm_workspace *team = lane->workspace;
+	struct adm_queue *queue = ticket->queue;
+	struct adm_workspace *workspace = queue->workspace;
 	int64_t used_us = now_us - ticket->started_us;
 
 	g_assert(ticket->state == ADM_STARTED);
 	if (outcome == ADM_OVERLOADED)
-		lane->refusals = true;
+		queue->refusals = true;
 	if (outcome == ADM_ANSWERED)
-		est_time_add(&lane->unit, used_us / ticket->cost, now_us);
-	team->virtual_us +=
-	    (used_us - ticket->charged_us) * DEFAULT_WEIGHT / team->weight;
+		est_time_add(&queue->unit, used_us / ticket->cost, now_us);
+	workspace->virtual_us +=
+	    (used_us - ticket->charged_us) * DEFAULT_WEIGHT / workspace->weight;
 	ticket->state = ADM_IDLE;
 	ticket->queue = NULL;
-	lane->nstarted--;
-	lane->started_cost -= ticket->cost;
-	if (lane->load.running > 0)
-		lane->load.running--;
-	team->adm->nstarted--;
-	adm_step_limit(lane, now_us);
-	dispatch(team->adm, now_us);
+	queue->nstarted--;
+	queue->started_cost -= ticket->cost;
+	if (queue->load.running > 0)
+		queue->load.running--;
+	workspace->adm->nstarted--;
+	adm_step_limit(queue, now_us);
+	dispatch(workspace->adm, now_us);
 }
 
 void
@@ -465,15 +469,15 @@
 
 void
 adm_queue_stats(
-    const struct adm_queue *lane, int64_t now_us, struct adm_queue_stats *out)
+    const struct adm_queue *queue, int64_t now_us, struct adm_queue_stats *out)
 {
 	*out = (struct adm_queue_stats){
-		.limit = lane->limit,
-		.started = lane->nstarted,
-		.waiting = lane->nwaiting,
-		.drain_milli_s =
-		    est_rate_now(&lane->drain, lane->started_cost, now_us),
-		.unit_us = est_time_mean(&lane->unit, now_us),
-		.first_us = est_time_mean(&lane->first, now_us),
+		.limit = queue->limit,
+		.started = queue->nstarted,
+		.waiting = queue->nwaiting,
+		.drain_milli_s = est_rate_now(
+		    &queue->dequeue_rate, queue->started_cost, now_us),
+		.unit_us = est_time_mean(&queue->unit, now_us),
+		.first_us = est_time_mean(&queue->first, now_us),
 	};
 }
--- a/lib/route/admit.h
+++ b/lib/route/admit.h
@@ -79,10 +79,10 @@
 
 /* Both are created on first use and live as long as `adm`. */
 struct adm_workspace *adm_workspace(struct adm *adm, const char *name);
-struct adm_queue *adm_queue(struct adm_workspace *team, const char *name);
+struct adm_queue *adm_queue(struct adm_workspace *workspace, const char *name);
 /* `max_waiting`: this gateway's share of the requests that may wait. */
-void adm_workspace_set(
-    struct adm_workspace *team, unsigned int weight, unsigned int max_waiting);
+void adm_workspace_set(struct adm_workspace *workspace, unsigned int weight,
+    unsigned int max_waiting);
 
 /*
  * Load that the sidecars report for the targets of the queue; call on each
@@ -96,14 +96,14 @@
 	    gateways; /* live gateways that share them, this one included */
 };
 void adm_queue_load(
-    struct adm_queue *lane, const struct adm_load *load, int64_t now_us);
+    struct adm_queue *queue, const struct adm_load *load, int64_t now_us);
 
 /*
  * ADM_STARTED, ADM_WAITING (`start` or `refuse` follows) or ADM_REFUSED with
  * `err`: ERR_DEADLINE, ERR_OVERLOADED or, when the queue has no targets,
  * ERR_UNAVAILABLE; the verdict is NOT_RUN and retry_after_ms is set.
  */
-enum adm_state adm_submit(struct adm_queue *lane, struct adm_ticket *ticket,
+enum adm_state adm_submit(struct adm_queue *queue, struct adm_ticket *ticket,
     int64_t now_us, struct err *err);
 /* The first byte of the response arrived. */
 void adm_first_byte(struct adm_ticket *ticket, int64_t now_us);
@@ -133,6 +133,6 @@
 	int64_t unit_us, first_us; /* mean for cost 1; 0: unknown */
 };
 void adm_queue_stats(
-    const struct adm_queue *lane, int64_t now_us, struct adm_queue_stats *out);
+    const struct adm_queue *queue, int64_t now_us, struct adm_queue_stats *out);
 
 #endif
--- a/lib/route/admit_internal.h
+++ b/lib/route/admit_internal.h
@@ -26,7 +26,7 @@
 	unsigned int slot_permille;
 	bool refusals; /* by targets, since the last step */
 	int64_t last_step_us;
-	struct est_rate drain;
+	struct est_rate dequeue_rate;
 	struct est_time unit; /* until the response is complete, for cost 1 */
 	struct est_time first; /* until the first byte of the response */
 };
@@ -39,7 +39,7 @@
 	unsigned int max_waiting;
 	unsigned int nwaiting;
 	int64_t virtual_us; /* target time used, divided by the weight */
-	LIST_HEAD(adm_lanes, adm_queue) lanes;
+	LIST_HEAD(adm_queues, adm_queue) queues;
 };
 
 struct adm {
@@ -50,19 +50,19 @@
 	int64_t virtual_us; /* of the ticket started last */
 	bool dispatching;
 	struct adm_tickets refused; /* by the adm_expire call in progress */
-	LIST_HEAD(adm_teams, adm_workspace) teams;
+	LIST_HEAD(adm_workspaces, adm_workspace) workspaces;
 };
 
 /* Key of the order in which tickets start; the lowest starts first. */
 int64_t adm_order_key(const struct adm_ticket *ticket);
 /* The ticket that starts next; NULL when none waits. */
-struct adm_ticket *adm_next(const struct adm_queue *lane);
+struct adm_ticket *adm_next(const struct adm_queue *queue);
 /* Cost of the tickets that start before one submitted now. */
 uint64_t adm_cost_ahead(
-    const struct adm_queue *lane, const struct adm_ticket *ticket);
+    const struct adm_queue *queue, const struct adm_ticket *ticket);
 void adm_enqueue(
-    struct adm_queue *lane, struct adm_ticket *ticket, int64_t now_us);
+    struct adm_queue *queue, struct adm_ticket *ticket, int64_t now_us);
 void adm_dequeue(struct adm_ticket *ticket);
-void adm_step_limit(struct adm_queue *lane, int64_t now_us);
+void adm_step_limit(struct adm_queue *queue, int64_t now_us);
 
 #endif
--- a/lib/route/admit_lane.c
+++ b/lib/route/admit_lane.c
@@ -36,13 +36,13 @@
 }
 
 struct adm_ticket *
-adm_next(const struct adm_queue *lane)
+adm_next(const struct adm_queue *queue)
 {
 	struct adm_ticket *best = NULL, *head;
 	size_t i;
 
 	for (i = 0; i < PRIORITY_CLASSES; i++) {
-		head = TAILQ_FIRST(&lane->waiting[i]);
+		head = TAILQ_FIRST(&queue->waiting[i]);
 		if (head == NULL)
 			continue;
 		if (best == NULL || adm_order_key(head) < adm_order_key(best))
@@ -55,72 +55,72 @@
  * assuming that they were submitted at an even rate. */
 static uint64_t
 cost_aged_before(
-    const struct adm_queue *lane, unsigned int class, int64_t key_us)
+    const struct adm_queue *queue, unsigned int class, int64_t key_us)
 {
-	const struct adm_ticket *head = TAILQ_FIRST(&lane->waiting[class]);
+	const struct adm_ticket *head = TAILQ_FIRST(&queue->waiting[class]);
 	const struct adm_ticket *tail;
 	int64_t first_us, last_us;
 	uint64_t rest;
 
 	if (head == NULL || adm_order_key(head) >= key_us)
 		return 0;
-	tail = TAILQ_LAST(&lane->waiting[class], adm_tickets);
+	tail = TAILQ_LAST(&queue->waiting[class], adm_tickets);
 	first_us = adm_order_key(head);
 	last_us = adm_order_key(tail);
 	if (last_us <= key_us)
-		return lane->cost[class];
-	rest = lane->cost[class] - head->cost;
+		return queue->cost[class];
+	rest = queue->cost[class] - head->cost;
 	return head->cost +
 	    rest * (uint64_t)(key_us - first_us) /
 	    (uint64_t)(last_us - first_us);
 }
 
 uint64_t
-adm_cost_ahead(const struct adm_queue *lane, const struct adm_ticket *ticket)
+adm_cost_ahead(const struct adm_queue *queue, const struct adm_ticket *ticket)
 {
 	unsigned int class = class_of(ticket), i;
 	uint64_t cost = 0;
 
 	for (i = 0; i < PRIORITY_CLASSES; i++) {
-		cost += i <= class ? lane->cost[i]
+		cost += i <= class ? queue->cost[i]
 				   : cost_aged_before(
-					 lane, i, adm_order_key(ticket));
+					 queue, i, adm_order_key(ticket));
 	}
 	return cost;
 }
 
 void
-adm_enqueue(struct adm_queue *lane, struct adm_ticket *ticket, int64_t now_us)
+adm_enqueue(struct adm_queue *queue, struct adm_ticket *ticket, int64_t now_us)
 {
 	unsigned int class = class_of(ticket);
-	int64_t unit_us = est_time_mean(&lane->unit, now_us);
+	int64_t unit_us = est_time_mean(&queue->unit, now_us);
 	uint64_t initial = 0;
 
-	if (lane->nwaiting == 0) {
+	if (queue->nwaiting == 0) {
 		/* Initial estimate by Little's law, until one is measured. */
 		if (unit_us > 0)
-			initial = lane->limit * 1000ULL * G_USEC_PER_SEC /
+			initial = queue->limit * 1000ULL * G_USEC_PER_SEC /
 			    (uint64_t)unit_us;
-		est_rate_begin(&lane->drain, initial, now_us);
+		est_rate_begin(&queue->dequeue_rate, initial, now_us);
 	}
-	TAILQ_INSERT_TAIL(&lane->waiting[class], ticket, link);
-	lane->cost[class] += ticket->cost;
-	lane->nwaiting++;
-	lane->workspace->nwaiting++;
+	TAILQ_INSERT_TAIL(&queue->waiting[class], ticket, link);
+	queue->cost[class] += ticket->cost;
+	queue->nwaiting++;
+	queue->workspace->nwaiting++;
 	ticket->state = ADM_WAITING;
 }
 
 void
 adm_dequeue(struct adm_ticket *ticket)
 {
-	struct adm_queue *lane = ticket->queue;
+	struct adm_queue *queue = ticket->queue;
 	unsigned int class = class_of(ticket);
 
-	TAILQ_REMOVE(&lane->waiting[class], ticket, link);
-	lane->cost[class] -= ticket->cost;
-	lane->workspace->nwaiting--;
-	if (--lane->nwaiting == 0)
-		est_rate_end(&lane->drain);
+	TAILQ_REMOVE(&queue->waiting[class], ticket, link);
+	queue->cost[class] -= ticket->cost;
+	queue->workspace->nwaiting--;
+	if (--queue->nwaiting == 0)
+		est_rate_end(&queue->dequeue_rate);
 }
 
 /* ------------------------------------------------------------------ */
@@ -128,72 +128,72 @@
 /* ------------------------------------------------------------------ */
 
 static unsigned int
-usable_slots(const struct adm_queue *lane)
+usable_slots(const struct adm_queue *queue)
 {
-	uint64_t slots = (uint64_t)lane->load.slots * lane->slot_permille;
+	uint64_t slots = (uint64_t)queue->load.slots * queue->slot_permille;
 
 	return (unsigned int)(slots / SLOT_PERMILLE_MAX);
 }
 
 static unsigned int
-even_share(const struct adm_queue *lane)
+even_share(const struct adm_queue *queue)
 {
-	unsigned int entries = MAX(lane->load.gateways, 1);
+	unsigned int gateways = MAX(queue->load.gateways, 1);
 
-	if (lane->load.slots == 0)
+	if (queue->load.slots == 0)
 		return 0;
-	return MAX(usable_slots(lane) / entries, 1);
+	return MAX(usable_slots(queue) / gateways, 1);
 }
 
 /* More requests run than there are slots, by more than the rounding up of each
  * gateway's share explains: another gateway is reclaiming its own share. */
 static bool
-is_oversubscribed(const struct adm_queue *lane)
+is_oversubscribed(const struct adm_queue *queue)
 {
-	return lane->load.running > usable_slots(lane) + lane->load.gateways;
+	return queue->load.running > usable_slots(queue) + queue->load.gateways;
 }
 
 /* Requests running here plus an equal share of the free slots. */
 static unsigned int
-limit_with_borrowed(const struct adm_queue *lane)
+limit_with_borrowed(const struct adm_queue *queue)
 {
-	unsigned int entries = MAX(lane->load.gateways, 1);
-	unsigned int slots = usable_slots(lane), room = 0;
+	unsigned int gateways = MAX(queue->load.gateways, 1);
+	unsigned int slots = usable_slots(queue), room = 0;
 
-	if (is_oversubscribed(lane))
+	if (is_oversubscribed(queue))
 		return 0;
-	if (lane->load.running < slots)
-		room = slots - lane->load.running;
-	return MIN(lane->nstarted + (room + entries - 1) / entries, slots);
+	if (queue->load.running < slots)
+		room = slots - queue->load.running;
+	return MIN(queue->nstarted + (room + gateways - 1) / gateways, slots);
 }
 
 static void
-step_slot_permille(struct adm_queue *lane)
+step_slot_permille(struct adm_queue *queue)
 {
-	if (lane->refusals)
-		lane->slot_permille -=
-		    lane->slot_permille * SLOT_LOSS_PCT / 100;
+	if (queue->refusals)
+		queue->slot_permille -=
+		    queue->slot_permille * SLOT_LOSS_PCT / 100;
 	else
-		lane->slot_permille += SLOT_PERMILLE_GAIN;
-	lane->slot_permille =
-	    CLAMP(lane->slot_permille, SLOT_PERMILLE_MIN, SLOT_PERMILLE_MAX);
-	lane->refusals = false;
+		queue->slot_permille += SLOT_PERMILLE_GAIN;
+	queue->slot_permille =
+	    CLAMP(queue->slot_permille, SLOT_PERMILLE_MIN, SLOT_PERMILLE_MAX);
+	queue->refusals = false;
 }
 
 void
-adm_step_limit(struct adm_queue *lane, int64_t now_us)
+adm_step_limit(struct adm_queue *queue, int64_t now_us)
 {
-	int64_t steps = (now_us - lane->last_step_us) / STEP_US;
+	int64_t steps = (now_us - queue->last_step_us) / STEP_US;
 
-	if (is_oversubscribed(lane))
-		lane->limit = 0; /* stop borrowing at once */
-	lane->limit = MIN(lane->limit, lane->load.slots);
-	lane->limit = MAX(lane->limit, even_share(lane));
+	if (is_oversubscribed(queue))
+		queue->limit = 0; /* stop borrowing at once */
+	queue->limit = MIN(queue->limit, queue->load.slots);
+	queue->limit = MAX(queue->limit, even_share(queue));
 	if (steps == 0)
 		return;
-	lane->last_step_us = now_us;
+	queue->last_step_us = now_us;
 	for (steps = MIN(steps, SLOT_PERMILLE_MAX / SLOT_PERMILLE_GAIN);
 	     steps > 0; steps--)
-		step_slot_permille(lane);
-	lane->limit = MAX(even_share(lane), limit_with_borrowed(lane));
+		step_slot_permille(queue);
+	queue->limit = MAX(even_share(queue), limit_with_borrowed(queue));
 }
