--- a/lib/route/admit.h
+++ b/lib/route/admit.h
@@ -92,8 +92,7 @@
 struct adm_load {
 	unsigned int slots; /* of the targets that are usable now */
 	unsigned int running;
-	unsigned int
-	    gateways; /* live gateways that share them, this one included */
+	unsigned int gateways; /* live, sharing the slots; at least this one */
 };
 void adm_queue_load(
     struct adm_queue *queue, const struct adm_load *load, int64_t now_us);
--- a/lib/route/fleet.h
+++ b/lib/route/fleet.h
@@ -95,8 +95,7 @@
 	size_t nroots;
 	bool ranked; /* use a version only if no earlier one is usable */
 	const char *domain; /* of the gateway; targets in it are preferred */
-	uint64_t
-	    prefix; /* hash of the prompt prefix, by rt_prefix_end; 0: none */
+	uint64_t prefix; /* result of rt_prefix_end; 0: none */
 	const struct rt_target *const *tried; /* not to be chosen again */
 	size_t ntried;
 };
