--- a/tests/route/test_limit.c
+++ b/tests/route/test_limit.c
@@ -1,4 +1,4 @@
-/* A team's limit over several entries, and the retry budget. */
+/* Rate limit of a workspace over several gateways, and the retry budget. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,51 +9,51 @@
 #include "route/limit.h"
 
 #define MS 1000
-#define ENTRIES 4
+#define GATEWAYS 4
 #define LIMIT 1000
 #define STEP_MS 5
-#define DELAY_MS 5 /* of a word between entries */
+#define DELAY_MS 5 /* of a report between gateways */
 
 struct fleet {
-	struct lim *lim[ENTRIES];
+	struct lim *lim[GATEWAYS];
 	int64_t now_us;
-	bool cut_off; /* no word arrives */
-	unsigned int got[ENTRIES];
-	double owed[ENTRIES]; /* fractions of requests still to be asked */
+	bool partitioned; /* no report arrives */
+	unsigned int admitted[GATEWAYS];
+	double fraction[GATEWAYS]; /* fractions of requests not yet offered */
 };
 
 static void
-make(struct fleet *f)
+setup(struct fleet *f)
 {
 	unsigned int i;
 
 	memset(f, 0, sizeof(*f));
 	f->now_us = 5000 * MS;
-	for (i = 0; i < ENTRIES; i++) {
+	for (i = 0; i < GATEWAYS; i++) {
 		f->lim[i] = lim_new(f->now_us);
-		lim_set(f->lim[i], LIMIT, ENTRIES, f->now_us);
+		lim_set(f->lim[i], LIMIT, GATEWAYS, f->now_us);
 	}
 }
 
 static void
-unmake(struct fleet *f)
+teardown(struct fleet *f)
 {
 	unsigned int i;
 
-	for (i = 0; i < ENTRIES; i++)
+	for (i = 0; i < GATEWAYS; i++)
 		lim_free(f->lim[i]);
 }
 
 static void
-spread_words(struct fleet *f)
+exchange_reports(struct fleet *f)
 {
-	static const char *const names[ENTRIES] = { "a", "b", "c", "d" };
+	static const char *const names[GATEWAYS] = { "a", "b", "c", "d" };
 	unsigned int i, j;
 
-	for (i = 0; i < ENTRIES; i++) {
-		if (!lim_report_due(f->lim[i], f->now_us) || f->cut_off)
+	for (i = 0; i < GATEWAYS; i++) {
+		if (!lim_report_due(f->lim[i], f->now_us) || f->partitioned)
 			continue;
-		for (j = 0; j < ENTRIES; j++) {
+		for (j = 0; j < GATEWAYS; j++) {
 			if (j != i)
 				lim_reported(f->lim[j], names[i],
 				    lim_demand(f->lim[i], f->now_us),
@@ -62,117 +62,119 @@
 	}
 }
 
-/* Requests a second asked of each entry for `ms`; returns those admitted. */
+/* Offers `demand` requests per second to each gateway for `ms`; returns the
+ * number admitted. */
 static unsigned int
-run(struct fleet *f, const unsigned int asked[ENTRIES], unsigned int ms)
+run(struct fleet *f, const unsigned int demand[GATEWAYS], unsigned int ms)
 {
 	unsigned int t, i, all = 0;
 
-	memset(f->got, 0, sizeof(f->got));
+	memset(f->admitted, 0, sizeof(f->admitted));
 	for (t = 0; t < ms; t += STEP_MS) {
 		f->now_us += STEP_MS * MS;
-		for (i = 0; i < ENTRIES; i++) {
-			f->owed[i] += asked[i] * STEP_MS / 1000.0;
-			for (; f->owed[i] >= 1; f->owed[i] -= 1) {
+		for (i = 0; i < GATEWAYS; i++) {
+			f->fraction[i] += demand[i] * STEP_MS / 1000.0;
+			for (; f->fraction[i] >= 1; f->fraction[i] -= 1) {
 				if (lim_take(f->lim[i], f->now_us, NULL))
-					f->got[i]++;
+					f->admitted[i]++;
 			}
 		}
-		spread_words(f);
+		exchange_reports(f);
 	}
-	for (i = 0; i < ENTRIES; i++)
-		all += f->got[i];
+	for (i = 0; i < GATEWAYS; i++)
+		all += f->admitted[i];
 	return all;
 }
 
-static const unsigned int none[ENTRIES] = { 0, 0, 0, 0 };
-static const unsigned int even[ENTRIES] = { 1000, 1000, 1000, 1000 };
-static const unsigned int one[ENTRIES] = { 3000, 0, 0, 0 };
-static const unsigned int uneven[ENTRIES] = { 3000, 600, 50, 50 };
-static const unsigned int steps[ENTRIES] = { 3000, 300, 50, 50 };
-static const unsigned int others[ENTRIES] = { 3000, 3000, 3000, 3000 };
+static const unsigned int none[GATEWAYS] = { 0, 0, 0, 0 };
+static const unsigned int equal[GATEWAYS] = { 1000, 1000, 1000, 1000 };
+static const unsigned int one_gateway[GATEWAYS] = { 3000, 0, 0, 0 };
+static const unsigned int uneven[GATEWAYS] = { 3000, 600, 50, 50 };
+static const unsigned int steps[GATEWAYS] = { 3000, 300, 50, 50 };
+static const unsigned int all_high[GATEWAYS] = { 3000, 3000, 3000, 3000 };
 
-/* Steady demands: no more than the limit, and no less. */
+/* With steady demand the limit is admitted, no more and no less. */
 static void
 test_steady(void **state)
 {
-	static const unsigned int *const all[] = { even, one, uneven };
+	static const unsigned int *const all[] = { equal, one_gateway, uneven };
 	struct fleet f;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(all); i++) {
-		make(&f);
+		setup(&f);
 		run(&f, all[i], 2000);
 		assert_in_range(run(&f, all[i], 4000), LIMIT * 4 * 97 / 100,
 		    LIMIT * 4 * 101 / 100);
-		unmake(&f);
+		teardown(&f);
 	}
 }
 
-/* Who asks for little gets it whole; the rest is levelled. */
+/* A low demand is met in full; the rest of the limit is shared evenly. */
 static void
-test_levelled(void **state)
+test_max_min_fairness(void **state)
 {
 	struct fleet f;
 
-	make(&f);
+	setup(&f);
 	run(&f, uneven, 2000);
 	run(&f, uneven, 1000);
-	assert_in_range(f.got[2], 48, 51);
-	assert_in_range(f.got[1], 430, 470);
-	assert_in_range(f.got[0], 430, 470);
-	/* 300 is above the even part and below the level. */
+	assert_in_range(f.admitted[2], 48, 51);
+	assert_in_range(f.admitted[1], 430, 470);
+	assert_in_range(f.admitted[0], 430, 470);
+	/* 300 is above the even share and below the level. */
 	run(&f, steps, 2000);
 	run(&f, steps, 1000);
-	assert_in_range(f.got[1], 295, 305);
-	assert_in_range(f.got[0], 580, 620);
-	unmake(&f);
+	assert_in_range(f.admitted[1], 295, 305);
+	assert_in_range(f.admitted[0], 580, 620);
+	teardown(&f);
 }
 
 /*
- * The bound of the overshoot as the header states it. One entry uses the
- * whole limit, or none is asked for anything; then all the others begin, or
- * all do, at once.
+ * The bound of the overshoot that limit.h states. At first one gateway uses the
+ * whole limit, or there is no demand; then demand starts at all gateways at
+ * once.
  */
 static void
 test_overshoot_is_bounded(void **state)
 {
-	static const unsigned int *const before[] = { one, none };
+	static const unsigned int *const before[] = { one_gateway, none };
 	const unsigned int extra_ms =
 	    LIM_REPORT_MIN_MS + LIM_WINDOW_MS + DELAY_MS + STEP_MS;
-	const unsigned int bound =
-	    LIMIT * (ENTRIES - 1) / ENTRIES * extra_ms / 1000 +
+	const unsigned int max_extra =
+	    LIMIT * (GATEWAYS - 1) / GATEWAYS * extra_ms / 1000 +
 	    LIMIT * LIM_BURST_MS / 1000;
 	struct fleet f;
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(before); i++) {
-		make(&f);
+		setup(&f);
 		run(&f, before[i], 3000);
 		assert_in_range(
-		    run(&f, others, 2000), 2 * LIMIT, 2 * LIMIT + bound);
-		assert_in_range(run(&f, others, 2000), 2 * LIMIT * 97 / 100,
+		    run(&f, all_high, 2000), 2 * LIMIT, 2 * LIMIT + max_extra);
+		assert_in_range(run(&f, all_high, 2000), 2 * LIMIT * 97 / 100,
 		    2 * LIMIT * 101 / 100);
-		unmake(&f);
+		teardown(&f);
 	}
 }
 
-/* Nobody is heard: each keeps to its own part, and the sum to the limit. */
+/* No reports arrive: each gateway admits its even share, all together the
+ * limit. */
 static void
-test_cut_off(void **state)
+test_partitioned(void **state)
 {
 	struct fleet f;
 
-	make(&f);
-	run(&f, one, 2000);
-	f.cut_off = true;
-	run(&f, one, 4000);
-	assert_in_range(run(&f, one, 1000), LIMIT / ENTRIES * 97 / 100,
-	    LIMIT / ENTRIES * 103 / 100);
-	run(&f, others, 1000);
+	setup(&f);
+	run(&f, one_gateway, 2000);
+	f.partitioned = true;
+	run(&f, one_gateway, 4000);
+	assert_in_range(run(&f, one_gateway, 1000), LIMIT / GATEWAYS * 97 / 100,
+	    LIMIT / GATEWAYS * 103 / 100);
+	run(&f, all_high, 1000);
 	assert_in_range(
-	    run(&f, others, 1000), LIMIT * 97 / 100, LIMIT * 101 / 100);
-	unmake(&f);
+	    run(&f, all_high, 1000), LIMIT * 97 / 100, LIMIT * 101 / 100);
+	teardown(&f);
 }
 
 static void
@@ -196,23 +198,23 @@
 	lim_free(lim);
 }
 
-/* A limit of one a second over four entries is a request every 4 s each. */
+/* A limit of one per second over four gateways is one request per 4 s each. */
 static void
 test_low_limit(void **state)
 {
 	struct fleet f;
 	unsigned int i;
 
-	make(&f);
-	for (i = 0; i < ENTRIES; i++)
-		lim_set(f.lim[i], 1, ENTRIES, f.now_us);
-	run(&f, even, 8000);
-	assert_in_range(run(&f, even, 40000), 36, 44);
-	unmake(&f);
+	setup(&f);
+	for (i = 0; i < GATEWAYS; i++)
+		lim_set(f.lim[i], 1, GATEWAYS, f.now_us);
+	run(&f, equal, 8000);
+	assert_in_range(run(&f, equal, 40000), 36, 44);
+	teardown(&f);
 }
 
 static void
-test_telling(void **state)
+test_report_times(void **state)
 {
 	struct lim *lim = lim_new(1000 * MS);
 	unsigned int i;
@@ -224,7 +226,7 @@
 	for (i = 0; i < 50; i++)
 		lim_take(lim, 1510 * MS, NULL);
 	assert_false(lim_report_due(lim, 1520 * MS));
-	assert_true(lim_report_due(lim, 1600 * MS)); /* it rose */
+	assert_true(lim_report_due(lim, 1600 * MS)); /* demand rose */
 	assert_int_equal(lim_demand(lim, 1600 * MS), 100000);
 	assert_int_equal(lim_demand(lim, 2600 * MS), 0);
 	assert_int_equal(lim_report_ms(4), LIM_REPORT_PERIOD_MS);
@@ -236,7 +238,8 @@
 /* Retry budget                                                        */
 /* ------------------------------------------------------------------ */
 
-/* Every attempt fails: without a budget each request would be four. */
+/* Every attempt fails: without a budget each request would cause four
+ * attempts. */
 static void
 test_retry_storm(void **state)
 {
@@ -256,7 +259,7 @@
 }
 
 static void
-test_retry_floor(void **state)
+test_min_retries(void **state)
 {
 	struct bud bud = { 0 };
 	int64_t now_us = 77000 * MS;
@@ -279,14 +282,14 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_steady),
-		cmocka_unit_test(test_levelled),
+		cmocka_unit_test(test_max_min_fairness),
 		cmocka_unit_test(test_overshoot_is_bounded),
-		cmocka_unit_test(test_cut_off),
+		cmocka_unit_test(test_partitioned),
 		cmocka_unit_test(test_refusal_and_no_limit),
 		cmocka_unit_test(test_low_limit),
-		cmocka_unit_test(test_telling),
+		cmocka_unit_test(test_report_times),
 		cmocka_unit_test(test_retry_storm),
-		cmocka_unit_test(test_retry_floor),
+		cmocka_unit_test(test_min_retries),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
