--- a/tests/route/test_place.c
+++ b/tests/route/test_place.c
@@ -1,4 +1,4 @@
-/* Placement: the same hosts for the same view, one replica moved by a loss. */
+/* Placement: the same hosts for the same members; a loss moves one replica. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,7 +11,7 @@
 #define HOSTS 20
 
 static const char *domains[] = { "a", "b", NULL };
-static const char *nowhere[] = { NULL };
+static const char *any_domain[] = { NULL };
 
 static struct rt_model
 make_model(const char **in, unsigned int hosts)
@@ -23,9 +23,9 @@
 	return model;
 }
 
-/* Offers h0..h19 in steps of `step`, without `left_out`. */
+/* Offers h0..h19 in steps of `step`, except for `excluded`. */
 static GArray *
-place(const struct rt_model *model, unsigned int step, unsigned int left_out)
+place(const struct rt_model *model, unsigned int step, unsigned int excluded)
 {
 	struct rt_place *p = rt_place_new("t", model);
 	char id[16], address[32];
@@ -33,7 +33,7 @@
 
 	for (i = 0; i < HOSTS; i++) {
 		n = i * step % HOSTS;
-		if (n == left_out)
+		if (n == excluded)
 			continue;
 		g_snprintf(id, sizeof(id), "h%u", n);
 		g_snprintf(address, sizeof(address), "127.0.0.1:%u", 1000 + n);
@@ -50,7 +50,7 @@
 }
 
 static void
-test_same_for_same_view(void **state)
+test_same_hosts_for_same_members(void **state)
 {
 	struct rt_model model = make_model(domains, 5);
 	GArray *x = place(&model, 1, HOSTS), *y = place(&model, 7, HOSTS);
@@ -65,28 +65,28 @@
 }
 
 static void
-test_a_loss_moves_one(void **state)
+test_loss_moves_one_replica(void **state)
 {
 	struct rt_model model = make_model(domains, 5);
 	GArray *before = place(&model, 1, HOSTS), *after;
 	unsigned int lost =
 	    (unsigned int)g_ascii_strtoull(at(before, 2)->id + 1, NULL, 10);
-	guint i, kept = 0;
+	guint i, nkept = 0;
 
 	after = place(&model, 1, lost);
 	assert_int_equal(after->len, 5);
 	for (i = 0; i < 5; i++)
-		kept += rt_place_has(after, at(before, i)->id) ? 1 : 0;
-	assert_int_equal(kept, 4);
+		nkept += rt_place_has(after, at(before, i)->id) ? 1 : 0;
+	assert_int_equal(nkept, 4);
 	assert_false(rt_place_has(after, at(before, 2)->id));
 	g_array_unref(before);
 	g_array_unref(after);
 }
 
 static void
-test_all_that_fit(void **state)
+test_all_eligible_hosts(void **state)
 {
-	struct rt_model model = make_model(nowhere, 0);
+	struct rt_model model = make_model(any_domain, 0);
 	GArray *hosts = place(&model, 1, HOSTS);
 
 	assert_int_equal(hosts->len, HOSTS);
@@ -98,7 +98,7 @@
 }
 
 static void
-test_no_place(void **state)
+test_no_eligible_host(void **state)
 {
 	static const struct {
 		const char *domain;
@@ -127,10 +127,10 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_same_for_same_view),
-		cmocka_unit_test(test_a_loss_moves_one),
-		cmocka_unit_test(test_all_that_fit),
-		cmocka_unit_test(test_no_place),
+		cmocka_unit_test(test_same_hosts_for_same_members),
+		cmocka_unit_test(test_loss_moves_one_replica),
+		cmocka_unit_test(test_all_eligible_hosts),
+		cmocka_unit_test(test_no_eligible_host),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
