--- a/lib/route/admit.h
+++ b/lib/route/admit.h
@@ -41,7 +41,7 @@
 	ADM_REFUSED,
 };
 
-/* Embedded in the request; zero it, then set the first part. */
+/* Embedded in the request; zero it, then set the public members. */
 struct adm_ticket {
 	unsigned int priority; /* 0 is most urgent */
 	/* Expected work relative to other tickets of the queue, e.g. the
--- a/lib/route/admit_lane.c
+++ b/lib/route/admit_lane.c
@@ -60,7 +60,7 @@
 	const struct adm_ticket *head = TAILQ_FIRST(&queue->waiting[class]);
 	const struct adm_ticket *tail;
 	int64_t first_us, last_us;
-	uint64_t rest;
+	uint64_t remaining;
 
 	if (head == NULL || adm_order_key(head) >= key_us)
 		return 0;
@@ -69,9 +69,9 @@
 	last_us = adm_order_key(tail);
 	if (last_us <= key_us)
 		return queue->cost[class];
-	rest = queue->cost[class] - head->cost;
+	remaining = queue->cost[class] - head->cost;
 	return head->cost +
-	    rest * (uint64_t)(key_us - first_us) /
+	    remaining * (uint64_t)(key_us - first_us) /
 	    (uint64_t)(last_us - first_us);
 }
 
--- a/lib/route/place.c
+++ b/lib/route/place.c
@@ -5,7 +5,7 @@
 #include "route/route.h"
 
 struct rt_place {
-	const char *team;
+	const char *workspace;
 	const struct rt_model *model;
 	GArray *hosts;
 	/* State of the rt_place_offer call in progress. */
@@ -14,11 +14,11 @@
 };
 
 struct rt_place *
-rt_place_new(const char *team, const struct rt_model *model)
+rt_place_new(const char *workspace, const struct rt_model *model)
 {
 	struct rt_place *place = g_new0(struct rt_place, 1);
 
-	place->team = team;
+	place->workspace = workspace;
 	place->model = model;
 	place->hosts = g_array_new(FALSE, TRUE, sizeof(struct rt_place_host));
 	return place;
@@ -30,7 +30,7 @@
 	struct rt_place *place = ctx;
 
 	if (target->kind == RT_ENGINE &&
-	    strcmp(target->team, place->team) == 0 &&
+	    strcmp(target->team, place->workspace) == 0 &&
 	    rt_model_placed(place->model, target->pool, place->domain))
 		place->fits = true;
 }
