--- a/tests/route/test_choose.c
+++ b/tests/route/test_choose.c
@@ -346,12 +346,12 @@
 test_prefix_hash(void **state)
 {
 	char *text = g_strnfill(200, 'x');
-	struct rt_prefix whole, parts, other;
+	struct rt_prefix single, parts, other;
 
-	rt_prefix_begin(&whole);
-	rt_prefix_add(&whole, "a");
-	assert_int_equal(whole.hash, 0xaf63dc4c8601ec8cULL); /* FNV-1a 64 */
-	assert_int_equal(rt_prefix_end(&whole), 0);
+	rt_prefix_begin(&single);
+	rt_prefix_add(&single, "a");
+	assert_int_equal(single.hash, 0xaf63dc4c8601ec8cULL); /* FNV-1a 64 */
+	assert_int_equal(rt_prefix_end(&single), 0);
 	rt_prefix_begin(&parts);
 	rt_prefix_add(&parts, text);
 	rt_prefix_add(&parts, text);
