--- a/lib/route/admit.h
+++ b/lib/route/admit.h
@@ -121,8 +121,8 @@
 /* The caller disconnected; allowed for a ticket in any state. */
 void adm_cancel(struct adm_ticket *ticket, int64_t now_us);
 
-/* Refuses the waiting tickets that missed their deadline or are expected to
- * miss it before they start. Call every ADM_TICK_MS. */
+/* Refuses the waiting tickets that have missed a deadline or are expected to
+ * miss one before they start. Call every ADM_TICK_MS. */
 #define ADM_TICK_MS 20
 void adm_expire(struct adm *adm, int64_t now_us);
 
--- a/lib/route/admit_lane.c
+++ b/lib/route/admit_lane.c
@@ -97,7 +97,7 @@
 	uint64_t initial = 0;
 
 	if (queue->nwaiting == 0) {
-		/* Initial estimate by Little's law, until one is measured. */
+		/* Little's law, until a rate is measured. */
 		if (unit_us > 0)
 			initial = queue->limit * 1000ULL * G_USEC_PER_SEC /
 			    (uint64_t)unit_us;
--- a/lib/route/fleet.c
+++ b/lib/route/fleet.c
@@ -287,7 +287,7 @@
 {
 	if (target->local_inflight > 0)
 		target->local_inflight--;
-	/* Requests that ended can no longer be answered. */
+	/* Only running requests can still be answered. */
 	target->unanswered = MIN(target->unanswered, target->local_inflight);
 	handle_result(target, err, now_us);
 	update_sums(target, now_us);
