--- a/tests/route/test_admit.c
+++ b/tests/route/test_admit.c
@@ -247,7 +247,7 @@
 	teardown(g);
 }
 
-/* Runs requests of 100 ms, `slots` at a time, for `ms`; keeps the queue full. */
+/* Runs 100 ms requests, `slots` at a time, for `ms`; the queue stays full. */
 static void
 run_busy(struct fixture *g, unsigned int slots, unsigned int ms)
 {
