--- a/lib/agree/agr.c
+++ b/lib/agree/agr.c
@@ -43,15 +43,15 @@
 	struct agr *agr = ctx;
 
 	if (note->kind == MEM_NOTE_BRANCH)
-		agr_settings_noted(agr, note, from);
+		agr_settings_on_note(agr, note, from);
 	else
-		agr_role_noted(agr, note);
+		agr_roles_on_note(agr, note);
 }
 
 static void
 on_differ(const char *address, uint64_t settings, void *ctx)
 {
-	agr_settings_differ(ctx, address);
+	agr_settings_digest_differs(ctx, address);
 }
 
 static void
@@ -63,7 +63,7 @@
 static const struct mem_ops mem_ops = {
 	.send = on_send,
 	.changed = on_changed,
-	.noted = on_noted,
+	.note_received = on_noted,
 	.settings_differ = on_differ,
 	.sync = on_sync,
 };
@@ -76,7 +76,7 @@
 	struct mem_msg message;
 
 	if (desc != NULL && msg_read(m, desc, &message, NULL))
-		mem_take(agr->mem, agr_now_us(agr), from, m->type, &message);
+		mem_receive(agr->mem, agr_now_us(agr), from, m->type, &message);
 }
 
 /* The host list lags: its addresses are only asked whether they are there. */
@@ -97,11 +97,11 @@
 static void
 ask_hosts(struct agr *agr, int64_t now_us)
 {
-	if (agr->conf.hosts == NULL || now_us < agr->hosts_us ||
+	if (agr->conf.hosts == NULL || now_us < agr->next_hosts_us ||
 	    agr->hosts_call != NULL)
 		return;
 	/* By all nodes together about one call a pause. */
-	agr->hosts_us = now_us + HOSTS_PAUSE_US;
+	agr->next_hosts_us = now_us + HOSTS_PAUSE_US;
 	if (rng_below(&agr->rng, mem_count(agr->mem)) > 0)
 		return;
 	agr->hosts_call = g_new(struct agr *, 1);
@@ -125,8 +125,8 @@
 	mem_tick(agr->mem, now_us);
 	if (agr->members_changed) {
 		agr->members_changed = false;
-		agr_settings_members(agr);
-		agr_roles_members(agr);
+		agr_settings_members_changed(agr);
+		agr_roles_members_changed(agr);
 		ctr_put(agr->members, mem_count(agr->mem));
 	}
 	agr_settings_tick(agr, now_us);
@@ -167,7 +167,7 @@
 	rng_seed(&agr->rng, conf->seed);
 	agr->conf.self.incarnation = (uint64_t)clk_wall_us(agr->clock) / 1000;
 	agr->started_us = agr_now_us(agr);
-	agr->told =
+	agr->answered_peers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	open_counters(agr);
 	agr->inf = inf_new();
@@ -214,7 +214,7 @@
 	mem_free(agr->mem);
 	inf_free(agr->inf);
 	chart_free(agr->lease_chart);
-	g_hash_table_unref(agr->told);
+	g_hash_table_unref(agr->answered_peers);
 	g_strfreev(agr->seeds);
 	g_free((char *)agr->conf.objects);
 	g_free((char *)agr->conf.hosts);
--- a/lib/agree/agr_internal.h
+++ b/lib/agree/agr_internal.h
@@ -32,7 +32,7 @@
 	struct lse *lse;
 	char op[OBJ_OP_MAX];
 	unsigned int calls; /* object API calls under way */
-	bool left;
+	bool closed;
 	LIST_ENTRY(agr_role) link;
 };
 
@@ -56,22 +56,24 @@
 	bool ready;
 	int64_t started_us;
 	struct inf_start start;
-	GHashTable *told; /* addresses of ready peers that answered a pull */
+	GHashTable
+	    *answered_peers; /* addresses of ready peers that answered a pull */
 	bool listing;
-	unsigned int reading; /* objects of the list still to come */
+	unsigned int pending_reads; /* objects of the list still to come */
 	bool read_failed;
-	int64_t list_us; /* no earlier list than this */
+	int64_t next_list_us; /* no earlier list than this */
 	unsigned int list_deadline_ms;
 	struct obj_watch *watch;
 	bool watch_works;
 	uint64_t revision;
-	int64_t differ_us; /* no earlier pull for a differing digest */
+	int64_t
+	    next_digest_pull_us; /* no earlier pull for a differing digest */
 	struct { /* news heard while pulls were under way */
 		char address[MEM_ADDRESS_MAX + 1];
 		char branch[INF_BRANCH_MAX + 1];
 		uint64_t version;
-	} later;
-	int64_t hosts_us; /* no earlier call than this */
+	} queued_note;
+	int64_t next_hosts_us; /* no earlier call than this */
 	struct agr **hosts_call; /* its context while one is under way */
 
 	LIST_HEAD(pull_list, pull) pulls;
@@ -98,20 +100,21 @@
 
 /* agr_settings.c */
 void agr_settings_tick(struct agr *agr, int64_t now_us);
-void agr_settings_members(struct agr *agr); /* members changed */
-void agr_settings_noted(
+void agr_settings_members_changed(struct agr *agr); /* members changed */
+void agr_settings_on_note(
     struct agr *agr, const struct mem_note *note, const char *from);
-void agr_settings_differ(struct agr *agr, const char *from);
-void agr_settings_told(struct agr *agr, const char *address, bool ready);
-void agr_settings_pulled(struct agr *agr); /* a pull ended */
+void agr_settings_digest_differs(struct agr *agr, const char *from);
+void agr_settings_peer_answered(
+    struct agr *agr, const char *address, bool ready);
+void agr_settings_pull_ended(struct agr *agr); /* a pull ended */
 void agr_settings_stop(struct agr *agr);
-void agr_adopt(struct agr *agr, const char *name, uint64_t version,
+void agr_offer_branch(struct agr *agr, const char *name, uint64_t version,
     const char *yaml, const char *source);
 
 /* agr_role.c */
 void agr_roles_tick(struct agr *agr, int64_t now_us);
-void agr_roles_members(struct agr *agr);
-void agr_role_noted(struct agr *agr, const struct mem_note *note);
+void agr_roles_members_changed(struct agr *agr);
+void agr_roles_on_note(struct agr *agr, const struct mem_note *note);
 void agr_roles_leave(struct agr *agr);
 void agr_roles_free(struct agr *agr);
 
--- a/lib/agree/agr_pull.c
+++ b/lib/agree/agr_pull.c
@@ -97,7 +97,7 @@
 static void
 answer_ask(struct agr *agr, struct conn *c, struct slice known)
 {
-	GByteArray *roles = mem_roles(agr->mem);
+	GByteArray *roles = mem_pack_role_notes(agr->mem);
 	struct msg_ask_end end = {
 		.ready = agr->ready,
 		.roles = { roles->data, roles->len },
@@ -168,7 +168,7 @@
 		return;
 	name = slice_dup(branch.name);
 	yaml = slice_dup(branch.yaml);
-	agr_adopt(p->agr, name, branch.version, yaml, p->address);
+	agr_offer_branch(p->agr, name, branch.version, yaml, p->address);
 	g_free(name);
 	g_free(yaml);
 }
@@ -181,7 +181,7 @@
 	if (!msg_read(m, &ask_end_desc, &end, NULL))
 		return;
 	mem_sync_roles(p->agr->mem, agr_now_us(p->agr), end.roles);
-	agr_settings_told(p->agr, p->address, end.ready != 0);
+	agr_settings_peer_answered(p->agr, p->address, end.ready != 0);
 }
 
 static void
@@ -229,7 +229,7 @@
 		LIST_REMOVE(p, link);
 	g_free(p);
 	if (agr != NULL && kind == PULL_SETTINGS)
-		agr_settings_pulled(agr);
+		agr_settings_pull_ended(agr);
 }
 
 static const struct conn_ops pull_ops = {
--- a/lib/agree/agr_role.c
+++ b/lib/agree/agr_role.c
@@ -7,7 +7,7 @@
 static void
 free_when_idle(struct agr_role *role)
 {
-	if (!role->left || role->calls > 0)
+	if (!role->closed || role->calls > 0)
 		return;
 	LIST_REMOVE(role, link);
 	lse_free(role->lse);
@@ -107,7 +107,7 @@
 
 	add_event(role, "role_gained", fence);
 	log_info("role %s gained, fence %" G_GUINT64_FORMAT, role->name, fence);
-	if (role->ops->gained != NULL && !role->left)
+	if (role->ops->gained != NULL && !role->closed)
 		role->ops->gained(role, fence, role->ctx);
 }
 
@@ -118,7 +118,7 @@
 
 	add_event(role, "role_lost", 0);
 	log_info("role %s lost", role->name);
-	if (role->ops->lost != NULL && !role->left)
+	if (role->ops->lost != NULL && !role->closed)
 		role->ops->lost(role, role->ctx);
 }
 
@@ -180,7 +180,7 @@
 }
 
 void
-agr_roles_members(struct agr *agr)
+agr_roles_members_changed(struct agr *agr)
 {
 	struct agr_role *role;
 
@@ -200,7 +200,7 @@
 }
 
 void
-agr_role_noted(struct agr *agr, const struct mem_note *note)
+agr_roles_on_note(struct agr *agr, const struct mem_note *note)
 {
 	struct agr_role *role;
 
@@ -243,9 +243,9 @@
 {
 	struct agr *agr = role->agr;
 
-	if (!role->left)
+	if (!role->closed)
 		lse_leave(role->lse, agr_now_us(agr));
-	role->left = true;
+	role->closed = true;
 	free_when_idle(role);
 }
 
@@ -277,7 +277,7 @@
 	struct agr_role *role;
 
 	while ((role = LIST_FIRST(&agr->roles)) != NULL) {
-		role->left = true;
+		role->closed = true;
 		role->calls = 0;
 		free_when_idle(role);
 	}
--- a/lib/agree/agr_settings.c
+++ b/lib/agree/agr_settings.c
@@ -24,8 +24,8 @@
 /* ------------------------------------------------------------------ */
 
 void
-agr_adopt(struct agr *agr, const char *name, uint64_t version, const char *yaml,
-    const char *source)
+agr_offer_branch(struct agr *agr, const char *name, uint64_t version,
+    const char *yaml, const char *source)
 {
 	struct mem_note note = {
 		.kind = MEM_NOTE_BRANCH,
@@ -82,7 +82,7 @@
 	for (i = 0; i < n; i++) {
 		name = branch_of(objects[i].key);
 		if (name != NULL && objects[i].value != NULL)
-			agr_adopt(agr, name, objects[i].version,
+			agr_offer_branch(agr, name, objects[i].version,
 			    objects[i].value, "watch");
 	}
 }
@@ -122,7 +122,7 @@
 }
 
 void
-agr_settings_members(struct agr *agr)
+agr_settings_members_changed(struct agr *agr)
 {
 	bool watcher = rank_is_watcher(agr->mem, agr->conf.self.id);
 
@@ -141,7 +141,7 @@
 /* ------------------------------------------------------------------ */
 
 void
-agr_settings_noted(
+agr_settings_on_note(
     struct agr *agr, const struct mem_note *note, const char *from)
 {
 	if (from == NULL || !inf_is_news(agr->inf, note->name, note->number))
@@ -150,31 +150,34 @@
 		agr_pull(agr, PULL_SETTINGS, from);
 		return;
 	}
-	g_strlcpy(agr->later.address, from, sizeof(agr->later.address));
-	g_strlcpy(agr->later.branch, note->name, sizeof(agr->later.branch));
-	agr->later.version = note->number;
+	g_strlcpy(
+	    agr->queued_note.address, from, sizeof(agr->queued_note.address));
+	g_strlcpy(agr->queued_note.branch, note->name,
+	    sizeof(agr->queued_note.branch));
+	agr->queued_note.version = note->number;
 }
 
 void
-agr_settings_pulled(struct agr *agr)
+agr_settings_pull_ended(struct agr *agr)
 {
-	if (agr->later.version == 0)
+	if (agr->queued_note.version == 0)
 		return;
-	if (inf_is_news(agr->inf, agr->later.branch, agr->later.version))
-		agr_pull(agr, PULL_SETTINGS, agr->later.address);
-	agr->later.version = 0;
+	if (inf_is_news(
+		agr->inf, agr->queued_note.branch, agr->queued_note.version))
+		agr_pull(agr, PULL_SETTINGS, agr->queued_note.address);
+	agr->queued_note.version = 0;
 }
 
 /* Anti-entropy: the urgent note was lost, or we were away. */
 void
-agr_settings_differ(struct agr *agr, const char *from)
+agr_settings_digest_differs(struct agr *agr, const char *from)
 {
 	int64_t now_us = agr_now_us(agr);
 
-	if (now_us < agr->differ_us ||
+	if (now_us < agr->next_digest_pull_us ||
 	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_AT_ONCE)
 		return;
-	agr->differ_us = now_us + DIFFER_PAUSE_US;
+	agr->next_digest_pull_us = now_us + DIFFER_PAUSE_US;
 	agr_pull(agr, PULL_SETTINGS, from);
 }
 
@@ -185,7 +188,7 @@
 static void
 read_ended(struct agr *agr)
 {
-	if (agr->reading > 0)
+	if (agr->pending_reads > 0)
 		return;
 	agr->listing = false;
 	if (agr->read_failed)
@@ -204,10 +207,11 @@
 
 	if (agr->closing)
 		return;
-	agr->reading--;
+	agr->pending_reads--;
 	if (err == NULL) {
 		name = branch_of(object->key);
-		agr_adopt(agr, name, object->version, object->value, "api");
+		agr_offer_branch(
+		    agr, name, object->version, object->value, "api");
 	} else if (err->code != ERR_NOT_FOUND) {
 		agr->read_failed = true;
 	}
@@ -225,7 +229,7 @@
 	if (agr->closing)
 		return;
 	agr->read_failed = err != NULL;
-	agr->list_us = agr_now_us(agr) + LIST_PAUSE_US;
+	agr->next_list_us = agr_now_us(agr) + LIST_PAUSE_US;
 	if (err == NULL)
 		agr->revision = MAX(agr->revision, revision);
 	for (i = 0; i < n; i++) {
@@ -233,7 +237,7 @@
 		if (name == NULL ||
 		    !inf_is_news(agr->inf, name, objects[i].version))
 			continue;
-		agr->reading++;
+		agr->pending_reads++;
 		obj_get(agr->obj, objects[i].key, agr->list_deadline_ms,
 		    on_read, agr);
 	}
@@ -243,10 +247,10 @@
 static void
 list_when_due(struct agr *agr, int64_t now_us)
 {
-	if (agr->listing || agr->start.api_read || now_us < agr->list_us)
+	if (agr->listing || agr->start.api_read || now_us < agr->next_list_us)
 		return;
-	if (agr->list_us == 0 && agr->conf.self.kind == MEM_SIDE) {
-		agr->list_us = agr->started_us +
+	if (agr->next_list_us == 0 && agr->conf.self.kind == MEM_SIDE) {
+		agr->next_list_us = agr->started_us +
 		    (int64_t)rng_below(&agr->rng, SIDE_LIST_WAIT_MS) * 1000;
 		return;
 	}
@@ -257,12 +261,12 @@
 }
 
 void
-agr_settings_told(struct agr *agr, const char *address, bool ready)
+agr_settings_peer_answered(struct agr *agr, const char *address, bool ready)
 {
 	if (!ready)
 		return; /* may know less than was accepted */
-	g_hash_table_add(agr->told, g_strdup(address));
-	agr->start.peers_told = g_hash_table_size(agr->told);
+	g_hash_table_add(agr->answered_peers, g_strdup(address));
+	agr->start.peers_told = g_hash_table_size(agr->answered_peers);
 	agr_gates_told(agr);
 }
 
@@ -276,7 +280,8 @@
 	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_AT_ONCE)
 		return;
 	address = mem_random_address(agr->mem);
-	if (address != NULL && !g_hash_table_contains(agr->told, address))
+	if (address != NULL &&
+	    !g_hash_table_contains(agr->answered_peers, address))
 		agr_pull(agr, PULL_SETTINGS, address);
 }
 
@@ -339,7 +344,7 @@
 	/* In force here before the answer: who reads back what was just
 	 * accepted from this node must find it. */
 	if (err == NULL && !w->agr->closing)
-		agr_adopt(w->agr, w->name, version, w->yaml, "write");
+		agr_offer_branch(w->agr, w->name, version, w->yaml, "write");
 	w->done(version, now, err, w->ctx);
 	write_free(w);
 }
--- a/lib/agree/mem.c
+++ b/lib/agree/mem.c
@@ -18,7 +18,7 @@
 }
 
 uint64_t
-mem_life(uint64_t incarnation)
+mem_start_ms(uint64_t incarnation)
 {
 	return incarnation >> MEM_REFUTES_BITS;
 }
@@ -94,7 +94,7 @@
 	if (e->class != MEM_CLASSES)
 		TAILQ_REMOVE(&mem->updates[e->class], e, update_link);
 	e->class = MEM_CLASSES;
-	if (mem->many_news && class == MEM_CLASS_ALIVE)
+	if (mem->bulk_page && class == MEM_CLASS_ALIVE)
 		return;
 	e->class = class;
 	/* News of a new member may be late, a table sync fills the gaps. */
@@ -120,10 +120,10 @@
 {
 	enum mem_state before = e->member.state;
 
-	mem->view ^= view_of(e);
+	mem->table_digest ^= view_of(e);
 	e->member.node.incarnation = incarnation;
 	e->member.state = state;
-	mem->view ^= view_of(e);
+	mem->table_digest ^= view_of(e);
 	mem->changed_us = now_us;
 	mem->alive += (before == MEM_DEAD) - (state == MEM_DEAD);
 	e->suspect_until_us =
@@ -144,12 +144,13 @@
 refute(struct mem *mem, int64_t now_us, uint64_t incarnation)
 {
 	struct mem_entry *self = mem->self;
-	uint64_t life = mem_life(self->member.node.incarnation);
+	uint64_t life = mem_start_ms(self->member.node.incarnation);
 
-	if (mem_life(incarnation) > life) {
+	if (mem_start_ms(incarnation) > life) {
 		/* An earlier life with a faster clock than ours: the static
 		 * facts must be seen as newer too. */
-		incarnation = (mem_life(incarnation) + 1) << MEM_REFUTES_BITS;
+		incarnation = (mem_start_ms(incarnation) + 1)
+		    << MEM_REFUTES_BITS;
 	} else {
 		incarnation++;
 	}
@@ -180,7 +181,8 @@
 		return;
 	}
 	if (e != NULL &&
-	    (mem_life(incarnation) == mem_life(e->member.node.incarnation) ||
+	    (mem_start_ms(incarnation) ==
+		    mem_start_ms(e->member.node.incarnation) ||
 		state == MEM_DEAD)) {
 		change(mem, e, now_us, incarnation, state);
 		return;
@@ -190,7 +192,7 @@
 		return;
 	wanted = g_new(uint64_t, 1);
 	*wanted = key;
-	g_hash_table_replace(mem->wanted, wanted, g_strdup(from));
+	g_hash_table_replace(mem->missing_records, wanted, g_strdup(from));
 }
 
 static struct mem_entry *
@@ -225,17 +227,17 @@
 		if (state == MEM_DEAD)
 			return;
 		e = add(mem, node, now_us);
-		g_hash_table_remove(mem->wanted, &key);
+		g_hash_table_remove(mem->missing_records, &key);
 		change(mem, e, now_us, incarnation, state);
 		return;
 	}
 	known = e->member.node.incarnation;
-	if (mem_life(incarnation) > mem_life(known)) {
-		mem->view ^= view_of(e);
+	if (mem_start_ms(incarnation) > mem_start_ms(known)) {
+		mem->table_digest ^= view_of(e);
 		e->member.node = *node;
-		mem->view ^= view_of(e);
+		mem->table_digest ^= view_of(e);
 		e->member.settings = 0;
-		g_hash_table_remove(mem->wanted, &key);
+		g_hash_table_remove(mem->missing_records, &key);
 		/* Another address is a change, whatever the state was. */
 		if (e->member.state == state && state != MEM_DEAD)
 			mem->ops->changed(&e->member, mem->ctx);
@@ -281,7 +283,7 @@
 
 /* A pause of ours must not count as silence of the others. */
 void
-mem_forgive(struct mem *mem, int64_t paused_us)
+mem_extend_suspicions(struct mem *mem, int64_t paused_us)
 {
 	struct mem_entry *e;
 	guint i;
@@ -309,10 +311,10 @@
 	return MAX(now_us - mem->fresh_us, 0) / 1000;
 }
 
-static struct mem_noted *
+static struct mem_note_entry *
 noted(const struct mem *mem, enum mem_note_kind kind, const char *name)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->note.kind == kind && strcmp(n->note.name, name) == 0)
@@ -333,9 +335,9 @@
 bool
 mem_note_merge(struct mem *mem, const struct mem_note *note)
 {
-	struct mem_noted *n = noted(mem, note->kind, note->name);
+	struct mem_note_entry *n = noted(mem, note->kind, note->name);
 	unsigned int known = 0;
-	const struct mem_noted *each;
+	const struct mem_note_entry *each;
 
 	if (n != NULL && !is_newer_note(note, &n->note))
 		return false;
@@ -344,7 +346,7 @@
 			known++;
 		if (known >= NOTES_MAX)
 			return false;
-		n = g_new0(struct mem_noted, 1);
+		n = g_new0(struct mem_note_entry, 1);
 		LIST_INSERT_HEAD(&mem->notes, n, link);
 	}
 	if (note->kind == MEM_NOTE_ROLE)
@@ -357,9 +359,9 @@
 }
 
 void
-mem_renote(struct mem *mem)
+mem_resend_role_notes(struct mem *mem)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->note.kind == MEM_NOTE_ROLE && n->sends_left == 0)
@@ -380,7 +382,7 @@
 const struct mem_note *
 mem_find_note(const struct mem *mem, enum mem_note_kind kind, const char *name)
 {
-	struct mem_noted *n = noted(mem, kind, name);
+	struct mem_note_entry *n = noted(mem, kind, name);
 
 	return n == NULL ? NULL : &n->note;
 }
@@ -405,7 +407,7 @@
 	mem->by_key =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	mem->by_id = g_ptr_array_new();
-	mem->wanted =
+	mem->missing_records =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	mem->order = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (i = 0; i < MEM_CLASSES; i++)
@@ -415,14 +417,14 @@
 	self.incarnation <<= MEM_REFUTES_BITS;
 	mem->self = add(mem, &self, now_us);
 	mem->self->member.state = MEM_ALIVE;
-	mem->view = view_of(mem->self);
+	mem->table_digest = view_of(mem->self);
 	mem->alive = 1;
 	announce(mem, mem->self, MEM_CLASS_ALIVE);
 	mem->last_tick_us = now_us;
-	mem->bytes_us = now_us;
+	mem->credit_us = now_us;
 	mem->fresh_us = now_us;
 	/* Nodes started together must not probe in the same instant. */
-	mem->period_us =
+	mem->next_probe_us =
 	    now_us + (int64_t)rng_below(&mem->rng, conf->gossip_ms * 250 + 1);
 	return mem;
 }
@@ -430,7 +432,7 @@
 void
 mem_free(struct mem *mem)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 	struct mem_relay *r;
 
 	if (mem == NULL)
@@ -444,7 +446,7 @@
 		g_free(r);
 	}
 	g_hash_table_unref(mem->by_key);
-	g_hash_table_unref(mem->wanted);
+	g_hash_table_unref(mem->missing_records);
 	g_ptr_array_unref(mem->by_id);
 	g_array_unref(mem->order);
 	g_strfreev(mem->seeds);
@@ -508,9 +510,9 @@
 }
 
 uint64_t
-mem_view(const struct mem *mem)
+mem_table_digest(const struct mem *mem)
 {
-	return mem->view;
+	return mem->table_digest;
 }
 
 const char *
--- a/lib/agree/mem_in_force.c
+++ b/lib/agree/mem_in_force.c
@@ -22,7 +22,7 @@
 }
 
 void
-mem_seen_settings(struct mem *mem, struct mem_entry *e, uint64_t settings)
+mem_record_settings(struct mem *mem, struct mem_entry *e, uint64_t settings)
 {
 	/* Digests grow with the versions, see inf_digest(); an older one
 	 * that comes late must not hide the newer. */
@@ -36,7 +36,7 @@
 void
 mem_set_settings(struct mem *mem, uint64_t settings)
 {
-	mem_seen_settings(mem, mem->self, settings);
+	mem_record_settings(mem, mem->self, settings);
 }
 
 static int
@@ -78,7 +78,7 @@
 }
 
 void
-mem_take_map(struct mem *mem, uint64_t settings, struct slice map)
+mem_apply_map(struct mem *mem, uint64_t settings, struct slice map)
 {
 	struct mem_entry *e;
 	size_t place = 0;
@@ -92,7 +92,7 @@
 			continue;
 		if ((map.data[place / 8] >> place % 8 & 1) != 0 &&
 		    e != mem->self)
-			mem_seen_settings(mem, e, settings);
+			mem_record_settings(mem, e, settings);
 		place++;
 	}
 }
--- a/lib/agree/mem_internal.h
+++ b/lib/agree/mem_internal.h
@@ -29,7 +29,8 @@
 	uint64_t target; /* ping_req and relayed acks */
 	uint64_t settings;
 	uint64_t fence;
-	uint64_t view; /* digest of the sender's table, see mem_view() */
+	uint64_t
+	    table_digest; /* digest of the sender's table, see mem_table_digest() */
 	uint64_t members; /* that the sender knows, without the dead */
 	uint64_t age_ms; /* since a watch of the settings was surely well */
 	struct slice updates;
@@ -65,7 +66,8 @@
 	void (*changed)(const struct mem_member *member, void *ctx);
 	/* A note with a higher number than any before, or of a branch at
 	 * all; `from` is where the teller answers, NULL in a table sync. */
-	void (*noted)(const struct mem_note *note, const char *from, void *ctx);
+	void (*note_received)(
+	    const struct mem_note *note, const char *from, void *ctx);
 	/* The peer has other settings than we have. */
 	void (*settings_differ)(
 	    const char *address, uint64_t settings, void *ctx);
@@ -81,7 +83,7 @@
 void mem_free(struct mem *mem);
 #define MEM_TICK_MS 100
 void mem_tick(struct mem *mem, int64_t now_us); /* every MEM_TICK_MS */
-void mem_take(struct mem *mem, int64_t now_us, const char *from,
+void mem_receive(struct mem *mem, int64_t now_us, const char *from,
     enum mem_type type, const struct mem_msg *message);
 void mem_leave(struct mem *mem, int64_t now_us);
 /* An address that may answer, from the host list. At most one is kept. */
@@ -102,7 +104,7 @@
 unsigned int mem_count(const struct mem *mem); /* without the dead */
 /* Address of a random live member other than this node, NULL if none. */
 const char *mem_random_address(struct mem *mem);
-uint64_t mem_view(const struct mem *mem);
+uint64_t mem_table_digest(const struct mem *mem);
 
 /*
  * Taking over a table: the asking node sends its list, the answering node
@@ -111,14 +113,14 @@
  */
 #define MEM_PAGE_BYTES (64u << 10)
 typedef void mem_page_cb(struct slice page, void *ctx);
-GByteArray *mem_roles(const struct mem *mem); /* notes */
+GByteArray *mem_pack_role_notes(const struct mem *mem); /* notes */
 GByteArray *mem_sync_list(struct mem *mem);
 GByteArray *mem_sync_answer(struct mem *mem, int64_t now_us, struct slice list,
     mem_page_cb *page, void *ctx);
 void mem_sync_records(
     struct mem *mem, struct slice keys, mem_page_cb *page, void *ctx);
 void mem_sync_page(struct mem *mem, int64_t now_us, struct slice page);
-/* The notes of mem_roles() only. */
+/* The notes of mem_pack_role_notes() only. */
 void mem_sync_roles(struct mem *mem, int64_t now_us, struct slice roles);
 
 /* ------------------------------------------------------------------ */
@@ -144,17 +146,17 @@
 };
 TAILQ_HEAD(mem_entry_list, mem_entry);
 
-struct mem_noted {
+struct mem_note_entry {
 	struct mem_note note;
 	unsigned int sends_left;
 	bool urgent;
-	LIST_ENTRY(mem_noted) link;
+	LIST_ENTRY(mem_note_entry) link;
 };
 
 struct mem_relay { /* a ping sent for somebody else */
 	uint64_t seq;
-	uint64_t asker_seq;
-	char asker[MEM_ADDRESS_MAX + 1];
+	uint64_t requester_seq;
+	char requester[MEM_ADDRESS_MAX + 1];
 	int64_t until_us;
 	LIST_ENTRY(mem_relay) link;
 };
@@ -164,7 +166,7 @@
 	uint64_t seq;
 	int64_t indirect_us; /* when others are asked */
 	int64_t end_us;
-	bool asked;
+	bool indirect_sent;
 };
 
 struct mem {
@@ -178,31 +180,32 @@
 	GPtrArray *by_id; /* sorted; the dead are in it too */
 	unsigned int alive; /* entries that are not dead */
 	unsigned int next_dead; /* place in by_id, for probes of the dead */
-	uint64_t view;
+	uint64_t table_digest;
 	int64_t changed_us; /* when it last changed */
 	struct mem_entry_list updates[MEM_CLASSES];
 	/* Sends left of the map of who has our settings; see mem_in_force.c. */
 	unsigned int map_sends_left;
-	LIST_HEAD(mem_note_list, mem_noted) notes;
+	LIST_HEAD(mem_note_list, mem_note_entry) notes;
 	int64_t fresh_us; /* when a watch was last known to work */
 	bool urgent; /* an update waits for its fan-out */
 	GArray *order; /* keys of the round robin, shuffled */
 	unsigned int next;
 	struct mem_probe probe;
 	uint64_t seq;
-	int64_t period_us; /* when the next probe starts */
+	int64_t next_probe_us; /* when the next probe starts */
 	int64_t last_tick_us;
 	LIST_HEAD(mem_relay_list, mem_relay) relays;
 	unsigned int nrelays;
-	GHashTable *wanted; /* key -> address of who told of it */
-	int64_t want_us; /* no earlier question than this */
+	GHashTable *missing_records; /* key -> address of who told of it */
+	int64_t next_want_us; /* no earlier question than this */
 	char hint[MEM_ADDRESS_MAX + 1];
-	int64_t bytes; /* credit for datagrams */
-	int64_t bytes_us;
+	int64_t byte_credit; /* credit for datagrams */
+	int64_t credit_us;
 	bool joined; /* has taken over a table */
-	int64_t synced_us; /* when the last sync began; 0: never */
-	bool many_news; /* a page full of members is being taken */
-	unsigned int differ; /* grows with each peer of another view */
+	int64_t sync_started_us; /* when the last sync began; 0: never */
+	bool bulk_page; /* a page full of members is being taken */
+	unsigned int
+	    digest_mismatches; /* grows with each peer of another view */
 };
 
 /*
@@ -211,7 +214,7 @@
  * here are still those of this life.
  */
 #define MEM_REFUTES_BITS 16
-uint64_t mem_life(uint64_t incarnation);
+uint64_t mem_start_ms(uint64_t incarnation);
 
 /* mem.c: the table and its rules */
 uint64_t mem_key(const char *id);
@@ -224,10 +227,10 @@
 unsigned int mem_log2(const struct mem *mem);
 bool mem_note_merge(struct mem *mem, const struct mem_note *note);
 /* Passes the roles' notes on once more: a peer lacks some. */
-void mem_renote(struct mem *mem);
+void mem_resend_role_notes(struct mem *mem);
 
 void mem_expire(struct mem *mem, int64_t now_us); /* once a period */
-void mem_forgive(struct mem *mem, int64_t paused_us);
+void mem_extend_suspicions(struct mem *mem, int64_t paused_us);
 
 struct mem_map { /* borrowed from the blob */
 	uint64_t settings;
@@ -241,13 +244,14 @@
 void mem_pack_updates(struct mem *mem, GByteArray *out, size_t room,
     struct mem_entry *about, bool urgent);
 /* The map of settings in the blob, if any, is left in `map` (may be NULL). */
-void mem_take_updates(struct mem *mem, int64_t now_us, const char *from,
+void mem_apply_updates(struct mem *mem, int64_t now_us, const char *from,
     struct slice updates, struct mem_map *map);
 
 /* mem_in_force.c: who has which settings */
-void mem_seen_settings(struct mem *mem, struct mem_entry *e, uint64_t settings);
+void mem_record_settings(
+    struct mem *mem, struct mem_entry *e, uint64_t settings);
 void mem_pack_map(struct mem *mem, GByteArray *out, size_t room);
-void mem_take_map(struct mem *mem, uint64_t settings, struct slice map);
+void mem_apply_map(struct mem *mem, uint64_t settings, struct slice map);
 
 /* mem_probe.c */
 void mem_flush(struct mem *mem, int64_t now_us); /* urgent news, now */
--- a/lib/agree/mem_probe.c
+++ b/lib/agree/mem_probe.c
@@ -39,14 +39,14 @@
 static void
 refill(struct mem *mem, int64_t now_us)
 {
-	int64_t gained = (now_us - mem->bytes_us) * MEM_BYTES_S;
+	int64_t gained = (now_us - mem->credit_us) * MEM_BYTES_S;
 
 	gained /= G_USEC_PER_SEC;
 	/* Whole bytes only, or frequent calls would gain nothing. */
 	if (gained <= 0)
 		return;
-	mem->bytes = MIN(mem->bytes + gained, MEM_BYTES_BURST);
-	mem->bytes_us = now_us;
+	mem->byte_credit = MIN(mem->byte_credit + gained, MEM_BYTES_BURST);
+	mem->credit_us = now_us;
 }
 
 static void
@@ -61,13 +61,13 @@
 		.target = target,
 		.settings = self->settings,
 		.fence = self->fence,
-		.view = mem->view,
+		.table_digest = mem->table_digest,
 		.members = mem->alive,
-		.age_ms = (uint64_t)mem_age_ms(mem, mem->bytes_us),
+		.age_ms = (uint64_t)mem_age_ms(mem, mem->credit_us),
 		.updates = { blob->data, blob->len },
 	};
 
-	mem->bytes -= HEADER_BYTES + blob->len;
+	mem->byte_credit -= HEADER_BYTES + blob->len;
 	mem->ops->send(to, type, &message, mem->ctx);
 }
 
@@ -77,7 +77,7 @@
 {
 	GByteArray *blob = g_byte_array_new();
 	/* Half of the credit each time, so that the next one has room too. */
-	int64_t room = CLAMP(mem->bytes / 2, ROOM_MIN, ROOM_MAX);
+	int64_t room = CLAMP(mem->byte_credit / 2, ROOM_MIN, ROOM_MAX);
 
 	mem_pack_updates(mem, blob, (size_t)room, about, false);
 	send_blob(mem, to, type, seq, target, blob);
@@ -104,7 +104,7 @@
 
 	refill(mem, now_us);
 	if (!mem->urgent ||
-	    mem->bytes < URGENT_FANOUT * (HEADER_BYTES + URGENT_ROOM) / 2)
+	    mem->byte_credit < URGENT_FANOUT * (HEADER_BYTES + URGENT_ROOM) / 2)
 		return;
 	while (n < URGENT_FANOUT && n + 1 < mem->alive) {
 		to[n] = mem_random_address(mem);
@@ -276,7 +276,7 @@
 	const char *to;
 	int i;
 
-	mem->probe.asked = true;
+	mem->probe.indirect_sent = true;
 	for (i = 0; i < INDIRECT_PROBES && e != NULL; i++) {
 		to = mem_random_address(mem);
 		if (to == NULL || strcmp(to, e->member.node.address) == 0)
@@ -321,11 +321,12 @@
 	char *teller = NULL;
 	uint64_t be;
 
-	if (g_hash_table_size(mem->wanted) == 0 || now_us < mem->want_us)
+	if (g_hash_table_size(mem->missing_records) == 0 ||
+	    now_us < mem->next_want_us)
 		return;
-	mem->want_us = now_us + WANT_PAUSE_US;
+	mem->next_want_us = now_us + WANT_PAUSE_US;
 	blob = g_byte_array_new();
-	g_hash_table_iter_init(&iter, mem->wanted);
+	g_hash_table_iter_init(&iter, mem->missing_records);
 	while (g_hash_table_iter_next(&iter, &key, &from)) {
 		if (teller == NULL)
 			teller = g_strdup(from);
@@ -364,26 +365,26 @@
 	if (gap_us > MAX(period_us, PAUSE_TICKS * MEM_TICK_MS * 1000)) {
 		/* We were paused: answers lie unread, the others' silence is
 		 * ours. Blaming them would empty the table on waking. */
-		mem_forgive(mem, gap_us);
+		mem_extend_suspicions(mem, gap_us);
 		mem->probe.key = 0;
-		mem->period_us = now_us + period_us;
+		mem->next_probe_us = now_us + period_us;
 		return;
 	}
 	drop_relays(mem, now_us);
 	if (mem->probe.key != 0 && now_us >= mem->probe.end_us)
 		end_probe(mem, now_us);
-	if (mem->probe.key != 0 && !mem->probe.asked &&
+	if (mem->probe.key != 0 && !mem->probe.indirect_sent &&
 	    now_us >= mem->probe.indirect_us)
 		ask_others(mem);
-	if (now_us >= mem->period_us) {
-		mem->period_us += period_us;
+	if (now_us >= mem->next_probe_us) {
+		mem->next_probe_us += period_us;
 		mem_expire(mem, now_us);
 		start_probe(mem, now_us);
 		probe_dead(mem);
 		probe_seeds(mem);
 	}
 	ask_wanted(mem, now_us);
-	if (mem->map_sends_left > 0 && mem->bytes >= MAP_CREDIT)
+	if (mem->map_sends_left > 0 && mem->byte_credit >= MAP_CREDIT)
 		pass_map(mem);
 	mem_flush(mem, now_us);
 }
@@ -403,9 +404,9 @@
 		return;
 	r = g_new0(struct mem_relay, 1);
 	r->seq = ++mem->seq;
-	r->asker_seq = m->seq;
+	r->requester_seq = m->seq;
 	r->until_us = now_us + (int64_t)mem->conf.gossip_ms * 1000;
-	g_strlcpy(r->asker, from, sizeof(r->asker));
+	g_strlcpy(r->requester, from, sizeof(r->requester));
 	LIST_INSERT_HEAD(&mem->relays, r, link);
 	mem->nrelays++;
 	mem_send(
@@ -424,7 +425,8 @@
 	LIST_FOREACH (r, &mem->relays, link) {
 		if (r->seq != m->seq)
 			continue;
-		mem_send(mem, r->asker, MEM_ACK, r->asker_seq, m->from, NULL);
+		mem_send(mem, r->requester, MEM_ACK, r->requester_seq, m->from,
+		    NULL);
 		LIST_REMOVE(r, link);
 		g_free(r);
 		mem->nrelays--;
@@ -481,10 +483,11 @@
 		    MAX(SYNC_PERIODS * period_us, list_us / SYNC_BYTES_S);
 	/* Spread by up to a quarter, so that not all ask in the same instant. */
 	pause_us += pause_us * (int64_t)(mem->self->key % 256) / 1024;
-	if (mem->synced_us != 0 && now_us < mem->synced_us + pause_us)
+	if (mem->sync_started_us != 0 &&
+	    now_us < mem->sync_started_us + pause_us)
 		return;
-	mem->synced_us = now_us;
-	mem->differ = 0;
+	mem->sync_started_us = now_us;
+	mem->digest_mismatches = 0;
 	mem->ops->sync(address, mem->ctx);
 }
 
@@ -494,8 +497,8 @@
 {
 	bool many;
 
-	if (m->view == mem->view) {
-		mem->differ -= mem->differ > 0;
+	if (m->table_digest == mem->table_digest) {
+		mem->digest_mismatches -= mem->digest_mismatches > 0;
 		return;
 	}
 	/* News that is still going round makes tables differ by itself; a list
@@ -503,10 +506,10 @@
 	if (list_bytes(mem) <= DGRAM_MAX ||
 	    now_us - mem->changed_us >
 		NEWS_PERIODS * (int64_t)mem->conf.gossip_ms * 1000)
-		mem->differ++;
-	many = g_hash_table_size(mem->wanted) > WANTS_AT_ONCE ||
+		mem->digest_mismatches++;
+	many = g_hash_table_size(mem->missing_records) > WANTS_AT_ONCE ||
 	    m->members > mem->alive + WANTS_AT_ONCE;
-	if (!mem->joined || mem->differ >= SYNC_DIFFER || many)
+	if (!mem->joined || mem->digest_mismatches >= SYNC_DIFFER || many)
 		ask_for_sync(mem, e->member.node.address, now_us, many);
 }
 
@@ -519,7 +522,7 @@
 
 	if (m->incarnation < e->member.node.incarnation)
 		return; /* sent in an earlier life or before a refutation */
-	mem_seen_settings(mem, e, m->settings);
+	mem_record_settings(mem, e, m->settings);
 	/* The way here counts too, or ages would creep down in a cut region as
 	 * its nodes tell one another; a datagram that lay here while we were
 	 * paused is of unknown age. */
@@ -530,7 +533,7 @@
 	}
 	e->member.fence = MAX(e->member.fence, m->fence);
 	if (m->fence < self->fence)
-		mem_renote(mem);
+		mem_resend_role_notes(mem);
 	if (m->settings > self->settings) {
 		mem->ops->settings_differ(
 		    e->member.node.address, m->settings, mem->ctx);
@@ -545,14 +548,14 @@
 	uint64_t *wanted = g_new(uint64_t, 1);
 
 	*wanted = m->from;
-	g_hash_table_replace(mem->wanted, wanted, g_strdup(from));
+	g_hash_table_replace(mem->missing_records, wanted, g_strdup(from));
 	if (!mem->joined)
 		ask_for_sync(mem, from, now_us, true);
 }
 
 void
-mem_take(struct mem *mem, int64_t now_us, const char *from, enum mem_type type,
-    const struct mem_msg *m)
+mem_receive(struct mem *mem, int64_t now_us, const char *from,
+    enum mem_type type, const struct mem_msg *m)
 {
 	struct mem_entry *e = mem_entry(mem, m->from);
 	struct mem_map map = { 0 };
@@ -563,16 +566,17 @@
 	if (type == MEM_WANT)
 		answer_want(mem, from, m->updates);
 	else
-		mem_take_updates(mem, now_us, from, m->updates, &map);
+		mem_apply_updates(mem, now_us, from, m->updates, &map);
 	e = mem_entry(mem, m->from);
 	if (e == NULL ||
-	    mem_life(m->incarnation) > mem_life(e->member.node.incarnation))
+	    mem_start_ms(m->incarnation) >
+		mem_start_ms(e->member.node.incarnation))
 		take_from_unknown(mem, from, m, now_us);
 	else
 		take_header(mem, e, m, now_us);
 	/* The bits count members in order: only equal tables agree on it. */
-	if (map.bits.len > 0 && m->view == mem->view)
-		mem_take_map(mem, map.settings, map.bits);
+	if (map.bits.len > 0 && m->table_digest == mem->table_digest)
+		mem_apply_map(mem, map.settings, map.bits);
 	if (type == MEM_PING)
 		mem_send(mem, from, MEM_ACK, m->seq, 0,
 		    e == NULL ? NULL : to_be_refuted(e));
--- a/lib/agree/mem_wire.c
+++ b/lib/agree/mem_wire.c
@@ -25,7 +25,7 @@
 	MSG_FIELD(struct mem_msg, target, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, settings, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, fence, MSG_U64, 0),
-	MSG_FIELD(struct mem_msg, view, MSG_U64, 0),
+	MSG_FIELD(struct mem_msg, table_digest, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, members, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, age_ms, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, updates, MSG_BIN, DGRAM_MAX),
@@ -132,7 +132,7 @@
 static void
 pack_notes(struct mem *mem, GByteArray *out, size_t room)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->sends_left == 0 || out->len + NOTE_BYTES > room)
@@ -238,13 +238,13 @@
 	/* A branch is passed on once it is here, or those who hear of it from
 	 * us would ask us in vain. */
 	if (note.kind == MEM_NOTE_BRANCH)
-		mem->ops->noted(&note, from, mem->ctx);
+		mem->ops->note_received(&note, from, mem->ctx);
 	else if (mem_note_merge(mem, &note))
-		mem->ops->noted(&note, from, mem->ctx);
+		mem->ops->note_received(&note, from, mem->ctx);
 }
 
 void
-mem_take_updates(struct mem *mem, int64_t now_us, const char *from,
+mem_apply_updates(struct mem *mem, int64_t now_us, const char *from,
     struct slice updates, struct mem_map *map)
 {
 	msgpack_unpacked got;
@@ -287,7 +287,7 @@
 static void
 pack_roles(const struct mem *mem, GByteArray *out)
 {
-	const struct mem_noted *n;
+	const struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->note.kind == MEM_NOTE_ROLE)
@@ -296,7 +296,7 @@
 }
 
 GByteArray *
-mem_roles(const struct mem *mem)
+mem_pack_role_notes(const struct mem *mem)
 {
 	GByteArray *out = g_byte_array_new();
 
@@ -390,7 +390,8 @@
 		if (e->member.state == MEM_DEAD && theirs == NULL)
 			continue;
 		if (theirs == NULL ||
-		    mem_life(theirs->incarnation) < mem_life(incarnation))
+		    mem_start_ms(theirs->incarnation) <
+			mem_start_ms(incarnation))
 			page_record(p, e);
 		else if (theirs->incarnation < incarnation ||
 		    (theirs->incarnation == incarnation &&
@@ -414,7 +415,7 @@
 	uint64_t be;
 
 	/* No teller: what we lack is asked for over this connection. */
-	mem_take_updates(mem, now_us, NULL, list, NULL);
+	mem_apply_updates(mem, now_us, NULL, list, NULL);
 	page_missing(mem, known, &p);
 	end_page(&p);
 	g_hash_table_iter_init(&iter, known);
@@ -423,8 +424,8 @@
 		e = mem_entry(mem, theirs->key);
 		if (theirs->state == MEM_DEAD ||
 		    (e != NULL &&
-			mem_life(theirs->incarnation) <=
-			    mem_life(e->member.node.incarnation)))
+			mem_start_ms(theirs->incarnation) <=
+			    mem_start_ms(e->member.node.incarnation)))
 			continue;
 		be = GUINT64_TO_BE(theirs->key);
 		g_byte_array_append(lacking, (guint8 *)&be, sizeof(be));
@@ -457,13 +458,13 @@
 mem_sync_page(struct mem *mem, int64_t now_us, struct slice page)
 {
 	mem->joined = true;
-	mem->many_news = page.len > NEWS_BYTES;
-	mem_take_updates(mem, now_us, NULL, page, NULL);
-	mem->many_news = false;
+	mem->bulk_page = page.len > NEWS_BYTES;
+	mem_apply_updates(mem, now_us, NULL, page, NULL);
+	mem->bulk_page = false;
 }
 
 void
 mem_sync_roles(struct mem *mem, int64_t now_us, struct slice roles)
 {
-	mem_take_updates(mem, now_us, NULL, roles, NULL);
+	mem_apply_updates(mem, now_us, NULL, roles, NULL);
 }
--- a/tests/agree/mem_net.h
+++ b/tests/agree/mem_net.h
@@ -154,7 +154,7 @@
 static const struct mem_ops ops = {
 	.send = on_send,
 	.changed = on_changed,
-	.noted = on_noted,
+	.note_received = on_noted,
 	.settings_differ = on_differ,
 	.sync = on_sync,
 };
@@ -195,7 +195,7 @@
 		next = p->next;
 		snprintf(from, sizeof(from), "10.0.0.1:%u", 1000 + p->from);
 		if (net->nodes[p->to].mem != NULL && !net->nodes[p->to].paused)
-			mem_take(net->nodes[p->to].mem, now_us(net), from,
+			mem_receive(net->nodes[p->to].mem, now_us(net), from,
 			    p->type, &p->msg);
 		g_free(p->updates);
 		g_free(p);
--- a/tests/agree/test_mem.c
+++ b/tests/agree/test_mem.c
@@ -293,18 +293,18 @@
 	a = net->nodes[0].mem;
 	b = net->nodes[1].mem;
 	mem_set_settings(b, 42);
-	mem_seen_settings(b, mem_entry(b, mem_key("host-002")), 42);
+	mem_record_settings(b, mem_entry(b, mem_key("host-002")), 42);
 	mem_pack_map(b, blob, 200);
 	m = (struct mem_msg){
 		.from = mem_key("host-001"),
 		.incarnation = mem_self(b)->node.incarnation,
-		.view = mem_view(a) ^ 1,
+		.table_digest = mem_table_digest(a) ^ 1,
 		.updates = { blob->data, blob->len },
 	};
-	mem_take(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
+	mem_receive(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
 	assert_int_equal(mem_find(a, "host-002")->settings, 0);
-	m.view = mem_view(a);
-	mem_take(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
+	m.table_digest = mem_table_digest(a);
+	mem_receive(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
 	assert_int_equal(mem_find(a, "host-002")->settings, 42);
 	g_byte_array_unref(blob);
 	end_net(net);
@@ -328,7 +328,7 @@
 			junk[i] = (uint8_t)rng_next(&rng);
 		junk[0] = 0x90 | rng_below(&rng, 10);
 		m.updates = (struct slice){ junk, rng_below(&rng, 200) };
-		mem_take(net->nodes[0].mem, now_us(net), "10.0.0.1:1250",
+		mem_receive(net->nodes[0].mem, now_us(net), "10.0.0.1:1250",
 		    MEM_GOSSIP, &m);
 	}
 	assert_int_equal(mem_count(net->nodes[0].mem), 2);
