--- a/lib/agree/agr_internal.h
+++ b/lib/agree/agr_internal.h
@@ -78,7 +78,7 @@
 
 	LIST_HEAD(pull_list, pull) pulls;
 	LIST_HEAD(agr_role_list, agr_role) roles;
-	LIST_HEAD(agr_gate_list, agr_gate) gates;
+	LIST_HEAD(agr_gate_list, agr_fencing) gates;
 
 	struct ctr *pulls_count, *refused_branches, *sync_count, *members,
 	    *age_ms, *lease_refused;
@@ -86,11 +86,11 @@
 
 int64_t agr_now_us(const struct agr *agr);
 
-struct agr_gate { /* see gate.c */
+struct agr_fencing { /* see gate.c */
 	struct agr *agr;
 	int64_t started_us; /* of this life of the host */
 	GHashTable *floors;
-	LIST_ENTRY(agr_gate) link;
+	LIST_ENTRY(agr_fencing) link;
 };
 
 /* agr_pull.c */
--- a/lib/agree/agr_pull.c
+++ b/lib/agree/agr_pull.c
@@ -155,7 +155,7 @@
 	if (p->kind == PULL_MEMBERS)
 		send_blob(c, &sync_desc, mem_sync_list(p->agr->mem));
 	else
-		send_blob(c, &ask_desc, inf_known(p->agr->inf));
+		send_blob(c, &ask_desc, inf_pack_versions(p->agr->inf));
 }
 
 static void
--- a/lib/agree/agr_role.c
+++ b/lib/agree/agr_role.c
@@ -149,7 +149,7 @@
 	.write = lease_write,
 	.gained = lease_gained,
 	.lost = lease_lost,
-	.tell = lease_tell,
+	.publish = lease_tell,
 	.left = lease_left,
 };
 
@@ -223,7 +223,7 @@
 	struct agr_role *role = g_new0(struct agr_role, 1);
 	struct lse_conf conf = {
 		.self = agr->conf.self.id,
-		.life = agr->conf.self.incarnation,
+		.incarnation = agr->conf.self.incarnation,
 		.lease_ms = agr->conf.lease_ms,
 	};
 
--- a/lib/agree/agr_settings.c
+++ b/lib/agree/agr_settings.c
@@ -34,7 +34,7 @@
 	struct err err = { 0 };
 
 	switch (inf_offer(agr->inf, name, version, yaml, &err)) {
-	case INF_OLD:
+	case INF_STALE:
 		return;
 	case INF_REFUSED:
 		ctr_add(agr->refused_branches, 1);
@@ -42,7 +42,7 @@
 			 " from %s refused: %s",
 		    name, version, source, err.message);
 		return;
-	case INF_TAKEN:
+	case INF_ACCEPTED:
 		break;
 	}
 	if (agr->conf.node->timeline != NULL) {
@@ -144,7 +144,7 @@
 agr_settings_on_note(
     struct agr *agr, const struct mem_note *note, const char *from)
 {
-	if (from == NULL || !inf_is_news(agr->inf, note->name, note->number))
+	if (from == NULL || !inf_is_newer(agr->inf, note->name, note->number))
 		return;
 	if (agr_pulls(agr, PULL_SETTINGS) < PULLS_AT_ONCE) {
 		agr_pull(agr, PULL_SETTINGS, from);
@@ -162,7 +162,7 @@
 {
 	if (agr->queued_note.version == 0)
 		return;
-	if (inf_is_news(
+	if (inf_is_newer(
 		agr->inf, agr->queued_note.branch, agr->queued_note.version))
 		agr_pull(agr, PULL_SETTINGS, agr->queued_note.address);
 	agr->queued_note.version = 0;
@@ -235,7 +235,7 @@
 	for (i = 0; i < n; i++) {
 		name = branch_of(objects[i].key);
 		if (name == NULL ||
-		    !inf_is_news(agr->inf, name, objects[i].version))
+		    !inf_is_newer(agr->inf, name, objects[i].version))
 			continue;
 		agr->pending_reads++;
 		obj_get(agr->obj, objects[i].key, agr->list_deadline_ms,
@@ -249,7 +249,7 @@
 {
 	if (agr->listing || agr->start.api_read || now_us < agr->next_list_us)
 		return;
-	if (agr->next_list_us == 0 && agr->conf.self.kind == MEM_SIDE) {
+	if (agr->next_list_us == 0 && agr->conf.self.kind == MEM_SIDECAR) {
 		agr->next_list_us = agr->started_us +
 		    (int64_t)rng_below(&agr->rng, SIDE_LIST_WAIT_MS) * 1000;
 		return;
@@ -266,7 +266,7 @@
 	if (!ready)
 		return; /* may know less than was accepted */
 	g_hash_table_add(agr->answered_peers, g_strdup(address));
-	agr->start.peers_told = g_hash_table_size(agr->answered_peers);
+	agr->start.peers_answered = g_hash_table_size(agr->answered_peers);
 	agr_gates_told(agr);
 }
 
@@ -276,7 +276,7 @@
 {
 	const char *address;
 
-	if (inf_peers_told(&agr->start) || agr->start.peers_known == 0 ||
+	if (inf_enough_peers(&agr->start) || agr->start.peers_known == 0 ||
 	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_AT_ONCE)
 		return;
 	address = mem_random_address(agr->mem);
@@ -293,14 +293,14 @@
 	if (agr->ready)
 		return;
 	agr->start.waited_us = now_us - agr->started_us;
-	if (!inf_may_begin(&agr->start))
+	if (!inf_may_serve(&agr->start))
 		return;
 	agr->ready = true;
 	if (agr->conf.node->timeline != NULL) {
 		tl_add(agr->conf.node->timeline, "settings_ready",
 		    agr->conf.self.id, "branches=%u api=%s peers=%u",
 		    inf_count(agr->inf), agr->start.api_read ? "yes" : "no",
-		    agr->start.peers_told);
+		    agr->start.peers_answered);
 	}
 	if (agr->ops->ready != NULL)
 		agr->ops->ready(agr->ctx);
@@ -406,7 +406,7 @@
 
 struct in_force {
 	uint64_t digest;
-	struct agr_in_force *out;
+	struct agr_active_count *out;
 	const char **overdue;
 	size_t max, n;
 };
@@ -418,14 +418,14 @@
 
 	f->out->nodes++;
 	if (member->settings >= f->digest)
-		f->out->in_force++;
+		f->out->active++;
 	else if (f->n < f->max)
 		f->overdue[f->n++] = member->node.id;
 }
 
 void
-agr_in_force(struct agr *agr, struct agr_in_force *out, const char **overdue,
-    size_t max, size_t *n_overdue)
+agr_active_count(struct agr *agr, struct agr_active_count *out,
+    const char **overdue, size_t max, size_t *n_overdue)
 {
 	struct in_force f = {
 		.digest = inf_digest(agr->inf),
@@ -434,7 +434,7 @@
 		.max = max,
 	};
 
-	*out = (struct agr_in_force){ 0 };
+	*out = (struct agr_active_count){ 0 };
 	mem_each(agr->mem, count_in_force, &f);
 	*n_overdue = f.n;
 }
--- a/lib/agree/agree.h
+++ b/lib/agree/agree.h
@@ -20,8 +20,8 @@
 /* ------------------------------------------------------------------ */
 
 enum mem_kind {
-	MEM_ENTRY,
-	MEM_SIDE,
+	MEM_GATEWAY,
+	MEM_SIDECAR,
 };
 
 enum mem_state {
@@ -57,7 +57,7 @@
 	uint64_t settings;
 	/* Sum over the roles of the highest fencing number known there; less
 	 * than ours means that news of a role has not arrived there. */
-	uint64_t fence;
+	uint64_t fence_sum;
 	int64_t since_us; /* when it came into this state, here */
 };
 
@@ -150,11 +150,11 @@
 
 /* How many live members have the same branch versions in force as this
  * node; `overdue` gets up to `max` ids of the others. */
-struct agr_in_force {
+struct agr_active_count {
 	unsigned int nodes;
-	unsigned int in_force;
+	unsigned int active;
 };
-void agr_in_force(struct agr *agr, struct agr_in_force *out,
+void agr_active_count(struct agr *agr, struct agr_active_count *out,
     const char **overdue, size_t max, size_t *n_overdue);
 
 /* ------------------------------------------------------------------ */
@@ -191,12 +191,12 @@
  * (or, while the object API is away, taken from the members' highest fence); orders are refused
  * as NOT_RUN until then.
  */
-struct agr_gate;
-struct agr_gate *agr_gate_new(struct agr *agr);
-void agr_gate_free(struct agr_gate *gate);
+struct agr_fencing;
+struct agr_fencing *agr_fencing_new(struct agr *agr);
+void agr_fencing_free(struct agr_fencing *gate);
 /* True when an order of `role` with fencing number `fence` may pass; raises the floor. ERR_STALE_FENCE,
  * or ERR_UNAVAILABLE with advice to come back while the floor is unknown. */
-bool agr_gate_pass(
-    struct agr_gate *gate, const char *role, uint64_t fence, struct err *err);
+bool agr_fencing_check(struct agr_fencing *gate, const char *role,
+    uint64_t fence, struct err *err);
 
 #endif
--- a/lib/agree/gate.c
+++ b/lib/agree/gate.c
@@ -11,7 +11,7 @@
 #define RETRY_AFTER_MS 200
 
 struct floor { /* of one role */
-	struct agr_gate *gate; /* NULL once the gate is gone */
+	struct agr_fencing *gate; /* NULL once the gate is gone */
 	char *role;
 	uint64_t fence;
 	bool known;
@@ -29,7 +29,7 @@
 }
 
 static uint64_t
-noted_fence(const struct agr_gate *gate, const char *role)
+noted_fence(const struct agr_fencing *gate, const char *role)
 {
 	const struct mem_note *note =
 	    mem_find_note(gate->agr->mem, MEM_NOTE_ROLE, role);
@@ -60,7 +60,7 @@
 		return;
 	}
 	floor->known = true;
-	if (err == NULL && lse_value_read(object->value, &value))
+	if (err == NULL && lse_value_parse(object->value, &value))
 		floor->fence = MAX(floor->fence, value.fence);
 }
 
@@ -71,7 +71,7 @@
  * that of any order that this host saw in its earlier life.
  */
 static void
-learn(struct agr_gate *gate, struct floor *floor)
+learn(struct agr_fencing *gate, struct floor *floor)
 {
 	char *key;
 
@@ -91,7 +91,7 @@
  * gossip has long carried it to them.
  */
 static bool
-news_has_spread(const struct agr_gate *gate)
+news_has_spread(const struct agr_fencing *gate)
 {
 	return agr_now_us(gate->agr) - gate->started_us >=
 	    (int64_t)gate->agr->conf.lease_ms * 1000;
@@ -100,7 +100,7 @@
 void
 agr_gates_told(struct agr *agr)
 {
-	struct agr_gate *gate;
+	struct agr_fencing *gate;
 	GHashTableIter iter;
 	gpointer value;
 
@@ -110,7 +110,7 @@
 			struct floor *floor = value;
 
 			if (floor->by_members && news_has_spread(gate) &&
-			    inf_peers_told(&agr->start))
+			    inf_enough_peers(&agr->start))
 				floor->known = true;
 		}
 	}
@@ -120,10 +120,10 @@
 /* Public                                                              */
 /* ------------------------------------------------------------------ */
 
-struct agr_gate *
-agr_gate_new(struct agr *agr)
+struct agr_fencing *
+agr_fencing_new(struct agr *agr)
 {
-	struct agr_gate *gate = g_new0(struct agr_gate, 1);
+	struct agr_fencing *gate = g_new0(struct agr_fencing, 1);
 
 	gate->agr = agr;
 	gate->started_us = agr_now_us(agr);
@@ -133,7 +133,7 @@
 }
 
 void
-agr_gate_free(struct agr_gate *gate)
+agr_fencing_free(struct agr_fencing *gate)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -155,8 +155,8 @@
 }
 
 bool
-agr_gate_pass(
-    struct agr_gate *gate, const char *role, uint64_t fence, struct err *err)
+agr_fencing_check(
+    struct agr_fencing *gate, const char *role, uint64_t fence, struct err *err)
 {
 	struct floor *floor = g_hash_table_lookup(gate->floors, role);
 	uint64_t lowest;
@@ -192,7 +192,7 @@
 void
 agr_gates_stop(struct agr *agr)
 {
-	struct agr_gate *gate;
+	struct agr_fencing *gate;
 
 	while ((gate = LIST_FIRST(&agr->gates)) != NULL) {
 		LIST_REMOVE(gate, link);
--- a/lib/agree/inf.c
+++ b/lib/agree/inf.c
@@ -93,7 +93,7 @@
 }
 
 bool
-inf_is_news(const struct inf *inf, const char *name, uint64_t version)
+inf_is_newer(const struct inf *inf, const char *name, uint64_t version)
 {
 	const struct branch *b = find(inf, name);
 
@@ -114,8 +114,8 @@
 	 * answer offers what was in force long ago. Taking it would revert an
 	 * accepted change; the version of the object says which is later.
 	 */
-	if (!inf_is_news(inf, name, version))
-		return INF_OLD;
+	if (!inf_is_newer(inf, name, version))
+		return INF_STALE;
 	if (b == NULL) {
 		if (strlen(name) > INF_BRANCH_MAX || !cfg_key_valid(name) ||
 		    inf_count(inf) >= BRANCHES_MAX) {
@@ -137,7 +137,7 @@
 	b->public.version = version;
 	b->public.yaml = b->yaml;
 	b->public.cfg = b->cfg;
-	return INF_TAKEN;
+	return INF_ACCEPTED;
 }
 
 const struct inf_branch *
@@ -226,7 +226,7 @@
 }
 
 GByteArray *
-inf_known(const struct inf *inf)
+inf_pack_versions(const struct inf *inf)
 {
 	GByteArray *out = g_byte_array_new();
 	const struct branch *b;
@@ -285,17 +285,18 @@
 }
 
 bool
-inf_peers_told(const struct inf_start *start)
+inf_enough_peers(const struct inf_start *start)
 {
-	return start->peers_told > 0 &&
-	    start->peers_told >= MIN(INF_PEERS_WANTED, start->peers_known);
+	return start->peers_answered > 0 &&
+	    start->peers_answered >=
+	    MIN(INF_PEERS_REQUIRED, start->peers_known);
 }
 
 bool
-inf_may_begin(const struct inf_start *start)
+inf_may_serve(const struct inf_start *start)
 {
 	if (!start->api_read)
-		return start->api_failed && inf_peers_told(start);
-	return start->peers_known == 0 || inf_peers_told(start) ||
+		return start->api_failed && inf_enough_peers(start);
+	return start->peers_known == 0 || inf_enough_peers(start) ||
 	    start->waited_us >= PEERS_WAIT_US;
 }
--- a/lib/agree/inf_internal.h
+++ b/lib/agree/inf_internal.h
@@ -10,8 +10,8 @@
 #include "agree/agree.h"
 
 enum inf_outcome {
-	INF_TAKEN,
-	INF_OLD, /* not newer than what is in force */
+	INF_ACCEPTED,
+	INF_STALE, /* not newer than what is in force */
 	INF_REFUSED, /* fails its check; the version in force stays */
 };
 
@@ -24,7 +24,7 @@
 enum inf_outcome inf_offer(struct inf *inf, const char *name, uint64_t version,
     const char *yaml, struct err *err);
 /* Whether an offer of this version would be news. */
-bool inf_is_news(const struct inf *inf, const char *name, uint64_t version);
+bool inf_is_newer(const struct inf *inf, const char *name, uint64_t version);
 const struct inf_branch *inf_find(const struct inf *inf, const char *name);
 void inf_each(const struct inf *inf, inf_each_cb *each, void *ctx);
 unsigned int inf_count(const struct inf *inf);
@@ -40,7 +40,7 @@
     const struct inf *inf, const char *name, const char *yaml, struct err *err);
 
 /* What a peer is told when asked for news: names and versions. */
-GByteArray *inf_known(const struct inf *inf);
+GByteArray *inf_pack_versions(const struct inf *inf);
 /* Branches that a peer with `known` lacks. */
 void inf_each_newer(
     const struct inf *inf, struct slice known, inf_each_cb *each, void *ctx);
@@ -50,7 +50,7 @@
 	bool api_read; /* the list and all that it named */
 	bool api_failed; /* the last try; it goes on */
 	unsigned int peers_known; /* members other than this node */
-	unsigned int peers_told; /* that answered whole */
+	unsigned int peers_answered; /* that answered whole */
 	int64_t waited_us;
 };
 /*
@@ -58,9 +58,9 @@
  * node has what was accepted until then. Without it several peers that do
  * not know newer either stand in; alone and without it the node waits.
  */
-bool inf_may_begin(const struct inf_start *start);
+bool inf_may_serve(const struct inf_start *start);
 /* Several members that have begun have told what they know. */
-bool inf_peers_told(const struct inf_start *start);
-#define INF_PEERS_WANTED 3
+bool inf_enough_peers(const struct inf_start *start);
+#define INF_PEERS_REQUIRED 3
 
 #endif
--- a/lib/agree/lse.c
+++ b/lib/agree/lse.c
@@ -82,7 +82,7 @@
 static bool
 is_mine(const struct lse *lse)
 {
-	return lse->value.life == lse->conf.life &&
+	return lse->value.incarnation == lse->conf.incarnation &&
 	    strcmp(lse->value.holder, lse->conf.self) == 0;
 }
 
@@ -108,7 +108,7 @@
 	lse->seen_us = lse->now_us;
 	lse->seen_read_us = read_us;
 	lse->value = (struct lse_value){ 0 };
-	if (version != 0 && !lse_value_read(text, &lse->value)) {
+	if (version != 0 && !lse_value_parse(text, &lse->value)) {
 		/* Not a lease: somebody else's text. Wait it out as a held
 		 * one, and go on above the version, which no fence passes. */
 		lse->value.lease_ms = lse->conf.lease_ms;
@@ -209,7 +209,7 @@
 	char *text;
 
 	lse->written = (struct lse_value){
-		.life = lse->conf.life,
+		.incarnation = lse->conf.incarnation,
 		.fence = fence,
 		.lease_ms = lse->conf.lease_ms,
 		.handed_over = handed_over,
@@ -220,7 +220,7 @@
 	 * effect at any time since, and candidates count from when they saw
 	 * it. Counting from the answer would add its delay to our time. */
 	lse->sent_us = lse->now_us;
-	text = lse_value_text(&lse->written);
+	text = lse_value_format(&lse->written);
 	lse->ops->write(text, lse->version, limit_ms, lse->ctx);
 	g_free(text);
 }
@@ -271,7 +271,7 @@
 	do_extend(lse, NULL);
 	/* Told before it acts: a side that restarts while the API is away
 	 * takes its floor from the members. */
-	lse->ops->tell(lse->fence, lse->conf.self, lse->ctx);
+	lse->ops->publish(lse->fence, lse->conf.self, lse->ctx);
 	lse->ops->gained(lse->fence, lse->ctx);
 }
 
@@ -307,7 +307,7 @@
 {
 	struct lse *lse = ctx;
 
-	lse->ops->tell(lse->written.fence, "", lse->ctx);
+	lse->ops->publish(lse->written.fence, "", lse->ctx);
 }
 
 static const struct chart_guard guards[] = {
--- a/lib/agree/lse_internal.h
+++ b/lib/agree/lse_internal.h
@@ -18,13 +18,14 @@
 
 struct lse_value {
 	char holder[MEM_ID_MAX + 1];
-	uint64_t life; /* the holder's, so that a restart is somebody else */
+	uint64_t
+	    incarnation; /* the holder's, so that a restart is somebody else */
 	uint64_t fence;
 	uint64_t lease_ms;
 	bool handed_over;
 };
-char *lse_value_text(const struct lse_value *value); /* g_free */
-bool lse_value_read(const char *text, struct lse_value *out);
+char *lse_value_format(const struct lse_value *value); /* g_free */
+bool lse_value_parse(const char *text, struct lse_value *out);
 
 struct lse_ops {
 	void (*read)(void *ctx);
@@ -33,13 +34,13 @@
 	void (*gained)(uint64_t fence, void *ctx);
 	void (*lost)(void *ctx);
 	/* To be told to the members; `holder` is "" when given up. */
-	void (*tell)(uint64_t fence, const char *holder, void *ctx);
+	void (*publish)(uint64_t fence, const char *holder, void *ctx);
 	void (*left)(void *ctx); /* last call */
 };
 
 struct lse_conf {
 	const char *self; /* id */
-	uint64_t life;
+	uint64_t incarnation;
 	unsigned int lease_ms;
 };
 
--- a/lib/agree/lse_value.c
+++ b/lib/agree/lse_value.c
@@ -5,7 +5,7 @@
 #include "agree/lse_internal.h"
 
 char *
-lse_value_text(const struct lse_value *value)
+lse_value_format(const struct lse_value *value)
 {
 	JsonBuilder *b = json_builder_new();
 	JsonNode *root;
@@ -15,7 +15,7 @@
 	json_builder_set_member_name(b, "holder");
 	json_builder_add_string_value(b, value->holder);
 	json_builder_set_member_name(b, "life");
-	json_builder_add_int_value(b, (gint64)value->life);
+	json_builder_add_int_value(b, (gint64)value->incarnation);
 	json_builder_set_member_name(b, "fence");
 	json_builder_add_int_value(b, (gint64)value->fence);
 	json_builder_set_member_name(b, "lease_ms");
@@ -56,13 +56,13 @@
 	    json_node_get_boolean(handed_over);
 	return g_strlcpy(out->holder, json_node_get_string(holder),
 		   sizeof(out->holder)) < sizeof(out->holder) &&
-	    read_number(o, "life", &out->life) &&
+	    read_number(o, "life", &out->incarnation) &&
 	    read_number(o, "fence", &out->fence) &&
 	    read_number(o, "lease_ms", &out->lease_ms);
 }
 
 bool
-lse_value_read(const char *text, struct lse_value *out)
+lse_value_parse(const char *text, struct lse_value *out)
 {
 	JsonParser *parser = json_parser_new();
 	JsonNode *root;
--- a/lib/agree/mem.c
+++ b/lib/agree/mem.c
@@ -350,7 +350,7 @@
 		LIST_INSERT_HEAD(&mem->notes, n, link);
 	}
 	if (note->kind == MEM_NOTE_ROLE)
-		mem->self->member.fence += note->number - n->note.number;
+		mem->self->member.fence_sum += note->number - n->note.number;
 	n->note = *note;
 	n->sends_left = 3 + mem_log2(mem);
 	n->urgent = true;
--- a/lib/agree/mem_probe.c
+++ b/lib/agree/mem_probe.c
@@ -60,7 +60,7 @@
 		.seq = seq,
 		.target = target,
 		.settings = self->settings,
-		.fence = self->fence,
+		.fence = self->fence_sum,
 		.table_digest = mem->table_digest,
 		.members = mem->alive,
 		.age_ms = (uint64_t)mem_age_ms(mem, mem->credit_us),
@@ -531,8 +531,8 @@
 		mem_set_fresh(
 		    mem, now_us - ((int64_t)m->age_ms + HOP_MS) * 1000);
 	}
-	e->member.fence = MAX(e->member.fence, m->fence);
-	if (m->fence < self->fence)
+	e->member.fence_sum = MAX(e->member.fence_sum, m->fence);
+	if (m->fence < self->fence_sum)
 		mem_resend_role_notes(mem);
 	if (m->settings > self->settings) {
 		mem->ops->settings_differ(
--- a/lib/agree/mem_wire.c
+++ b/lib/agree/mem_wire.c
@@ -206,7 +206,7 @@
 	    !get_text(&field[3], MEM_ADDRESS_MAX, node.address) ||
 	    !get_text(&field[4], MEM_DOMAIN_MAX, node.domain) ||
 	    !get_text(&field[5], MEM_DOMAIN_MAX, node.region) ||
-	    !get_number(&field[6], MEM_SIDE, &kind) ||
+	    !get_number(&field[6], MEM_SIDECAR, &kind) ||
 	    !get_text(&field[7], MEM_INFO_MAX, node.info))
 		return;
 	node.kind = (enum mem_kind)kind;
--- a/lib/agree/rank.c
+++ b/lib/agree/rank.c
@@ -35,7 +35,7 @@
 
 	/* A suspect keeps its place: it may be a stalled link, and ranks that
 	 * change with each suspicion make writes meet. */
-	if (member->node.kind != MEM_ENTRY || member->state == MEM_LEAVING ||
+	if (member->node.kind != MEM_GATEWAY || member->state == MEM_LEAVING ||
 	    strcmp(member->node.id, r->holder) == 0 ||
 	    strcmp(member->node.id, r->self) == 0)
 		return;
@@ -84,7 +84,7 @@
 	if (!is_candidate(member))
 		return;
 	g_hash_table_add(w->domains, (gpointer)member->node.domain);
-	if (member->node.kind == MEM_ENTRY &&
+	if (member->node.kind == MEM_GATEWAY &&
 	    strcmp(member->node.domain, w->self->node.domain) == 0)
 		w->entries = true;
 }
@@ -96,7 +96,7 @@
 
 	if (!is_candidate(member) ||
 	    strcmp(member->node.domain, w->self->node.domain) != 0 ||
-	    (w->entries && member->node.kind != MEM_ENTRY))
+	    (w->entries && member->node.kind != MEM_GATEWAY))
 		return;
 	w->better += score("settings", member->node.id) > w->own;
 }
@@ -116,7 +116,7 @@
 	mem_each(mem, see_domain, &w);
 	domains = g_hash_table_size(w.domains);
 	g_hash_table_unref(w.domains);
-	if (w.entries && w.self->node.kind != MEM_ENTRY)
+	if (w.entries && w.self->node.kind != MEM_GATEWAY)
 		return false;
 	mem_each(mem, count_better_watcher, &w);
 	return w.better < MAX(1, (WATCHERS + domains - 1) / domains);
--- a/programs/entry/claims.c
+++ b/programs/entry/claims.c
@@ -313,7 +313,7 @@
 	struct ranking *r = ctx;
 	uint64_t rank;
 
-	if (member->node.kind != MEM_ENTRY || member->state == MEM_DEAD ||
+	if (member->node.kind != MEM_GATEWAY || member->state == MEM_DEAD ||
 	    member->state == MEM_LEAVING)
 		return;
 	rank = hash64(r->seed, member->node.id, strlen(member->node.id));
--- a/programs/entry/lead.c
+++ b/programs/entry/lead.c
@@ -273,7 +273,7 @@
 	struct offering *offering = ctx;
 	const struct mem_node *node = &member->node;
 
-	if (node->kind == MEM_SIDE && member->state != MEM_LEAVING)
+	if (node->kind == MEM_SIDECAR && member->state != MEM_LEAVING)
 		rt_place_offer(offering->place, node->id, node->address,
 		    node->domain, node->info);
 }
--- a/programs/entry/ops.c
+++ b/programs/entry/ops.c
@@ -77,16 +77,16 @@
 {
 	const struct inf_branch *branch = agr_branch(entry->proc.agr, name);
 	const char *overdue[OVERDUE_MAX];
-	struct agr_in_force state;
+	struct agr_active_count state;
 	JsonBuilder *b = json_builder_new();
 	size_t n = 0, i;
 
-	agr_in_force(entry->proc.agr, &state, overdue, OVERDUE_MAX, &n);
+	agr_active_count(entry->proc.agr, &state, overdue, OVERDUE_MAX, &n);
 	json_builder_begin_object(b);
 	put_string(b, "branch", name);
 	put_int(b, "version", branch == NULL ? 0 : (gint64)branch->version);
 	put_string(b, "yaml", branch == NULL ? "" : branch->yaml);
-	put_int(b, "in_force", state.in_force);
+	put_int(b, "in_force", state.active);
 	put_int(b, "nodes", state.nodes);
 	json_builder_set_member_name(b, "overdue");
 	json_builder_begin_array(b);
@@ -245,7 +245,7 @@
 	json_builder_begin_object(b);
 	put_string(b, "id", member->node.id);
 	put_string(
-	    b, "kind", member->node.kind == MEM_ENTRY ? "entry" : "side");
+	    b, "kind", member->node.kind == MEM_GATEWAY ? "entry" : "side");
 	put_string(b, "domain", member->node.domain);
 	put_string(b, "state", state_names[member->state]);
 	json_builder_end_object(b);
--- a/programs/entry/serve.c
+++ b/programs/entry/serve.c
@@ -91,7 +91,7 @@
 {
 	unsigned int *n = ctx;
 
-	if (member->node.kind == MEM_ENTRY && member->state != MEM_LEAVING)
+	if (member->node.kind == MEM_GATEWAY && member->state != MEM_LEAVING)
 		(*n)++;
 }
 
@@ -102,7 +102,7 @@
 	unsigned int n = 0;
 
 	proc_note_member(&entry->proc, member);
-	if (member->node.kind == MEM_SIDE) {
+	if (member->node.kind == MEM_SIDECAR) {
 		sides_member(entry, member);
 		return;
 	}
@@ -247,7 +247,7 @@
 	    att_chart_load(cfg_str(entry->proc.cfg, "node.charts"), err);
 	if (entry->attempts == NULL)
 		return false;
-	if (!proc_join(&entry->proc, MEM_ENTRY, "", &ops, entry, err))
+	if (!proc_join(&entry->proc, MEM_GATEWAY, "", &ops, entry, err))
 		return false;
 	entry->server = conn_listen(&entry->proc.node,
 	    cfg_str(entry->proc.cfg, "node.peer"), on_accepted, entry, err);
--- a/programs/side/main.c
+++ b/programs/side/main.c
@@ -114,7 +114,7 @@
 on_member(const struct mem_member *member, void *ctx)
 {
 	proc_note_member(&((struct side *)ctx)->proc, member);
-	if (member->node.kind == MEM_SIDE)
+	if (member->node.kind == MEM_SIDECAR)
 		place_schedule(ctx);
 }
 
@@ -206,11 +206,11 @@
 		return false;
 	side->wts = open_weights(side);
 	info = info_text(side);
-	joined = proc_join(&side->proc, MEM_SIDE, info, &ops, side, err);
+	joined = proc_join(&side->proc, MEM_SIDECAR, info, &ops, side, err);
 	g_free(info);
 	if (!joined)
 		return false;
-	side->gate = agr_gate_new(side->proc.agr);
+	side->gate = agr_fencing_new(side->proc.agr);
 	side->server = conn_listen(&side->proc.node,
 	    cfg_str(side->proc.cfg, "node.peer"), on_accepted, side, err);
 	if (side->server == NULL)
--- a/programs/side/place.c
+++ b/programs/side/place.c
@@ -27,7 +27,7 @@
 	struct pass *pass = ctx;
 	const struct mem_node *node = &member->node;
 
-	if (node->kind == MEM_SIDE && member->state != MEM_LEAVING)
+	if (node->kind == MEM_SIDECAR && member->state != MEM_LEAVING)
 		rt_place_offer(pass->place, node->id, node->address,
 		    node->domain, node->info);
 }
--- a/programs/side/side.h
+++ b/programs/side/side.h
@@ -43,7 +43,7 @@
 struct side {
 	struct proc proc;
 	struct wts *wts;
-	struct agr_gate *gate;
+	struct agr_fencing *gate;
 	struct conn_server *server;
 	SoupServer *loopback;
 	unsigned int loopback_port;
--- a/programs/side/targets.c
+++ b/programs/side/targets.c
@@ -401,7 +401,7 @@
 	/* A lead that was paused past its lease may still send; its number
 	 * is lower than that of the next one and is refused here, also for
 	 * engines that would not look at it. */
-	if (!agr_gate_pass(side->gate, role, order->fence, &err)) {
+	if (!agr_fencing_check(side->gate, role, order->fence, &err)) {
 		ctr_add(ctr_get(side->proc.counters, "gate_refused"), 1);
 		tl_add(side->proc.timeline, "order_refused", t->info.name, "%s",
 		    err.message);
--- a/tests/agree/test_agr.c
+++ b/tests/agree/test_agr.c
@@ -28,7 +28,7 @@
 	struct plat *plat;
 	struct agr *agr;
 	struct agr_role *role;
-	struct agr_gate *gate;
+	struct agr_fencing *gate;
 	bool ready;
 	unsigned int changed, gained, lost;
 	uint64_t fence;
@@ -152,7 +152,7 @@
 	if (n->agr == NULL)
 		return;
 	agr_free(n->agr);
-	agr_gate_free(n->gate);
+	agr_fencing_free(n->gate);
 	n->agr = NULL;
 	conn_server_free(n->server);
 	run_for(20);
@@ -233,11 +233,11 @@
 static bool
 counted_in_force(int n)
 {
-	struct agr_in_force f;
+	struct agr_active_count f;
 	size_t overdue;
 
-	agr_in_force(nodes[0].agr, &f, NULL, 0, &overdue);
-	return f.nodes == (unsigned)n && f.in_force == (unsigned)n;
+	agr_active_count(nodes[0].agr, &f, NULL, 0, &overdue);
+	return f.nodes == (unsigned)n && f.active == (unsigned)n;
 }
 
 struct written {
@@ -286,7 +286,7 @@
 	int i;
 
 	for (i = 0; i < NODES; i++)
-		start_node(i, i < 2 ? MEM_ENTRY : MEM_SIDE);
+		start_node(i, i < 2 ? MEM_GATEWAY : MEM_SIDECAR);
 	run_while_not(all_ready, NODES);
 	w = set_konya(0, 100, 0);
 	assert_int_equal(w.code, ERR_NONE);
@@ -313,8 +313,8 @@
 static void
 test_broken_branch_is_not_taken(void **state)
 {
-	start_node(0, MEM_ENTRY);
-	start_node(1, MEM_SIDE);
+	start_node(0, MEM_GATEWAY);
+	start_node(1, MEM_SIDECAR);
 	run_while_not(all_ready, 2);
 	set_konya(0, 100, 0);
 	run_while_not(konya_everywhere, 1);
@@ -337,19 +337,19 @@
 	int i;
 
 	for (i = 0; i < 3; i++)
-		start_node(i, MEM_ENTRY);
+		start_node(i, MEM_GATEWAY);
 	run_while_not(all_ready, 3);
 	set_konya(0, 100, 0);
 	run_while_not(konya_everywhere, 1);
 	objects_down(&api, true);
-	start_node(3, MEM_SIDE);
+	start_node(3, MEM_SIDECAR);
 	run_while_not(all_ready, 4);
 	assert_int_equal(agr_branch(nodes[3].agr, "konya")->version, 1);
 	for (i = 0; i < NODES; i++)
 		stop_node(i);
 	seeds[0] = NULL;
-	start_node(0, MEM_ENTRY);
-	start_node(1, MEM_ENTRY);
+	start_node(0, MEM_GATEWAY);
+	start_node(1, MEM_GATEWAY);
 	run_for(3000); /* longer than the list's deadline */
 	assert_false(agr_is_ready(nodes[0].agr));
 	assert_false(agr_is_ready(nodes[1].agr));
@@ -381,7 +381,8 @@
 static bool
 gate_passes(int fence)
 {
-	return agr_gate_pass(nodes[3].gate, "rollout", (uint64_t)fence, NULL);
+	return agr_fencing_check(
+	    nodes[3].gate, "rollout", (uint64_t)fence, NULL);
 }
 
 /*
@@ -398,16 +399,16 @@
 	int64_t restarted_us;
 
 	for (i = 0; i < NODES; i++)
-		start_node(i, i < 3 ? MEM_ENTRY : MEM_SIDE);
+		start_node(i, i < 3 ? MEM_GATEWAY : MEM_SIDECAR);
 	run_while_not(all_ready, NODES);
 	for (i = 0; i < 3; i++)
 		nodes[i].role = agr_role_join(
 		    nodes[i].agr, "rollout", &role_ops, &nodes[i]);
-	nodes[3].gate = agr_gate_new(nodes[3].agr);
+	nodes[3].gate = agr_fencing_new(nodes[3].agr);
 	run_while_not(other_holds, -1);
 	first = holder();
 	assert_int_equal(nodes[first].fence, 1);
-	assert_false(agr_gate_pass(nodes[3].gate, "rollout", 1, &err));
+	assert_false(agr_fencing_check(nodes[3].gate, "rollout", 1, &err));
 	assert_int_equal(err.code, ERR_UNAVAILABLE);
 	run_while_not(gate_passes, 1);
 
@@ -417,7 +418,7 @@
 	second = holder();
 	assert_int_equal(nodes[second].fence, 2);
 	run_while_not(gate_passes, 2);
-	assert_false(agr_gate_pass(nodes[3].gate, "rollout", 1, &err));
+	assert_false(agr_fencing_check(nodes[3].gate, "rollout", 1, &err));
 	assert_int_equal(err.code, ERR_STALE_FENCE);
 
 	nodes[second].role = NULL;
@@ -432,14 +433,14 @@
 
 	stop_node(3);
 	objects_down(&api, true);
-	start_node(3, MEM_SIDE);
+	start_node(3, MEM_SIDECAR);
 	restarted_us = g_get_monotonic_time();
-	nodes[3].gate = agr_gate_new(nodes[3].agr);
+	nodes[3].gate = agr_fencing_new(nodes[3].agr);
 	run_while_not(gate_passes, 3);
 	/* Not before the members have surely heard of the last number. */
 	assert_true(g_get_monotonic_time() - restarted_us >=
 	    LEASE_MS * G_USEC_PER_SEC / 1000);
-	assert_false(agr_gate_pass(nodes[3].gate, "rollout", 2, &err));
+	assert_false(agr_fencing_check(nodes[3].gate, "rollout", 2, &err));
 	assert_int_equal(err.code, ERR_STALE_FENCE);
 }
 
--- a/tests/agree/test_inf.c
+++ b/tests/agree/test_inf.c
@@ -33,15 +33,15 @@
 	struct inf *inf = inf_new();
 	uint64_t digest, before = inf_digest(inf);
 
-	assert_int_equal(inf_offer(inf, "konya", 7, v2, NULL), INF_TAKEN);
+	assert_int_equal(inf_offer(inf, "konya", 7, v2, NULL), INF_ACCEPTED);
 	digest = inf_digest(inf);
 	assert_true(digest > before);
-	assert_int_equal(inf_offer(inf, "konya", 6, v1, NULL), INF_OLD);
-	assert_int_equal(inf_offer(inf, "konya", 7, v1, NULL), INF_OLD);
+	assert_int_equal(inf_offer(inf, "konya", 6, v1, NULL), INF_STALE);
+	assert_int_equal(inf_offer(inf, "konya", 7, v1, NULL), INF_STALE);
 	assert_int_equal(in_force(inf), 2);
 	assert_true(inf_digest(inf) == digest);
 	/* Going back is a new version. */
-	assert_int_equal(inf_offer(inf, "konya", 8, v1, NULL), INF_TAKEN);
+	assert_int_equal(inf_offer(inf, "konya", 8, v1, NULL), INF_ACCEPTED);
 	assert_int_equal(in_force(inf), 1);
 	assert_true(inf_digest(inf) > digest);
 	inf_free(inf);
@@ -58,9 +58,9 @@
 	assert_int_equal(inf_offer(inf, "konya", 2, broken, &err), INF_REFUSED);
 	assert_non_null(strstr(err.message, "requests_s"));
 	assert_int_equal(in_force(inf), 1);
-	assert_false(inf_is_news(inf, "konya", 2));
+	assert_false(inf_is_newer(inf, "konya", 2));
 	assert_int_equal(inf_offer(inf, "a.b", 1, v1, &err), INF_REFUSED);
-	assert_int_equal(inf_offer(inf, "konya", 3, v2, NULL), INF_TAKEN);
+	assert_int_equal(inf_offer(inf, "konya", 3, v2, NULL), INF_ACCEPTED);
 	inf_free(inf);
 }
 
@@ -99,11 +99,11 @@
 	inf_offer(a, "konya", 1, v1, NULL);
 	inf_offer(b, INF_ROOT_BRANCH, 2, root, NULL);
 	inf_offer(b, "konya", 2, v2, NULL);
-	known = inf_known(a);
+	known = inf_pack_versions(a);
 	inf_each_newer(
 	    b, (struct slice){ known->data, known->len }, offer_to, a);
 	g_byte_array_unref(known);
-	known = inf_known(b);
+	known = inf_pack_versions(b);
 	inf_each_newer(
 	    a, (struct slice){ known->data, known->len }, offer_to, b);
 	g_byte_array_unref(known);
@@ -123,20 +123,20 @@
 {
 	struct inf_start s = { 0 };
 
-	assert_false(inf_may_begin(&s));
+	assert_false(inf_may_serve(&s));
 	s.api_failed = true;
 	s.waited_us = G_USEC_PER_SEC * INT64_C(3600);
-	assert_false(inf_may_begin(&s)); /* alone: never without the API */
+	assert_false(inf_may_serve(&s)); /* alone: never without the API */
 	s.peers_known = 5;
-	assert_false(inf_may_begin(&s));
-	s.peers_told = INF_PEERS_WANTED;
-	assert_true(inf_may_begin(&s));
+	assert_false(inf_may_serve(&s));
+	s.peers_answered = INF_PEERS_REQUIRED;
+	assert_true(inf_may_serve(&s));
 	s = (struct inf_start){ .api_read = true };
-	assert_true(inf_may_begin(&s)); /* the first node of all */
+	assert_true(inf_may_serve(&s)); /* the first node of all */
 	s.peers_known = 5;
-	assert_false(inf_may_begin(&s));
+	assert_false(inf_may_serve(&s));
 	s.waited_us = G_USEC_PER_SEC;
-	assert_true(inf_may_begin(&s));
+	assert_true(inf_may_serve(&s));
 }
 
 static void
@@ -163,7 +163,7 @@
 	for (order = 0; order <= n; order++) {
 		i = order == 0 ? self : order - 1;
 		node = (struct mem_node){
-			.kind = i < entries ? MEM_ENTRY : MEM_SIDE,
+			.kind = i < entries ? MEM_GATEWAY : MEM_SIDECAR,
 			.incarnation = UINT64_C(1) << MEM_REFUTES_BITS,
 		};
 		snprintf(node.id, sizeof(node.id), "host-%u", i);
--- a/tests/agree/test_lse.c
+++ b/tests/agree/test_lse.c
@@ -146,7 +146,7 @@
 	.write = on_write,
 	.gained = on_gained,
 	.lost = on_lost,
-	.tell = on_tell,
+	.publish = on_tell,
 	.left = on_left,
 };
 
@@ -256,7 +256,7 @@
 		snprintf(w->nodes[i].id, sizeof(w->nodes[i].id), "e%d", i);
 		conf = (struct lse_conf){
 			.self = w->nodes[i].id,
-			.life = 7,
+			.incarnation = 7,
 			.lease_ms = LEASE_MS,
 		};
 		w->nodes[i].lse = lse_new(w->chart, &conf, &ops, &w->nodes[i]);
--- a/tests/replay/lease.c
+++ b/tests/replay/lease.c
@@ -28,7 +28,7 @@
 	struct state *s = ctx;
 	struct lse_value v;
 
-	if (!lse_value_read(value, &v))
+	if (!lse_value_parse(value, &v))
 		bad_input(s->step, "wrote what is no lease");
 	did(s->step,
 	    "write %s fence=%" G_GUINT64_FORMAT " if=%" G_GUINT64_FORMAT,
@@ -73,7 +73,7 @@
 	.write = on_write,
 	.gained = on_gained,
 	.lost = on_lost,
-	.tell = on_tell,
+	.publish = on_tell,
 	.left = on_left,
 };
 
@@ -82,7 +82,7 @@
 {
 	const struct lse_conf conf = {
 		.self = "me",
-		.life = 1,
+		.incarnation = 1,
 		.lease_ms = LEASE_MS,
 	};
 	struct state *s = g_new0(struct state, 1);
@@ -110,14 +110,14 @@
 object_of(const struct step *step)
 {
 	struct lse_value v = {
-		.life = number_of(step, "life", 1),
+		.incarnation = number_of(step, "life", 1),
 		.fence = number_of(step, "fence", 0),
 		.lease_ms = LEASE_MS,
 		.handed_over = has_flag(step, "handed_over"),
 	};
 
 	g_strlcpy(v.holder, value_of(step, "holder", ""), sizeof(v.holder));
-	return lse_value_text(&v);
+	return lse_value_format(&v);
 }
 
 static bool
--- a/tests/replay/settings.c
+++ b/tests/replay/settings.c
@@ -6,8 +6,8 @@
 #include "replay/replay.h"
 
 static const char *const outcome_names[] = {
-	[INF_TAKEN] = "taken",
-	[INF_OLD] = "old",
+	[INF_ACCEPTED] = "taken",
+	[INF_STALE] = "old",
 	[INF_REFUSED] = "refused",
 };
 
@@ -55,11 +55,11 @@
 		.api_read = has_flag(step, "api_read"),
 		.api_failed = has_flag(step, "api_failed"),
 		.peers_known = number_of(step, "peers", 0),
-		.peers_told = number_of(step, "told", 0),
+		.peers_answered = number_of(step, "told", 0),
 		.waited_us = step->now_us,
 	};
 
-	did(step, "%s", inf_may_begin(&start) ? "yes" : "no");
+	did(step, "%s", inf_may_serve(&start) ? "yes" : "no");
 }
 
 static void
