--- a/lib/agree/agr.c
+++ b/lib/agree/agr.c
@@ -1,4 +1,7 @@
-/* The node: carries out what membership, settings and leases decide. */
+/*
+ * One agree node: performs the I/O for the decisions of the membership,
+ * settings and lease modules.
+ */
 
 #include <string.h>
 
@@ -22,7 +25,10 @@
 {
 	struct agr *agr = ctx;
 
-	/* Before agr_new has opened the socket there is nobody to tell. */
+	/*
+	 * mem_new() sends nothing useful before agr_new() has opened the
+	 * socket.
+	 */
 	if (agr->dgram != NULL)
 		dgram_send(agr->dgram, to, mem_msg_desc(type), m);
 }
@@ -79,7 +85,10 @@
 		mem_receive(agr->mem, agr_now_us(agr), from, m->type, &message);
 }
 
-/* The host list lags: its addresses are only asked whether they are there. */
+/*
+ * The host list may be out of date, so an address from it is only probed, not
+ * added as a member.
+ */
 static void
 on_hosts(
     const struct hosts_entry *hosts, size_t n, const struct err *err, void *ctx)
@@ -100,7 +109,10 @@
 	if (agr->conf.hosts == NULL || now_us < agr->next_hosts_us ||
 	    agr->hosts_call != NULL)
 		return;
-	/* By all nodes together about one call a pause. */
+	/*
+	 * Each node asks with probability 1/n, so that all nodes together make
+	 * about one call per pause.
+	 */
 	agr->next_hosts_us = now_us + HOSTS_PAUSE_US;
 	if (rng_below(&agr->rng, mem_count(agr->mem)) > 0)
 		return;
@@ -202,13 +214,15 @@
 		return;
 	agr->closing = true;
 	if (agr->hosts_call != NULL)
-		*agr->hosts_call = NULL; /* its answer finds nobody */
+		/* on_hosts() then ignores the response */
+		*agr->hosts_call = NULL;
 	if (agr->timer != 0)
 		g_source_remove(agr->timer);
 	agr_settings_stop(agr);
 	agr_pulls_drop(agr);
 	agr_gates_stop(agr);
-	obj_free(agr->obj); /* ends the calls of roles and gates too */
+	/* also ends the calls of roles and fencing checks */
+	obj_free(agr->obj);
 	agr_roles_free(agr);
 	dgram_free(agr->dgram);
 	mem_free(agr->mem);
--- a/lib/agree/agr_internal.h
+++ b/lib/agree/agr_internal.h
@@ -1,21 +1,24 @@
 #ifndef AGR_INTERNAL_H
 #define AGR_INTERNAL_H
 
-/* Shared by the agr_*.c files: the node that carries the decisions out. */
+/*
+ * Internal declarations of agr_*.c, which perform the I/O for the decisions of
+ * mem_*, inf_* and lse_*.
+ */
 
 #include "agree/agree.h"
 #include "agree/inf_internal.h"
 #include "agree/lse_internal.h"
 #include "agree/mem_internal.h"
 
-/* A connection that this node dialled to take something over. */
+/* A connection that this node opened to fetch state from a peer. */
 enum pull_kind {
 	PULL_SETTINGS,
 	PULL_MEMBERS,
 };
 
 struct pull {
-	struct agr *agr; /* NULL once the node is gone */
+	struct agr *agr; /* NULL after agr_free() */
 	enum pull_kind kind;
 	char address[MEM_ADDRESS_MAX + 1];
 	struct conn *conn;
@@ -26,12 +29,12 @@
 struct agr_role {
 	struct agr *agr;
 	char *name;
-	char *key; /* of the lease object */
+	char *key; /* key of the lease object */
 	const struct agr_role_ops *ops;
 	void *ctx;
 	struct lse *lse;
 	char op[OBJ_OP_MAX];
-	unsigned int calls; /* object API calls under way */
+	unsigned int calls; /* object API calls in progress */
 	bool closed;
 	LIST_ENTRY(agr_role) link;
 };
@@ -50,31 +53,33 @@
 	struct rng rng;
 	guint timer;
 	bool closing;
-	bool members_changed; /* ranks are to be computed anew */
+	bool members_changed; /* ranks must be recomputed */
 
-	/* Settings */
+	/* State of the settings */
 	bool ready;
 	int64_t started_us;
 	struct inf_start start;
-	GHashTable
-	    *answered_peers; /* addresses of ready peers that answered a pull */
+	/* addresses of ready peers that answered a pull */
+	GHashTable *answered_peers;
 	bool listing;
-	unsigned int pending_reads; /* objects of the list still to come */
+	/* reads of listed objects not yet answered */
+	unsigned int pending_reads;
 	bool read_failed;
-	int64_t next_list_us; /* no earlier list than this */
+	int64_t next_list_us; /* earliest time of the next list call */
 	unsigned int list_deadline_ms;
 	struct obj_watch *watch;
 	bool watch_works;
 	uint64_t revision;
-	int64_t
-	    next_digest_pull_us; /* no earlier pull for a differing digest */
-	struct { /* news heard while pulls were under way */
+	/* earliest time of the next pull caused by a differing digest */
+	int64_t next_digest_pull_us;
+	struct { /* last note received while the maximum of pulls was running */
 		char address[MEM_ADDRESS_MAX + 1];
 		char branch[INF_BRANCH_MAX + 1];
 		uint64_t version;
 	} queued_note;
-	int64_t next_hosts_us; /* no earlier call than this */
-	struct agr **hosts_call; /* its context while one is under way */
+	/* earliest time of the next call to the host list */
+	int64_t next_hosts_us;
+	struct agr **hosts_call; /* context of the call in progress, or NULL */
 
 	LIST_HEAD(pull_list, pull) pulls;
 	LIST_HEAD(agr_role_list, agr_role) roles;
@@ -86,9 +91,9 @@
 
 int64_t agr_now_us(const struct agr *agr);
 
-struct agr_fencing { /* see gate.c */
+struct agr_fencing { /* state of the fencing check, see gate.c */
 	struct agr *agr;
-	int64_t started_us; /* of this life of the host */
+	int64_t started_us; /* when agr_fencing_new() was called */
 	GHashTable *floors;
 	LIST_ENTRY(agr_fencing) link;
 };
@@ -100,13 +105,15 @@
 
 /* agr_settings.c */
 void agr_settings_tick(struct agr *agr, int64_t now_us);
-void agr_settings_members_changed(struct agr *agr); /* members changed */
+/* to be called after a membership change */
+void agr_settings_members_changed(struct agr *agr);
 void agr_settings_on_note(
     struct agr *agr, const struct mem_note *note, const char *from);
 void agr_settings_digest_differs(struct agr *agr, const char *from);
 void agr_settings_peer_answered(
     struct agr *agr, const char *address, bool ready);
-void agr_settings_pull_ended(struct agr *agr); /* a pull ended */
+/* to be called when a pull has ended */
+void agr_settings_pull_ended(struct agr *agr);
 void agr_settings_stop(struct agr *agr);
 void agr_offer_branch(struct agr *agr, const char *name, uint64_t version,
     const char *yaml, const char *source);
@@ -122,7 +129,7 @@
 void agr_gates_told(struct agr *agr);
 void agr_gates_stop(struct agr *agr);
 
-/* rank.c: places that all nodes with the same view compute alike */
+/* rank.c: ranks that all nodes with the same member table compute alike */
 unsigned int rank_for_role(
     struct mem *mem, const char *role, const char *holder, const char *self);
 bool rank_is_watcher(struct mem *mem, const char *self);
--- a/lib/agree/agr_pull.c
+++ b/lib/agree/agr_pull.c
@@ -1,21 +1,27 @@
 /*
- * Take-overs by TCP: the table of members, or the branches of settings. The
- * asking side dials; the answering side gets the question on one of the
- * program's accepted connections.
+ * Pulls over TCP: of the member table, or of the settings branches. The pulling
+ * node opens the connection; the answering node receives the request on a
+ * connection that the program accepted.
  */
 
 #include <string.h>
 
 #include "agree/agr_internal.h"
 
-#define PULL_LIMIT_MS 5000 /* a stalled peer is given up; others are there */
+/* a stalled peer is given up after this time; other peers can answer */
+#define PULL_LIMIT_MS 5000
 
 enum pull_type {
-	TYPE_SYNC = 66, /* asker: what I know */
-	TYPE_PAGE = 67, /* records that the other lacks */
-	TYPE_LACKING = 68, /* answerer, after its pages: keys that I lack */
-	TYPE_SYNC_END = 69, /* asker, after its pages; echoed */
-	TYPE_ASK = 70, /* asker: versions that I know */
+	TYPE_SYNC = 66, /* from the pulling node: the states that it has */
+	TYPE_PAGE = 67, /* records that the receiver is missing */
+	/* from the answering node, after its pages: keys that it is missing */
+	TYPE_LACKING = 68,
+	/*
+	 * from the pulling node, after its pages; echoed by the answering node
+	 */
+	TYPE_SYNC_END = 69,
+	/* from the pulling node: the branch versions that it has */
+	TYPE_ASK = 70,
 	TYPE_BRANCH = 71,
 	TYPE_ASK_END = 72,
 };
@@ -51,8 +57,8 @@
     MSG_DESC(TYPE_BRANCH, "branch", struct msg_branch, branch_fields);
 
 struct msg_ask_end {
-	uint64_t ready; /* 0: the answering node has not begun itself */
-	struct slice roles; /* notes of the roles */
+	uint64_t ready; /* 0: the answering node is not ready itself */
+	struct slice roles; /* fencing numbers and holders of the roles */
 };
 static const struct msg_field ask_end_fields[] = {
 	MSG_FIELD(struct msg_ask_end, ready, MSG_U64, 1),
@@ -137,7 +143,7 @@
 	default:
 		return false;
 	}
-	conn_close(c); /* malformed */
+	conn_close(c); /* malformed message */
 	return true;
 }
 
@@ -210,7 +216,7 @@
 	case TYPE_ASK_END:
 		take_ask_end(p, m);
 		break;
-	default: /* TYPE_SYNC_END, or nothing that we asked for */
+	default: /* TYPE_SYNC_END, or an unexpected message */
 		break;
 	}
 	conn_close(c);
@@ -278,7 +284,7 @@
 	return n;
 }
 
-/* The connections end by the loop, after the node is gone. */
+/* The event loop closes the connections after agr_free() has returned. */
 void
 agr_pulls_drop(struct agr *agr)
 {
--- a/lib/agree/agr_role.c
+++ b/lib/agree/agr_role.c
@@ -1,4 +1,4 @@
-/* Leased roles: carries the lease decisions out on the object API. */
+/* Leased roles: makes the object API calls that the lease decisions ask for. */
 
 #include <string.h>
 
@@ -136,7 +136,7 @@
 	g_strlcpy(note.name, role->name, sizeof(note.name));
 	g_strlcpy(note.text, holder, sizeof(note.text));
 	mem_note(role->agr->mem, agr_now_us(role->agr), &note);
-	role->agr->members_changed = true; /* ranks leave out the holder */
+	role->agr->members_changed = true; /* the ranks leave out the holder */
 }
 
 static void
@@ -172,7 +172,7 @@
 	struct agr *agr = role->agr;
 	unsigned int rank = UINT_MAX;
 
-	/* Without settings in force a holder has nothing to act on. */
+	/* A holder without active settings has nothing to act on. */
 	if (agr->ready)
 		rank = rank_for_role(
 		    agr->mem, role->name, holder_of(role), agr->conf.self.id);
@@ -261,7 +261,7 @@
 	return holder_of(role);
 }
 
-/* The handles stay the program's: it still gives them back. */
+/* Does not free the roles: the program still calls agr_role_leave(). */
 void
 agr_roles_leave(struct agr *agr)
 {
--- a/lib/agree/agr_settings.c
+++ b/lib/agree/agr_settings.c
@@ -1,22 +1,28 @@
 /*
- * Settings: the few watchers' watch of the object API, the others' pulls
- * from members, the start of a node, and writes.
+ * Settings: the watch of the object API by a few nodes, the pulls from members
+ * by all others, the start of a node, and writes.
  */
 
 #include <string.h>
 
 #include "agree/agr_internal.h"
 
-/* The first list is given up soon, so that members can stand in; each one
- * that failed doubles the time, for an API that is slow for minutes. */
+/*
+ * The deadline of the first list is short, so that members can stand in for the
+ * API soon; each failed list doubles the deadline, for an API that is slow for
+ * minutes.
+ */
 #define LIST_DEADLINE_MS 1500
 #define LIST_DEADLINE_MAX_MS 24000
 #define LIST_PAUSE_US G_USEC_PER_SEC /* after a failure */
 #define WRITE_DEADLINE_MS 5000
-#define PULLS_AT_ONCE 2 /* a third answer would bring the same */
+#define PULLS_AT_ONCE 2 /* a third response would bring the same branches */
 #define DIFFER_PAUSE_US (G_USEC_PER_SEC / 2)
-/* A side lets members tell it first: after a restart of all, a thousand
- * lists and reads at once would be the API's next outage. */
+/*
+ * A sidecar first waits up to this long for responses from members: after a
+ * restart of all hosts, a thousand simultaneous lists and reads would overload
+ * the object API again.
+ */
 #define SIDE_LIST_WAIT_MS 1000
 
 /* ------------------------------------------------------------------ */
@@ -56,7 +62,7 @@
 		agr->ops->branch_changed(inf_find(agr->inf, name), agr->ctx);
 }
 
-/* NULL for an object that is no branch. */
+/* Returns NULL if the key is not that of a settings branch. */
 static const char *
 branch_of(const char *key)
 {
@@ -132,7 +138,7 @@
 	} else if (agr->watch == NULL && agr->start.api_read) {
 		agr->watch = obj_watch_start(
 		    agr->obj, INF_KEY_PREFIX, agr->revision, &watch_ops, agr);
-		agr->watch_works = true; /* until it says otherwise */
+		agr->watch_works = true; /* until on_watch_lost() is called */
 	}
 }
 
@@ -168,7 +174,9 @@
 	agr->queued_note.version = 0;
 }
 
-/* Anti-entropy: the urgent note was lost, or we were away. */
+/*
+ * Anti-entropy: the urgent note was lost, or this node was paused or cut off.
+ */
 void
 agr_settings_digest_differs(struct agr *agr, const char *from)
 {
@@ -196,7 +204,7 @@
 		    MIN(2 * agr->list_deadline_ms, LIST_DEADLINE_MAX_MS);
 	agr->start.api_read = !agr->read_failed;
 	agr->start.api_failed = agr->read_failed;
-	agr->members_changed = true; /* a watch may begin */
+	agr->members_changed = true; /* a watch may start */
 }
 
 static void
@@ -264,13 +272,13 @@
 agr_settings_peer_answered(struct agr *agr, const char *address, bool ready)
 {
 	if (!ready)
-		return; /* may know less than was accepted */
+		return; /* the peer may be missing accepted versions */
 	g_hash_table_add(agr->answered_peers, g_strdup(address));
 	agr->start.peers_answered = g_hash_table_size(agr->answered_peers);
 	agr_gates_told(agr);
 }
 
-/* Asks members until enough have told. */
+/* Pulls from random members until enough of them have answered. */
 static void
 ask_members(struct agr *agr)
 {
@@ -341,8 +349,11 @@
 {
 	struct write *w = ctx;
 
-	/* In force here before the answer: who reads back what was just
-	 * accepted from this node must find it. */
+	/*
+	 * The version becomes active here before the caller gets its response,
+	 * so that a caller who then reads from this node finds what was
+	 * accepted.
+	 */
 	if (err == NULL && !w->agr->closing)
 		agr_offer_branch(w->agr, w->name, version, w->yaml, "write");
 	w->done(version, now, err, w->ctx);
--- a/lib/agree/gate.c
+++ b/lib/agree/gate.c
@@ -1,6 +1,6 @@
 /*
- * The order gate of a side: no order under a lower fencing number than one
- * that was seen passes to the target, whether or not the target checks.
+ * Fencing check of a sidecar: rejects orders with a lower fencing number than
+ * the highest one seen, whether or not the target checks it too.
  */
 
 #include <string.h>
@@ -10,13 +10,14 @@
 #define READ_DEADLINE_MS 1000
 #define RETRY_AFTER_MS 200
 
-struct floor { /* of one role */
-	struct agr_fencing *gate; /* NULL once the gate is gone */
+struct floor { /* fencing floor of one role */
+	struct agr_fencing *gate; /* NULL after agr_fencing_free() */
 	char *role;
 	uint64_t fence;
 	bool known;
 	bool reading;
-	bool by_members; /* the API did not answer */
+	/* the object API did not answer; wait for members instead */
+	bool by_members;
 };
 
 static void
@@ -65,10 +66,10 @@
 }
 
 /*
- * Hosts keep nothing: after a restart the floor is gone, and a paused holder
- * that wakes could have its old order taken, undoing a newer one. Each holder wrote
- * the object before its first order, so that the object's number is at least
- * that of any order that this host saw in its earlier life.
+ * Hosts keep no state: a restart loses the floor, and a paused holder that
+ * resumes could then get an old order accepted that undoes a newer one. Each
+ * holder writes the object before its first order, so the object's number is at
+ * least that of any order that this host accepted before the restart.
  */
 static void
 learn(struct agr_fencing *gate, struct floor *floor)
@@ -84,11 +85,12 @@
 }
 
 /*
- * With the API away, several members that have begun stand in for it, but not
- * at once: a holder tells of its number before it acts and waits for nobody, so
- * members may not have heard yet of a number that this host took before its
- * restart, and an older order still on its way would pass. After a lease
- * gossip has long carried it to them.
+ * While the object API is unavailable, several ready members stand in for it,
+ * but only after a lease duration. A holder announces its number before it acts
+ * and does not wait for acknowledgements. Members may therefore not know a
+ * number yet that this host accepted before its restart, and an older order
+ * still in flight would pass. One lease duration is far longer than gossip
+ * needs to reach all members.
  */
 static bool
 news_has_spread(const struct agr_fencing *gate)
@@ -188,7 +190,7 @@
 	return true;
 }
 
-/* Gates that the program has not freed yet refuse everything. */
+/* Fencing checks that the program has not freed yet reject every order. */
 void
 agr_gates_stop(struct agr *agr)
 {
--- a/lib/agree/inf.c
+++ b/lib/agree/inf.c
@@ -1,26 +1,32 @@
-/* Settings in force: which offers are taken, and when a node may begin. */
+/*
+ * Active settings: which offered versions are accepted, and when a node may
+ * start to serve.
+ */
 
 #include <msgpack.h>
 #include <string.h>
 
 #include "agree/inf_internal.h"
 
-#define BRANCHES_MAX 256 /* teams; more is a mistake in the API's prefix */
-/* With the API's list in hand, peers get so long to tell more: a write that
- * was accepted after the list was made. */
+/* workspaces; more indicate a wrong prefix in the object API */
+#define BRANCHES_MAX 256
+/*
+ * After the object API's list was read, peers get this long to report a write
+ * that was accepted after the list was made.
+ */
 #define PEERS_WAIT_US (G_USEC_PER_SEC / 2)
 
 struct branch {
-	struct inf_branch public; /* cfg is NULL until one was taken */
+	struct inf_branch public; /* cfg is NULL until a version was accepted */
 	char name[INF_BRANCH_MAX + 1];
 	char *yaml;
 	struct cfg *cfg;
-	uint64_t refused; /* highest version that failed its check */
+	uint64_t refused; /* highest version that failed validation */
 	LIST_ENTRY(branch) link;
 };
 
 struct inf {
-	LIST_HEAD(branch_list, branch) branches; /* by name */
+	LIST_HEAD(branch_list, branch) branches; /* sorted by name */
 };
 
 static struct branch *
@@ -110,9 +116,10 @@
 	struct cfg *cfg;
 
 	/*
-	 * A paused watcher that wakes, a peer from a cut region or a slow
-	 * answer offers what was in force long ago. Taking it would revert an
-	 * accepted change; the version of the object says which is later.
+	 * A watcher that resumes after a pause, a peer from a region that was
+	 * cut off or a delayed response may offer a version that was active
+	 * long ago. Accepting it would revert an accepted change; the version
+	 * of the object shows which one is newer.
 	 */
 	if (!inf_is_newer(inf, name, version))
 		return INF_STALE;
@@ -234,7 +241,10 @@
 
 	msgpack_packer_init(&pk, out, append);
 	LIST_FOREACH (b, &inf->branches, link) {
-		/* A refused version is not asked for again and again. */
+		/*
+		 * List a refused version too, so that it is not pulled again
+		 * and again.
+		 */
 		msgpack_pack_array(&pk, 2);
 		msgpack_pack_str(&pk, strlen(b->name));
 		msgpack_pack_str_body(&pk, b->name, strlen(b->name));
--- a/lib/agree/inf_internal.h
+++ b/lib/agree/inf_internal.h
@@ -2,17 +2,18 @@
 #define INF_INTERNAL_H
 
 /*
- * Settings in force on this node, without I/O: which offered branch is taken
- * and when the node may begin to answer. Versions only grow here, whatever
- * order the API's watch, the peers and own writes bring them in.
+ * Active settings of this node, without I/O: which offered versions of a branch
+ * are accepted and when the node may start to serve. The version of a branch
+ * only grows, in whatever order the watch of the object API, the peers and
+ * local writes offer versions.
  */
 
 #include "agree/agree.h"
 
 enum inf_outcome {
 	INF_ACCEPTED,
-	INF_STALE, /* not newer than what is in force */
-	INF_REFUSED, /* fails its check; the version in force stays */
+	INF_STALE, /* not newer than the active version */
+	INF_REFUSED, /* failed validation; the active version is unchanged */
 };
 
 struct inf;
@@ -20,46 +21,51 @@
 
 struct inf *inf_new(void);
 void inf_free(struct inf *inf);
-/* `err` tells why a branch was refused. */
+/* `err` gets the reason if a branch is refused. */
 enum inf_outcome inf_offer(struct inf *inf, const char *name, uint64_t version,
     const char *yaml, struct err *err);
-/* Whether an offer of this version would be news. */
+/* Returns whether the version is newer than the active and any refused one. */
 bool inf_is_newer(const struct inf *inf, const char *name, uint64_t version);
 const struct inf_branch *inf_find(const struct inf *inf, const char *name);
 void inf_each(const struct inf *inf, inf_each_cb *each, void *ctx);
 unsigned int inf_count(const struct inf *inf);
 /*
- * 64 bits over all (branch, version): the sum of the versions above a hash,
- * so that digests of one node compare as its states do in time.
+ * 64 bits over all (branch, version): the sum of the versions in the upper
+ * half, a hash in the lower half. Of two digests of one node the greater is the
+ * later.
  */
 uint64_t inf_digest(const struct inf *inf);
 
-/* A write is checked whole before it is sent: against its schema, against
- * the root branch, and a root branch against all the others. */
+/*
+ * Validates a write before it is sent: against its schema, a branch against the
+ * root branch, and a root branch against all other branches.
+ */
 bool inf_check_write(
     const struct inf *inf, const char *name, const char *yaml, struct err *err);
 
-/* What a peer is told when asked for news: names and versions. */
+/* Names and versions of the local branches, for a pull request to a peer. */
 GByteArray *inf_pack_versions(const struct inf *inf);
-/* Branches that a peer with `known` lacks. */
+/* Calls `each` for the branches that are newer here than in `known`. */
 void inf_each_newer(
     const struct inf *inf, struct slice known, inf_each_cb *each, void *ctx);
 
-/* How far a starting node has come. */
+/* Progress of a starting node. */
 struct inf_start {
-	bool api_read; /* the list and all that it named */
-	bool api_failed; /* the last try; it goes on */
+	bool api_read; /* the list and all objects in it were read */
+	bool api_failed; /* the last attempt failed; further ones follow */
 	unsigned int peers_known; /* members other than this node */
-	unsigned int peers_answered; /* that answered whole */
+	/* that are ready and answered a pull completely */
+	unsigned int peers_answered;
 	int64_t waited_us;
 };
 /*
- * An old version must not be taken for the newest: with the API's list the
- * node has what was accepted until then. Without it several peers that do
- * not know newer either stand in; alone and without it the node waits.
+ * A node must not serve an old version as the newest. With the object API's
+ * list it has all that was accepted until then. Without the list, several peers
+ * without newer versions are enough; without the list and without peers the
+ * node waits.
  */
 bool inf_may_serve(const struct inf_start *start);
-/* Several members that have begun have told what they know. */
+/* Enough members that are ready have answered a pull. */
 bool inf_enough_peers(const struct inf_start *start);
 #define INF_PEERS_REQUIRED 3
 
--- a/lib/agree/lse.c
+++ b/lib/agree/lse.c
@@ -4,20 +4,28 @@
 
 #include "agree/lse_internal.h"
 
-/* Allows for the clocks' different speeds and for the way from the check of
- * the deadline to the order on the wire. */
+/*
+ * Covers the different rates of the clocks and the time from the check of the
+ * deadline until the order is sent.
+ */
 #define MARGIN_MAX_MS 300
-#define POLL_MAX_MS 400 /* how late the first in rank sees a renewal */
+/* upper limit of the delay until the first in rank reads a renewal */
+#define POLL_MAX_MS 400
 #define BACKUP_POLL_MS 1000
-/* The second in rank claims only what the first has left lying so long, or
- * two writes would meet and one be refused. */
+/*
+ * The second in rank claims only a lease that the first has left unclaimed for
+ * this long; otherwise their writes would collide and one be refused.
+ */
 #define BACKUP_WAIT_MS 1500
-/* Views differ while members come: no claim before the rank has lasted. */
+/*
+ * Member tables differ while members join: a node claims only after its rank
+ * was stable for this time.
+ */
 #define SETTLE_MS 1000
-#define RETRY_MS 200 /* after a renewal that failed */
-#define CLAIM_RETRY_MS 500 /* after a claim that failed */
+#define RETRY_MS 200 /* after a failed renewal */
+#define CLAIM_RETRY_MS 500 /* after a failed claim */
 #define RELEASE_LIMIT_MS 2000
-#define CANDIDATES 2 /* ranks that read the object */
+#define CANDIDATES 2 /* number of ranks that read the object */
 #define NO_RANK UINT_MAX
 
 enum lse_event {
@@ -44,26 +52,26 @@
 	struct lse_conf conf;
 	const struct lse_ops *ops;
 	void *ctx;
-	int64_t now_us; /* of the event being handled */
+	int64_t now_us; /* time of the event being handled */
 
 	unsigned int rank;
-	int64_t ranked_us; /* since when */
+	int64_t ranked_us; /* when the rank last changed */
 
-	bool seen; /* the fields below are of a read or a write */
+	bool seen; /* the fields below come from a read or a write */
 	uint64_t version; /* 0: absent */
 	struct lse_value value;
 	int64_t seen_us; /* when this version was first seen */
-	int64_t seen_read_us; /* when the read that saw it began */
-	uint64_t highest; /* fence that anybody told of */
-	int64_t claim_us; /* no earlier claim than this */
+	int64_t seen_read_us; /* when the read that returned it was started */
+	uint64_t highest; /* highest fencing number read or reported */
+	int64_t claim_us; /* earliest time of the next claim */
 	bool reading;
-	int64_t read_us; /* when the last read that succeeded began */
+	int64_t read_us; /* when the last successful read was started */
 	int64_t read_begun_us;
 	int64_t read_due_us;
 
-	int64_t sent_us; /* before the last write was sent */
+	int64_t sent_us; /* just before the last write was sent */
 	struct lse_value written;
-	uint64_t fence; /* held, or 0 */
+	uint64_t fence; /* while held, else 0 */
 	int64_t deadline_us;
 	int64_t renew_us;
 	unsigned int refused;
@@ -86,7 +94,10 @@
 	    strcmp(lse->value.holder, lse->conf.self) == 0;
 }
 
-/* Since when the role is free as far as is known; INT64_MAX: it is held. */
+/*
+ * Returns when the role became free as far as is known; INT64_MAX: it is not
+ * known to be free.
+ */
 static int64_t
 free_since_us(const struct lse *lse)
 {
@@ -109,8 +120,11 @@
 	lse->seen_read_us = read_us;
 	lse->value = (struct lse_value){ 0 };
 	if (version != 0 && !lse_value_parse(text, &lse->value)) {
-		/* Not a lease: somebody else's text. Wait it out as a held
-		 * one, and go on above the version, which no fence passes. */
+		/*
+		 * The value is not a lease but unrelated text. Treat it as a
+		 * lease that must expire first, and continue above the object's
+		 * version, which no fencing number exceeds.
+		 */
 		lse->value.lease_ms = lse->conf.lease_ms;
 		lse->value.fence = version;
 	}
@@ -135,8 +149,11 @@
 		return false;
 	if (lse->rank > 0)
 		wait_us = BACKUP_WAIT_MS * 1000;
-	/* Seen unchanged by a read begun after it became free: after a pause
-	 * or an outage what is remembered may be long out of date. */
+	/*
+	 * Requires a read that was started after the lease became free and
+	 * found it unchanged: after a pause or an outage the last value may be
+	 * long out of date.
+	 */
 	return lse->now_us >= free_us + wait_us &&
 	    lse->read_us >= free_us + wait_us;
 }
@@ -216,9 +233,12 @@
 	};
 	g_strlcpy(
 	    lse->written.holder, lse->conf.self, sizeof(lse->written.holder));
-	/* The lease runs from before the sending: the write may have taken
-	 * effect at any time since, and candidates count from when they saw
-	 * it. Counting from the answer would add its delay to our time. */
+	/*
+	 * The lease starts before the write is sent: the write may have taken
+	 * effect at any time since, and candidates count from when they read
+	 * it. Counting from the response would add its delay to the holder's
+	 * time.
+	 */
 	lse->sent_us = lse->now_us;
 	text = lse_value_format(&lse->written);
 	lse->ops->write(text, lse->version, limit_ms, lse->ctx);
@@ -230,8 +250,11 @@
 {
 	struct lse *lse = ctx;
 
-	/* Above what the members know too: an object that was lost and made
-	 * anew must not start again at a number that the sides have passed. */
+	/*
+	 * Also above the numbers that members reported: an object that was lost
+	 * and created again must not restart at a number that sidecars have
+	 * already passed.
+	 */
 	write_value(lse, lse->highest + 1, false);
 }
 
@@ -269,8 +292,10 @@
 	lse->fence = lse->written.fence;
 	lse->highest = lse->fence;
 	do_extend(lse, NULL);
-	/* Told before it acts: a side that restarts while the API is away
-	 * takes its floor from the members. */
+	/*
+	 * Announce the number before acting: a sidecar that restarts while the
+	 * object API is unavailable takes its floor from the members.
+	 */
 	lse->ops->publish(lse->fence, lse->conf.self, lse->ctx);
 	lse->ops->gained(lse->fence, lse->ctx);
 }
@@ -281,7 +306,10 @@
 	struct lse *lse = ctx;
 
 	lse->fence = 0;
-	/* Ours as far as we remember; somebody may hold it by now. */
+	/*
+	 * The last value still names this node; another may hold the lease by
+	 * now.
+	 */
 	lse->seen = false;
 	lse->ops->lost(lse->ctx);
 }
@@ -397,7 +425,7 @@
 	if (rank == lse->rank)
 		return;
 	if (rank >= CANDIDATES && lse->fence == 0)
-		lse->seen = false; /* nothing is read any more */
+		lse->seen = false; /* this node reads the object no more */
 	if (lse->rank >= CANDIDATES || rank >= CANDIDATES)
 		lse->read_due_us = now_us;
 	lse->rank = rank;
@@ -421,7 +449,10 @@
 
 	lse->reading = false;
 	lse->now_us = now_us;
-	/* A write under way makes an answer that crossed it worthless. */
+	/*
+	 * A response is discarded if a write was sent after the read: it may
+	 * show the object before or after the write.
+	 */
 	idle = lse->read_begun_us >= lse->sent_us;
 	if (ok && idle && lse->fence == 0) {
 		take_seen(lse, version, value, lse->read_begun_us);
@@ -447,14 +478,19 @@
 		break;
 	case LSE_REFUSED:
 		take_seen(lse, version, value, now_us);
-		/* An earlier renewal whose answer was lost did take effect. */
+		/*
+		 * An earlier renewal whose response was lost did take effect.
+		 */
 		ours = is_mine(lse) && lse->fence != 0 &&
 		    lse->value.fence == lse->fence && !lse->value.handed_over;
 		step(lse, now_us, ours ? EVENT_FAILED : EVENT_REFUSED);
 		break;
 	case LSE_FAILED:
-		/* Unknown what is there now: a claim needs a look first. And a
-		 * pause, as both may end at once while the API is in trouble. */
+		/*
+		 * The object's state is unknown: read it before another claim.
+		 * Also delay the claim, as both calls may fail at once while
+		 * the object API is unavailable.
+		 */
 		if (lse->fence == 0)
 			lse->seen = false;
 		lse->claim_us = now_us + CLAIM_RETRY_MS * 1000;
@@ -474,8 +510,10 @@
 {
 	if (lse->state != lse->held && lse->state != lse->renewing)
 		return 0;
-	/* Asked before every order: after a pause the loop may come here
-	 * before the tick that would have noticed the end of the lease. */
+	/*
+	 * Called before every order: after a pause, the event loop may get here
+	 * before the tick that would detect that the lease has expired.
+	 */
 	return now_us < lse->deadline_us ? lse->fence : 0;
 }
 
--- a/lib/agree/lse_value.c
+++ b/lib/agree/lse_value.c
@@ -1,4 +1,4 @@
-/* The value of a lease object. */
+/* Encodes and parses the JSON value of a lease object. */
 
 #include <json-glib/json-glib.h>
 
