--- a/lib/agree/agr.c
+++ b/lib/agree/agr.c
@@ -25,10 +25,7 @@
 {
 	struct agr *agr = ctx;
 
-	/*
-	 * mem_new() sends nothing useful before agr_new() has opened the
-	 * socket.
-	 */
+	/* agr_new() creates mem before it opens the socket. */
 	if (agr->dgram != NULL)
 		dgram_send(agr->dgram, to, mem_msg_desc(type), m);
 }
--- a/lib/agree/mem.c
+++ b/lib/agree/mem.c
@@ -1,20 +1,23 @@
-/* Membership: the table of members and the rules by which it changes. */
+/* Membership: the member table and the rules by which it changes. */
 
 #include <string.h>
 
 #include "agree/mem_internal.h"
 
-/* The dead are remembered, or gossip that is still under way would bring
- * them back; and so that a region cut for hours is found again. */
+/*
+ * Dead members stay in the table for this time: otherwise gossip still in
+ * flight would revive them, and a region that was cut off for hours would not
+ * be found again.
+ */
 #define TOMBSTONE_US (INT64_C(6) * 3600 * G_USEC_PER_SEC)
-#define NOTES_MAX 256 /* branches and roles; more than either user has */
+#define NOTES_MAX 256 /* branches and roles; more than any present user has */
 
 uint64_t
 mem_key(const char *id)
 {
 	uint64_t key = hash64(0, id, strlen(id));
 
-	return key == 0 ? 1 : key; /* 0 means nobody */
+	return key == 0 ? 1 : key; /* key 0 stands for no member */
 }
 
 uint64_t
@@ -71,7 +74,10 @@
 	return hash64(e->key, facts, sizeof(facts));
 }
 
-/* A refutation is urgent: it must overtake the suspicion, which has a start. */
+/*
+ * A refutation is urgent: it must overtake the suspicion, which was sent
+ * earlier.
+ */
 static enum mem_class
 class_of(enum mem_state before, enum mem_state state)
 {
@@ -87,7 +93,10 @@
 	return before == MEM_SUSPECT ? MEM_CLASS_URGENT : MEM_CLASS_ALIVE;
 }
 
-/* The update replaces an older one of the same member: latest wins. */
+/*
+ * Queues an update of the member; it replaces an older one that was not sent
+ * yet.
+ */
 static void
 announce(struct mem *mem, struct mem_entry *e, enum mem_class class)
 {
@@ -97,7 +106,10 @@
 	if (mem->bulk_page && class == MEM_CLASS_ALIVE)
 		return;
 	e->class = class;
-	/* News of a new member may be late, a table sync fills the gaps. */
+	/*
+	 * An update about a new member may arrive late: a table sync fills the
+	 * gaps.
+	 */
 	e->sends_left = e->class == MEM_CLASS_ALIVE ? 2 + mem_log2(mem) / 2
 						    : 3 + mem_log2(mem);
 	TAILQ_INSERT_HEAD(&mem->updates[e->class], e, update_link);
@@ -108,7 +120,7 @@
 static int64_t
 suspicion_us(const struct mem *mem)
 {
-	/* A refutation needs about log2(n) periods to come back. */
+	/* A refutation needs about log2(n) periods to arrive. */
 	int64_t spread_ms = (int64_t)mem->conf.gossip_ms * mem_log2(mem) / 2;
 
 	return (mem->conf.suspect_ms + spread_ms) * 1000;
@@ -136,9 +148,10 @@
 }
 
 /*
- * Others think that we are suspect or dead (a stalled link, a pause, an old
- * life): without an answer we would be dropped while we serve. A higher
- * incarnation beats what they have heard.
+ * Another node considers this one suspect or dead (because of a stalled link, a
+ * pause or an earlier start). Without a refutation this node would be dropped
+ * while it still serves. A higher incarnation overrides what the others have
+ * received.
  */
 static void
 refute(struct mem *mem, int64_t now_us, uint64_t incarnation)
@@ -147,8 +160,10 @@
 	uint64_t life = mem_start_ms(self->member.node.incarnation);
 
 	if (mem_start_ms(incarnation) > life) {
-		/* An earlier life with a faster clock than ours: the static
-		 * facts must be seen as newer too. */
+		/*
+		 * An earlier start of this node had a clock ahead of the
+		 * present one: the static facts must count as newer too.
+		 */
 		incarnation = (mem_start_ms(incarnation) + 1)
 		    << MEM_REFUTES_BITS;
 	} else {
@@ -187,7 +202,10 @@
 		change(mem, e, now_us, incarnation, state);
 		return;
 	}
-	/* A member or life whose address we lack: ask who told us. */
+	/*
+	 * A member, or a restart of one, whose address is not known here:
+	 * request its record from the sender of the update.
+	 */
 	if (state == MEM_DEAD || from == NULL)
 		return;
 	wanted = g_new(uint64_t, 1);
@@ -238,7 +256,7 @@
 		mem->table_digest ^= view_of(e);
 		e->member.settings = 0;
 		g_hash_table_remove(mem->missing_records, &key);
-		/* Another address is a change, whatever the state was. */
+		/* A new address is a change even if the state is the same. */
 		if (e->member.state == state && state != MEM_DEAD)
 			mem->ops->changed(&e->member, mem->ctx);
 		change(mem, e, now_us, incarnation, state);
@@ -254,7 +272,9 @@
 	if (e->member.state == MEM_ALIVE) {
 		change(mem, e, now_us, e->member.node.incarnation, MEM_SUSPECT);
 	} else if (e->member.state == MEM_LEAVING && e->suspect_until_us == 0) {
-		/* It stays "leaving" for all until it is given up. */
+		/*
+		 * It stays "leaving" for all nodes until it is declared dead.
+		 */
 		e->suspect_until_us = now_us + suspicion_us(mem);
 	}
 }
@@ -281,7 +301,7 @@
 	}
 }
 
-/* A pause of ours must not count as silence of the others. */
+/* A pause of this node must not count as silence of the others. */
 void
 mem_extend_suspicions(struct mem *mem, int64_t paused_us)
 {
@@ -323,7 +343,7 @@
 	return NULL;
 }
 
-/* A giving-up of a role comes under the number of its holder. */
+/* The release of a role carries the same number as its holder did. */
 static bool
 is_newer_note(const struct mem_note *note, const struct mem_note *known)
 {
@@ -423,7 +443,7 @@
 	mem->last_tick_us = now_us;
 	mem->credit_us = now_us;
 	mem->fresh_us = now_us;
-	/* Nodes started together must not probe in the same instant. */
+	/* Nodes that start together must not all probe at the same instant. */
 	mem->next_probe_us =
 	    now_us + (int64_t)rng_below(&mem->rng, conf->gossip_ms * 250 + 1);
 	return mem;
--- a/lib/agree/mem_in_force.c
+++ b/lib/agree/mem_in_force.c
@@ -1,11 +1,12 @@
 /*
- * Membership: who has which settings in force.
+ * Membership: which members have which active settings.
  *
- * After a change every node has news for every other: single updates would
- * be n * n of them. Instead a datagram carries one bit a member, "has the
- * sender's settings or newer", and receivers take the union, so that log2(n)
- * rounds tell all of all. The bits follow the order of the ids, which is the
- * same where the tables are the same.
+ * After a change each node has an update for each other node; sent one by one
+ * these would be n * n updates. Instead a datagram carries one bit per member,
+ * "has the sender's settings or newer ones", and receivers merge the bits, so
+ * that after log2(n) rounds all nodes know the state of all. The bits are in
+ * the order of the ids, which is the same wherever the member tables are the
+ * same.
  */
 
 #include <msgpack.h>
@@ -24,8 +25,10 @@
 void
 mem_record_settings(struct mem *mem, struct mem_entry *e, uint64_t settings)
 {
-	/* Digests grow with the versions, see inf_digest(); an older one
-	 * that comes late must not hide the newer. */
+	/*
+	 * Digests grow with the versions, see inf_digest(); a delayed older
+	 * digest must not overwrite a newer one.
+	 */
 	if (settings <= e->member.settings)
 		return;
 	e->member.settings = settings;
--- a/lib/agree/mem_internal.h
+++ b/lib/agree/mem_internal.h
@@ -2,42 +2,47 @@
 #define MEM_INTERNAL_H
 
 /*
- * Membership decisions: a SWIM-like protocol without I/O. The owner passes
- * in the time and received messages and sends what `ops->send` is given.
+ * Membership decisions: a SWIM-like protocol without I/O. The caller passes in
+ * the time and the received messages and sends what `ops->send` is given.
  *
- * Static facts (address, domain, info) travel once per member and receiver:
- * gossip carries short records, a node that lacks the facts asks for them
- * (`want`) or takes over a whole table (sync, by TCP). The datagrams of a
- * node stay within MEM_BYTES_S whatever the number of members.
+ * Static facts (address, domain, info) are sent once per member and receiver:
+ * gossip carries short records; a node that is missing the facts requests them
+ * (MEM_WANT) or fetches a whole table (a sync over TCP). The datagrams of a
+ * node stay within MEM_BYTES_S, whatever the number of members.
  */
 
 #include "agree/agree.h"
 
-/* Datagram types; all carry a struct mem_msg. */
+/* Datagram types; all of them carry a struct mem_msg. */
 enum mem_type {
 	MEM_PING = 60,
 	MEM_ACK = 61,
-	MEM_PING_REQ = 62, /* ping `target` for me and pass its ack on */
-	MEM_GOSSIP = 63, /* updates only, nothing is answered */
-	MEM_WANT = 64, /* `updates` holds keys whose full records I lack */
+	/* requests a ping of `target` and the relay of its ack */
+	MEM_PING_REQ = 62,
+	MEM_GOSSIP = 63, /* updates only; no response */
+	/* `updates` holds the keys of the records that the sender is missing */
+	MEM_WANT = 64,
 };
 
 struct mem_msg {
 	uint64_t from; /* key of the sender */
 	uint64_t incarnation;
 	uint64_t seq;
-	uint64_t target; /* ping_req and relayed acks */
+	uint64_t target; /* in MEM_PING_REQ and in relayed acks */
 	uint64_t settings;
 	uint64_t fence;
-	uint64_t
-	    table_digest; /* digest of the sender's table, see mem_table_digest() */
-	uint64_t members; /* that the sender knows, without the dead */
-	uint64_t age_ms; /* since a watch of the settings was surely well */
+	uint64_t table_digest; /* the sender's mem_table_digest() */
+	/* number of members that the sender knows, without dead ones */
+	uint64_t members;
+	/* since a watch of the settings was certainly working */
+	uint64_t age_ms;
 	struct slice updates;
 };
 
-/* What a node passes on about objects, not members: the version of a branch
- * or the fencing number of a role. Numbers only grow. */
+/*
+ * Gossip about an object rather than a member: the version of a branch or the
+ * fencing number of a role. The numbers only grow.
+ */
 enum mem_note_kind {
 	MEM_NOTE_BRANCH,
 	MEM_NOTE_ROLE,
@@ -48,30 +53,36 @@
 	enum mem_note_kind kind;
 	char name[INF_BRANCH_MAX + 1];
 	uint64_t number;
-	char text[MEM_ID_MAX + 1]; /* a role's holder, "" when given up */
+	char text[MEM_ID_MAX + 1]; /* a role's holder, "" after a release */
 };
 
 struct mem_conf {
 	struct mem_node self;
-	unsigned int gossip_ms; /* one probe a period */
-	unsigned int suspect_ms; /* least silence between suspicion and death */
-	const char *const *seeds; /* NULL at the end; may be NULL */
+	unsigned int gossip_ms; /* one probe per period */
+	unsigned int suspect_ms; /* shortest time from suspicion to death */
+	const char *const *seeds; /* terminated by NULL; may be NULL */
 	uint64_t seed;
 };
 
 struct mem_ops {
 	void (*send)(const char *to, enum mem_type type,
 	    const struct mem_msg *message, void *ctx);
-	/* New, changed state, or (MEM_DEAD) gone. */
+	/* A member is new, changed its state or, with MEM_DEAD, was removed. */
 	void (*changed)(const struct mem_member *member, void *ctx);
-	/* A note with a higher number than any before, or of a branch at
-	 * all; `from` is where the teller answers, NULL in a table sync. */
+	/*
+	 * A note about a role has a higher number than any before, or a note is
+	 * about a branch (whatever its number). `from` is the sender's address,
+	 * NULL in a table sync.
+	 */
 	void (*note_received)(
 	    const struct mem_note *note, const char *from, void *ctx);
-	/* The peer has other settings than we have. */
+	/* The peer has newer settings than this node. */
 	void (*settings_differ)(
 	    const char *address, uint64_t settings, void *ctx);
-	/* The tables differ: take over what we lack from this address. */
+	/*
+	 * The member tables differ: fetch what is missing here from this
+	 * address.
+	 */
 	void (*sync)(const char *address, void *ctx);
 };
 
@@ -82,55 +93,63 @@
     void *ctx, int64_t now_us);
 void mem_free(struct mem *mem);
 #define MEM_TICK_MS 100
-void mem_tick(struct mem *mem, int64_t now_us); /* every MEM_TICK_MS */
+/* to be called every MEM_TICK_MS */
+void mem_tick(struct mem *mem, int64_t now_us);
 void mem_receive(struct mem *mem, int64_t now_us, const char *from,
     enum mem_type type, const struct mem_msg *message);
 void mem_leave(struct mem *mem, int64_t now_us);
-/* An address that may answer, from the host list. At most one is kept. */
+/*
+ * Sets an address from the host list that may be a node; only the last one is
+ * kept.
+ */
 void mem_hint(struct mem *mem, const char *address);
 void mem_set_settings(struct mem *mem, uint64_t settings);
-/* This node's watch of the settings works at this moment. */
+/* The watch of the settings at this node is working at this moment. */
 void mem_set_fresh(struct mem *mem, int64_t now_us);
-/* Time since a working watch was heard of, over any number of hops. */
+/* Time since a watch was known to work, here or over any number of hops. */
 int64_t mem_age_ms(const struct mem *mem, int64_t now_us);
-/* Passes a note on to all members at once; false when it is not newer. Roles'
- * notes are passed on by all who hear them, branches' only by this call. */
+/*
+ * Sends a note to all members at once; returns false if it is not newer. A note
+ * about a role is forwarded by all receivers, one about a branch only by this
+ * call.
+ */
 bool mem_note(struct mem *mem, int64_t now_us, const struct mem_note *note);
 const struct mem_note *mem_find_note(
     const struct mem *mem, enum mem_note_kind kind, const char *name);
 void mem_each(struct mem *mem, mem_each_cb *each, void *ctx);
 const struct mem_member *mem_find(const struct mem *mem, const char *id);
 const struct mem_member *mem_self(const struct mem *mem);
-unsigned int mem_count(const struct mem *mem); /* without the dead */
-/* Address of a random live member other than this node, NULL if none. */
+unsigned int mem_count(const struct mem *mem); /* without dead members */
+/* Returns the address of a random live member other than this node, or NULL. */
 const char *mem_random_address(struct mem *mem);
 uint64_t mem_table_digest(const struct mem *mem);
 
 /*
- * Taking over a table: the asking node sends its list, the answering node
- * merges it, sends the records that the asker lacks in pages, and the keys
- * that it lacks itself, which the asker answers by pages too.
+ * Table sync: the requesting node sends its list; the answering node merges it,
+ * sends in pages the records that the requester is missing, and then the keys
+ * that it is missing itself, which the requester answers with pages too.
  */
 #define MEM_PAGE_BYTES (64u << 10)
 typedef void mem_page_cb(struct slice page, void *ctx);
-GByteArray *mem_pack_role_notes(const struct mem *mem); /* notes */
+/* packs the notes about roles */
+GByteArray *mem_pack_role_notes(const struct mem *mem);
 GByteArray *mem_sync_list(struct mem *mem);
 GByteArray *mem_sync_answer(struct mem *mem, int64_t now_us, struct slice list,
     mem_page_cb *page, void *ctx);
 void mem_sync_records(
     struct mem *mem, struct slice keys, mem_page_cb *page, void *ctx);
 void mem_sync_page(struct mem *mem, int64_t now_us, struct slice page);
-/* The notes of mem_pack_role_notes() only. */
+/* Applies the result of mem_pack_role_notes(). */
 void mem_sync_roles(struct mem *mem, int64_t now_us, struct slice roles);
 
 /* ------------------------------------------------------------------ */
 /* Shared by the mem_*.c files only                                    */
 /* ------------------------------------------------------------------ */
 
-/* Order in which updates get the room of a datagram. */
+/* Priority of updates for the space in a datagram. */
 enum mem_class {
-	MEM_CLASS_URGENT, /* leaving, refuted */
-	MEM_CLASS_FAULT, /* suspect, dead */
+	MEM_CLASS_URGENT, /* leaving or refuted */
+	MEM_CLASS_FAULT, /* suspect or dead */
 	MEM_CLASS_ALIVE,
 	MEM_CLASSES,
 };
@@ -139,7 +158,10 @@
 	struct mem_member member;
 	uint64_t key;
 	int64_t suspect_until_us; /* 0: not suspected */
-	/* The update waiting to be passed on; `class` is MEM_CLASSES if none. */
+	/*
+	 * The update queued for sending; `class` is MEM_CLASSES if there is
+	 * none.
+	 */
 	enum mem_class class;
 	unsigned int sends_left;
 	TAILQ_ENTRY(mem_entry) update_link;
@@ -153,7 +175,7 @@
 	LIST_ENTRY(mem_note_entry) link;
 };
 
-struct mem_relay { /* a ping sent for somebody else */
+struct mem_relay { /* a ping sent on behalf of another node */
 	uint64_t seq;
 	uint64_t requester_seq;
 	char requester[MEM_ADDRESS_MAX + 1];
@@ -164,7 +186,7 @@
 struct mem_probe {
 	uint64_t key; /* 0: no probe is running */
 	uint64_t seq;
-	int64_t indirect_us; /* when others are asked */
+	int64_t indirect_us; /* when other members are asked to ping */
 	int64_t end_us;
 	bool indirect_sent;
 };
@@ -177,18 +199,19 @@
 	struct rng rng;
 	struct mem_entry *self;
 	GHashTable *by_key;
-	GPtrArray *by_id; /* sorted; the dead are in it too */
-	unsigned int alive; /* entries that are not dead */
-	unsigned int next_dead; /* place in by_id, for probes of the dead */
+	GPtrArray *by_id; /* sorted; includes the dead */
+	unsigned int alive; /* number of entries that are not dead */
+	/* index into by_id of the next probe of a dead member */
+	unsigned int next_dead;
 	uint64_t table_digest;
-	int64_t changed_us; /* when it last changed */
+	int64_t changed_us; /* when table_digest last changed */
 	struct mem_entry_list updates[MEM_CLASSES];
-	/* Sends left of the map of who has our settings; see mem_in_force.c. */
+	/* Remaining sends of the settings map; see mem_in_force.c. */
 	unsigned int map_sends_left;
 	LIST_HEAD(mem_note_list, mem_note_entry) notes;
 	int64_t fresh_us; /* when a watch was last known to work */
-	bool urgent; /* an update waits for its fan-out */
-	GArray *order; /* keys of the round robin, shuffled */
+	bool urgent; /* an urgent update waits for its fan-out */
+	GArray *order; /* keys in probing order, shuffled */
 	unsigned int next;
 	struct mem_probe probe;
 	uint64_t seq;
@@ -196,27 +219,29 @@
 	int64_t last_tick_us;
 	LIST_HEAD(mem_relay_list, mem_relay) relays;
 	unsigned int nrelays;
-	GHashTable *missing_records; /* key -> address of who told of it */
-	int64_t next_want_us; /* no earlier question than this */
+	/* key -> address of the sender of the update */
+	GHashTable *missing_records;
+	int64_t next_want_us; /* earliest time of the next MEM_WANT */
 	char hint[MEM_ADDRESS_MAX + 1];
-	int64_t byte_credit; /* credit for datagrams */
+	int64_t byte_credit; /* credit for datagrams, see MEM_BYTES_S */
 	int64_t credit_us;
-	bool joined; /* has taken over a table */
-	int64_t sync_started_us; /* when the last sync began; 0: never */
-	bool bulk_page; /* a page full of members is being taken */
-	unsigned int
-	    digest_mismatches; /* grows with each peer of another view */
+	bool joined; /* has fetched a table from a peer */
+	int64_t sync_started_us; /* when the last sync started; 0: never */
+	bool bulk_page; /* a sync page with many members is being applied */
+	/* datagrams with another table digest, less those with the same one */
+	unsigned int digest_mismatches;
 };
 
 /*
- * An incarnation is the life's start (wall milliseconds) above a count of
- * refutations, so that a short record shows whether the static facts known
- * here are still those of this life.
+ * An incarnation is the node's start time (wall clock milliseconds) in the
+ * upper bits and a count of refutations in the lower ones, so that a short
+ * record shows whether the static facts known here are those of the present
+ * start.
  */
 #define MEM_REFUTES_BITS 16
 uint64_t mem_start_ms(uint64_t incarnation);
 
-/* mem.c: the table and its rules */
+/* mem.c: the member table and its rules */
 uint64_t mem_key(const char *id);
 struct mem_entry *mem_entry(const struct mem *mem, uint64_t key);
 void mem_apply(struct mem *mem, int64_t now_us, uint64_t key,
@@ -226,35 +251,37 @@
 void mem_suspect(struct mem *mem, struct mem_entry *e, int64_t now_us);
 unsigned int mem_log2(const struct mem *mem);
 bool mem_note_merge(struct mem *mem, const struct mem_note *note);
-/* Passes the roles' notes on once more: a peer lacks some. */
+/* Sends the notes about roles once more, as a peer is missing some. */
 void mem_resend_role_notes(struct mem *mem);
 
-void mem_expire(struct mem *mem, int64_t now_us); /* once a period */
+/* to be called once per period */
+void mem_expire(struct mem *mem, int64_t now_us);
 void mem_extend_suspicions(struct mem *mem, int64_t paused_us);
 
-struct mem_map { /* borrowed from the blob */
+struct mem_map { /* refers to the memory of the blob */
 	uint64_t settings;
 	struct slice bits;
 };
 
-/* mem_wire.c: blobs of updates */
+/* mem_wire.c: encoding of updates */
 void mem_pack_state(GByteArray *out, const struct mem_entry *e);
 void mem_pack_full(GByteArray *out, const struct mem_entry *e);
-/* Fills a datagram's room; `about` (may be NULL) goes first. */
+/* Packs updates up to `room` bytes; `about` (may be NULL) is packed first. */
 void mem_pack_updates(struct mem *mem, GByteArray *out, size_t room,
     struct mem_entry *about, bool urgent);
-/* The map of settings in the blob, if any, is left in `map` (may be NULL). */
+/* `map` (may be NULL) gets the settings map if the blob contains one. */
 void mem_apply_updates(struct mem *mem, int64_t now_us, const char *from,
     struct slice updates, struct mem_map *map);
 
-/* mem_in_force.c: who has which settings */
+/* mem_in_force.c: which members have which settings */
 void mem_record_settings(
     struct mem *mem, struct mem_entry *e, uint64_t settings);
 void mem_pack_map(struct mem *mem, GByteArray *out, size_t room);
 void mem_apply_map(struct mem *mem, uint64_t settings, struct slice map);
 
 /* mem_probe.c */
-void mem_flush(struct mem *mem, int64_t now_us); /* urgent news, now */
+/* sends urgent updates at once */
+void mem_flush(struct mem *mem, int64_t now_us);
 void mem_send(struct mem *mem, const char *to, enum mem_type type, uint64_t seq,
     uint64_t target, struct mem_entry *about);
 
--- a/lib/agree/mem_probe.c
+++ b/lib/agree/mem_probe.c
@@ -1,40 +1,46 @@
-/* Membership: probes, answers and the fan-out of urgent news. */
+/* Membership: probes, responses and the fan-out of urgent updates. */
 
 #include <string.h>
 
 #include "agree/mem_internal.h"
 
 /*
- * Credit for datagrams: with the answers of others, sent and received
- * together stay below 4 KB a second. Probes and acks are sent also without
- * credit (they are few and small); only the room for updates shrinks.
+ * Credit for datagrams: together with the responses of other nodes, the bytes
+ * sent and received stay below 4 KB per second. Probes and acks are sent even
+ * without credit (they are few and small); only the space for updates shrinks.
  */
 #define MEM_BYTES_S 1200
 #define MEM_BYTES_BURST 2000
-#define HEADER_BYTES 96 /* proof, type, stamp, numbers of a mem_msg */
+#define HEADER_BYTES 96 /* MAC, type, timestamp and numbers of a mem_msg */
 #define ROOM_MAX (DGRAM_MAX - HEADER_BYTES)
-#define ROOM_MIN 64 /* also without credit: the member it is about */
+#define ROOM_MIN 64 /* even without credit: for the update about the receiver */
 
 #define INDIRECT_PROBES 3
-/* Each hearer passes urgent news to so many: e^-5 are left out, and those
- * hear it by their own next probe. */
+/*
+ * Each receiver forwards urgent updates to this many members. A share of e^-5
+ * is not reached by that and gets the updates with its own next probe.
+ */
 #define URGENT_FANOUT 5
 #define URGENT_ROOM 400
 #define DEAD_PROBE_ONE_IN 5 /* periods */
 #define MAP_CREDIT 1500
-#define HOP_MS 50 /* no datagram is longer under way between regions */
-#define PAUSE_TICKS 5 /* a longer gap than by a busy host */
+#define HOP_MS 50 /* upper limit of a datagram's transit time between regions */
+/* a longer gap between ticks is a pause, not only a busy host */
+#define PAUSE_TICKS 5
 #define RELAYS_MAX 64
-#define WANTS_AT_ONCE 8 /* more are taken over by a sync */
+#define WANTS_AT_ONCE 8 /* a table sync is used for more records than this */
 #define WANT_PAUSE_US (G_USEC_PER_SEC / 2)
 
-/* A view differs while news is under way; so many peers in a row that
- * differ (less those that agree) mean that news was lost. */
+/*
+ * Table digests also differ while updates are in flight. This many mismatches
+ * (less the matches) mean that updates were lost.
+ */
 #define SYNC_DIFFER 8
 #define SYNC_PERIODS 5
 #define NEWS_PERIODS 3
-#define SYNC_BYTES_S 1000 /* a list is sent no faster than this on average */
-#define JOIN_BYTES_S 4000 /* ... while many are new, as after a cold start */
+#define SYNC_BYTES_S 1000 /* average rate limit of the lists sent */
+/* ... while many members are new, as after a cold start */
+#define JOIN_BYTES_S 4000
 
 static void
 refill(struct mem *mem, int64_t now_us)
@@ -42,7 +48,7 @@
 	int64_t gained = (now_us - mem->credit_us) * MEM_BYTES_S;
 
 	gained /= G_USEC_PER_SEC;
-	/* Whole bytes only, or frequent calls would gain nothing. */
+	/* Add whole bytes only; otherwise frequent calls would add nothing. */
 	if (gained <= 0)
 		return;
 	mem->byte_credit = MIN(mem->byte_credit + gained, MEM_BYTES_BURST);
@@ -76,7 +82,7 @@
     uint64_t target, struct mem_entry *about)
 {
 	GByteArray *blob = g_byte_array_new();
-	/* Half of the credit each time, so that the next one has room too. */
+	/* Use half of the credit, so that the next datagram has space too. */
 	int64_t room = CLAMP(mem->byte_credit / 2, ROOM_MIN, ROOM_MAX);
 
 	mem_pack_updates(mem, blob, (size_t)room, about, false);
@@ -91,9 +97,9 @@
 }
 
 /*
- * A leaving host gets new work until everybody knows. One hop a period would
- * take log2(n) seconds; passed on at once it takes as many network delays.
- * The credit bounds it when many leave together.
+ * A leaving host gets new work until all members know. With one hop per period
+ * that would take log2(n) seconds; forwarded at once, it takes as many network
+ * delays. The credit limits the bytes when many nodes leave together.
  */
 void
 mem_flush(struct mem *mem, int64_t now_us)
@@ -112,7 +118,10 @@
 			break;
 		for (i = 0; i < n && to[i] != to[n]; i++)
 			;
-		/* The same one again: enough of a small table is covered. */
+		/*
+		 * An address was drawn twice: enough of a small table is
+		 * covered.
+		 */
 		if (i < n && mem->alive <= 2 * URGENT_FANOUT)
 			break;
 		n++;
@@ -152,7 +161,7 @@
 	}
 }
 
-/* A shuffled round robin: every member is probed within n periods. */
+/* Shuffled round robin: every member is probed within n periods. */
 static struct mem_entry *
 next_probed(struct mem *mem)
 {
@@ -171,7 +180,10 @@
 	return NULL;
 }
 
-/* What a member must hear first: that it is suspected or given up. */
+/*
+ * Returns the update that the probed member must get first, so that it can
+ * refute it: that it is suspect or dead. NULL if it is neither.
+ */
 static struct mem_entry *
 to_be_refuted(struct mem_entry *e)
 {
@@ -200,10 +212,10 @@
 }
 
 /*
- * A region that was cut is dead to us and we to it: without a probe of the
- * dead now and then the two would never meet again. Each of the dead is
- * probed about once a period by all nodes together, or an address that was
- * given to another host would draw pings from everybody.
+ * After a network partition each side considers the other dead; without an
+ * occasional probe of dead members the two would never merge again. All nodes
+ * together probe each dead member about once per period; with more, an address
+ * that was reassigned to another host would get pings from every node.
  */
 static void
 probe_dead(struct mem *mem)
@@ -249,8 +261,9 @@
 }
 
 /*
- * Seeds matter when alone, and when everybody known was replaced. All nodes
- * together ping the seeds that are no members about once a period.
+ * Seeds are needed if this node knows no other member, or if all known members
+ * were replaced. All nodes together ping the seeds that are not members about
+ * once per period.
  */
 static void
 probe_seeds(struct mem *mem)
@@ -311,7 +324,10 @@
 	}
 }
 
-/* Asks one teller for the full records of the members it told of. */
+/*
+ * Requests the full records of missing members from one of the nodes that sent
+ * updates about them.
+ */
 static void
 ask_wanted(struct mem *mem, int64_t now_us)
 {
@@ -343,8 +359,10 @@
 	g_free(teller);
 }
 
-/* Beside the probes, so that an operator soon sees where a change is in
- * force; from credit that other news leaves. */
+/*
+ * Sends the settings map apart from the probes, so that an operator soon sees
+ * where a change is active; it uses only credit that other updates leave.
+ */
 static void
 pass_map(struct mem *mem)
 {
@@ -363,8 +381,11 @@
 	refill(mem, now_us);
 	mem->last_tick_us = now_us;
 	if (gap_us > MAX(period_us, PAUSE_TICKS * MEM_TICK_MS * 1000)) {
-		/* We were paused: answers lie unread, the others' silence is
-		 * ours. Blaming them would empty the table on waking. */
+		/*
+		 * This process was paused: unread acks are queued, and the
+		 * silence of the other nodes is due to this node. Suspecting
+		 * them would empty the table.
+		 */
 		mem_extend_suspicions(mem, gap_us);
 		mem->probe.key = 0;
 		mem->next_probe_us = now_us + period_us;
@@ -451,7 +472,7 @@
 		g_byte_array_set_size(one, 0);
 		mem_pack_full(one, e);
 		if (blob->len + one->len > ROOM_MAX)
-			break; /* the rest is asked for again */
+			break; /* the receiver requests the rest again */
 		g_byte_array_append(blob, one->data, one->len);
 	}
 	if (blob->len > 0)
@@ -466,7 +487,7 @@
 	return (int64_t)mem->by_id->len * 20; /* see mem_pack_state() */
 }
 
-/* `many`: the peer knows many members that we lack. */
+/* `many`: the peer knows many members that are missing here. */
 static void
 ask_for_sync(struct mem *mem, const char *address, int64_t now_us, bool many)
 {
@@ -481,7 +502,10 @@
 	else
 		pause_us =
 		    MAX(SYNC_PERIODS * period_us, list_us / SYNC_BYTES_S);
-	/* Spread by up to a quarter, so that not all ask in the same instant. */
+	/*
+	 * Spread by up to a quarter, so that nodes do not all sync at the same
+	 * instant.
+	 */
 	pause_us += pause_us * (int64_t)(mem->self->key % 256) / 1024;
 	if (mem->sync_started_us != 0 &&
 	    now_us < mem->sync_started_us + pause_us)
@@ -501,8 +525,11 @@
 		mem->digest_mismatches -= mem->digest_mismatches > 0;
 		return;
 	}
-	/* News that is still going round makes tables differ by itself; a list
-	 * that is no larger than a datagram is not worth the wait. */
+	/*
+	 * Updates still in flight make the tables differ temporarily, so wait
+	 * for some periods; a list that fits into one datagram is too cheap to
+	 * be worth waiting.
+	 */
 	if (list_bytes(mem) <= DGRAM_MAX ||
 	    now_us - mem->changed_us >
 		NEWS_PERIODS * (int64_t)mem->conf.gossip_ms * 1000)
@@ -513,7 +540,7 @@
 		ask_for_sync(mem, e->member.node.address, now_us, many);
 }
 
-/* Facts of the sender that every datagram carries. */
+/* Applies the facts about the sender that every datagram carries. */
 static void
 take_header(struct mem *mem, struct mem_entry *e, const struct mem_msg *m,
     int64_t now_us)
@@ -521,11 +548,13 @@
 	const struct mem_member *self = &mem->self->member;
 
 	if (m->incarnation < e->member.node.incarnation)
-		return; /* sent in an earlier life or before a refutation */
+		return; /* sent before a restart or a refutation */
 	mem_record_settings(mem, e, m->settings);
-	/* The way here counts too, or ages would creep down in a cut region as
-	 * its nodes tell one another; a datagram that lay here while we were
-	 * paused is of unknown age. */
+	/*
+	 * Add the transit time, otherwise the age would shrink step by step in
+	 * a region that is cut off while its nodes exchange it. A datagram that
+	 * was queued here while this process was paused has an unknown age.
+	 */
 	if (m->age_ms < INT32_MAX &&
 	    now_us - mem->last_tick_us <= 2 * MEM_TICK_MS * 1000) {
 		mem_set_fresh(
@@ -561,7 +590,7 @@
 	struct mem_map map = { 0 };
 
 	if (e == mem->self)
-		return; /* our own, by a seed or hint that names us */
+		return; /* from this node itself, by a seed or hint */
 	refill(mem, now_us);
 	if (type == MEM_WANT)
 		answer_want(mem, from, m->updates);
@@ -574,7 +603,10 @@
 		take_from_unknown(mem, from, m, now_us);
 	else
 		take_header(mem, e, m, now_us);
-	/* The bits count members in order: only equal tables agree on it. */
+	/*
+	 * The bits are in member order, which is the same only if the tables
+	 * are.
+	 */
 	if (map.bits.len > 0 && m->table_digest == mem->table_digest)
 		mem_apply_map(mem, map.settings, map.bits);
 	if (type == MEM_PING)
--- a/lib/agree/mem_wire.c
+++ b/lib/agree/mem_wire.c
@@ -1,4 +1,4 @@
-/* Membership: updates as they travel in datagrams, and table syncs. */
+/* Membership: encoding of updates in datagrams, and table syncs. */
 
 #include <msgpack.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "agree/mem_internal.h"
 
 /*
- * A blob is a row of msgpack arrays, told apart by their length:
+ * A blob is a sequence of msgpack arrays, distinguished by their length:
  *   2  [settings digest, bits]: which members have it, see mem_in_force.c
  *   3  [key, incarnation, state]
  *   4  [note kind, name, number, text]
@@ -14,8 +14,10 @@
  */
 #define STATE_BYTES 20 /* largest encoding */
 #define NOTE_BYTES (2 + 9 + 2 + INF_BRANCH_MAX + 2 + MEM_ID_MAX)
-/* What comes in a larger page of a sync is no news to the others: passing it
- * on would fill all datagrams for minutes after a cold start. */
+/*
+ * The members in a larger page of a sync are not news to the other nodes:
+ * forwarding them would fill all datagrams for minutes after a cold start.
+ */
 #define NEWS_BYTES 1500
 
 static const struct msg_field mem_fields[] = {
@@ -235,8 +237,11 @@
 	    !get_text(&field[3], MEM_ID_MAX, note.text))
 		return;
 	note.kind = (enum mem_note_kind)kind;
-	/* A branch is passed on once it is here, or those who hear of it from
-	 * us would ask us in vain. */
+	/*
+	 * A note about a branch is forwarded only once the branch is stored
+	 * here; otherwise its receivers would request the branch from this node
+	 * in vain.
+	 */
 	if (note.kind == MEM_NOTE_BRANCH)
 		mem->ops->note_received(&note, from, mem->ctx);
 	else if (mem_note_merge(mem, &note))
@@ -273,7 +278,7 @@
 		case 8:
 			take_full(mem, now_us, field);
 			break;
-		default: /* from a newer release */
+		default: /* array of a newer release */
 			break;
 		}
 	}
@@ -344,7 +349,7 @@
 	uint64_t key, incarnation, state;
 };
 
-/* Key -> struct listed, which holds the key. */
+/* Maps key -> struct listed, which holds the key. */
 static GHashTable *
 read_list(struct slice list)
 {
@@ -414,7 +419,10 @@
 	const struct mem_entry *e;
 	uint64_t be;
 
-	/* No teller: what we lack is asked for over this connection. */
+	/*
+	 * `from` is NULL, so that no record is requested from it: the missing
+	 * ones are requested over this connection.
+	 */
 	mem_apply_updates(mem, now_us, NULL, list, NULL);
 	page_missing(mem, known, &p);
 	end_page(&p);
--- a/lib/agree/rank.c
+++ b/lib/agree/rank.c
@@ -1,16 +1,18 @@
 /*
- * Places by rendezvous hash: nodes with the same view of the members compute
- * the same order, so that only the first in rank writes and no conditional
- * write is refused (the claim plan of docs/AGREEMENT.md). A different view
- * costs a refused write, never two owners.
+ * Ranks by rendezvous hashing: nodes with the same member table compute the
+ * same order, so that only the first in rank writes and no conditional write is
+ * refused (the claim plan of docs/AGREEMENT.md). A different table costs a
+ * refused write, but never leads to two holders.
  */
 
 #include <string.h>
 
 #include "agree/agr_internal.h"
 
-/* Watchers over all domains: with one domain each, three domains are needed
- * for a paused watcher not to hold back news. */
+/*
+ * Watchers over all domains. With one per domain, three domains are needed so
+ * that a paused watcher does not delay updates.
+ */
 #define WATCHERS 3
 
 static uint64_t
@@ -33,8 +35,10 @@
 	struct role_rank *r = ctx;
 	uint64_t theirs;
 
-	/* A suspect keeps its place: it may be a stalled link, and ranks that
-	 * change with each suspicion make writes meet. */
+	/*
+	 * A suspect member keeps its rank: the cause may be a stalled link, and
+	 * ranks that change with each suspicion make writes collide.
+	 */
 	if (member->node.kind != MEM_GATEWAY || member->state == MEM_LEAVING ||
 	    strcmp(member->node.id, r->holder) == 0 ||
 	    strcmp(member->node.id, r->self) == 0)
@@ -67,7 +71,7 @@
 	GHashTable *domains;
 	uint64_t own;
 	unsigned int better;
-	bool entries; /* an entry lives in our domain */
+	bool entries; /* a gateway runs in the domain of `self` */
 };
 
 static bool
--- a/tests/agree/mem_net.h
+++ b/tests/agree/mem_net.h
@@ -2,8 +2,9 @@
 #define MEM_NET_H
 
 /*
- * A small lossy network in memory for tests of membership: it carries what
- * the shipped code sends, on a clock of its own. Include after cmocka.h.
+ * A small in-memory network with packet loss and a virtual clock for tests of
+ * membership; it carries what the code under test sends. Include after
+ * cmocka.h.
  */
 
 #include <stdio.h>
@@ -13,7 +14,7 @@
 
 #define NODES_MAX 300
 #define STEP_MS 10
-#define DELAY_STEPS 3 /* 10 to 30 ms on the way */
+#define DELAY_STEPS 3 /* transit time of 10 to 30 ms */
 #define PROOF_BYTES 16
 
 struct packet {
@@ -28,9 +29,9 @@
 	struct mem *mem;
 	struct net *net;
 	unsigned int number;
-	int64_t bytes; /* sent and received, with table syncs */
+	int64_t bytes; /* sent and received, including table syncs */
 	bool paused, pause_at_ping;
-	unsigned int deaths, suspicions; /* that it saw */
+	unsigned int deaths, suspicions; /* that this node observed */
 };
 
 struct net {
@@ -249,7 +250,10 @@
 	return true;
 }
 
-/* Virtual seconds until all know all; fails the test after `limit_s`. */
+/*
+ * Runs until every node knows `count` members and returns the virtual seconds
+ * that this took; fails the test after `limit_s`.
+ */
 static inline int
 settle(struct net *net, unsigned int count, int limit_s)
 {
--- a/tests/agree/objects.h
+++ b/tests/agree/objects.h
@@ -1,7 +1,7 @@
 #ifndef OBJECTS_H
 #define OBJECTS_H
 
-/* A small object API in memory on the test's own loop. */
+/* A small in-memory object API on the test's own event loop. */
 
 #include <json-glib/json-glib.h>
 
@@ -16,8 +16,9 @@
 	struct server server;
 	GHashTable *by_key;
 	uint64_t revision;
-	GPtrArray *waiting; /* peers with a watch that found nothing */
-	bool down; /* answers 503 */
+	/* peers with an open watch and nothing to report yet */
+	GPtrArray *waiting;
+	bool down; /* every call gets 503 */
 	unsigned int refused, reads, writes, lists, watches;
 };
 
@@ -55,7 +56,7 @@
 	g_string_append(out, "}");
 }
 
-/* Number of objects after revision `since`. */
+/* Answers with the objects after revision `since` and returns their number. */
 static inline unsigned int
 answer_objects(
     struct objects *o, struct peer *peer, uint64_t since, bool with_value)
@@ -208,7 +209,7 @@
 	server_start(&o->server, serve_objects, o);
 }
 
-/* Open watches fail as they would when the API goes. */
+/* Open watches fail as in an outage of the API. */
 static inline void
 objects_down(struct objects *o, bool down)
 {
--- a/tests/agree/test_agr.c
+++ b/tests/agree/test_agr.c
@@ -1,4 +1,4 @@
-/* Whole nodes on loopback, with a small object API in memory. */
+/* Complete nodes on loopback, with a small in-memory object API. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -143,7 +143,7 @@
 		fail_msg("%s", err.message);
 }
 
-/* As a crash: nothing is said to anybody. */
+/* Stops a node as a crash would: it announces nothing. */
 static void
 stop_node(int i)
 {
@@ -182,7 +182,7 @@
 	return 0;
 }
 
-/* Runs the loop until `holds(arg)`; a hang ends the test. */
+/* Runs the loop until `holds(arg)`; fails the test after PATIENCE_MS. */
 static void
 run_while_not(bool (*holds)(int arg), int arg)
 {
@@ -274,9 +274,9 @@
 }
 
 /*
- * A change through one node is in force on all; a second one against the old
- * version loses and shows what is there; one that the parent forbids is
- * refused before it is written.
+ * A change made through one node becomes active on all. A second write against
+ * the old version fails and returns the present version. A write beyond the
+ * root branch's limits is rejected before it is sent.
  */
 static void
 test_change_is_in_force_everywhere(void **state)
@@ -298,7 +298,7 @@
 	assert_int_equal(w.code, ERR_CONFLICT);
 	assert_int_equal(w.now_version, 1);
 	writes = api.writes;
-	w = set_konya(1, 5000, 1); /* more than the root allows */
+	w = set_konya(1, 5000, 1); /* more than the root branch allows */
 	assert_int_equal(w.code, ERR_INVALID);
 	assert_int_equal(api.writes, writes);
 	w = set_konya(1, 200, 1);
@@ -307,8 +307,8 @@
 }
 
 /*
- * Somebody writes a broken text past us. It is counted, and the version in
- * force stays; the next good one is taken.
+ * A broken text is written without our validation. It is counted as refused,
+ * the active version stays, and the next valid one is accepted.
  */
 static void
 test_broken_branch_is_not_taken(void **state)
@@ -328,8 +328,8 @@
 }
 
 /*
- * The API is down when a node starts. With peers that have the settings it
- * begins to answer, alone it must not: it would know no team.
+ * The API is unavailable when a node starts. With peers that have the settings
+ * the node becomes ready. Without them it must not: it would know no workspace.
  */
 static void
 test_api_down_at_start(void **state)
@@ -350,7 +350,7 @@
 	seeds[0] = NULL;
 	start_node(0, MEM_GATEWAY);
 	start_node(1, MEM_GATEWAY);
-	run_for(3000); /* longer than the list's deadline */
+	run_for(3000); /* longer than the deadline of the list call */
 	assert_false(agr_is_ready(nodes[0].agr));
 	assert_false(agr_is_ready(nodes[1].agr));
 	objects_down(&api, false);
@@ -386,10 +386,10 @@
 }
 
 /*
- * One entry takes the role. It leaves, then its successor dies: each time
- * another takes it under a higher number, and the side refuses orders under
- * the old one, also after it restarted and knows nothing, also when the API
- * is away then and only the members can tell.
+ * A gateway holds the role. It leaves, then its successor crashes: each time
+ * another one takes over with a higher number, and the sidecar rejects orders
+ * with the old number. It must do so also after a restart without state, and
+ * also if only the members know the number because the API is unavailable.
  */
 static void
 test_role_moves_and_gate_holds(void **state)
@@ -427,7 +427,7 @@
 	assert_int_equal(nodes[holder()].fence, 3);
 	assert_int_equal(api.refused, 0);
 
-	/* An order may come before the news of its holder. */
+	/* An order may arrive before the note about its holder. */
 	assert_true(gate_passes(4));
 	assert_false(gate_passes(3));
 
@@ -437,7 +437,7 @@
 	restarted_us = g_get_monotonic_time();
 	nodes[3].gate = agr_fencing_new(nodes[3].agr);
 	run_while_not(gate_passes, 3);
-	/* Not before the members have surely heard of the last number. */
+	/* Not before the members have certainly received the last number. */
 	assert_true(g_get_monotonic_time() - restarted_us >=
 	    LEASE_MS * G_USEC_PER_SEC / 1000);
 	assert_false(agr_fencing_check(nodes[3].gate, "rollout", 2, &err));
--- a/tests/agree/test_inf.c
+++ b/tests/agree/test_inf.c
@@ -1,4 +1,4 @@
-/* Which offered settings are taken, when a node may begin, who is first. */
+/* Which offered settings are accepted, when a node may serve, and ranks. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,9 +23,9 @@
 }
 
 /*
- * A watcher that was paused wakes and offers what was in force long ago; a
- * peer from a cut region and a slow answer do the same. An accepted change
- * would revert for everybody who listens to them.
+ * A watcher that resumes after a pause, a peer from a region that was cut off
+ * or a delayed response offers a version that was active long ago. Accepting it
+ * would revert an accepted change on all nodes that get it from here.
  */
 static void
 test_versions_only_grow(void **state)
@@ -40,14 +40,16 @@
 	assert_int_equal(inf_offer(inf, "konya", 7, v1, NULL), INF_STALE);
 	assert_int_equal(in_force(inf), 2);
 	assert_true(inf_digest(inf) == digest);
-	/* Going back is a new version. */
+	/* A rollback is a new version. */
 	assert_int_equal(inf_offer(inf, "konya", 8, v1, NULL), INF_ACCEPTED);
 	assert_int_equal(in_force(inf), 1);
 	assert_true(inf_digest(inf) > digest);
 	inf_free(inf);
 }
 
-/* A text that fails its check is refused once, not pulled again for ever. */
+/*
+ * A text that fails validation is refused once and not pulled again and again.
+ */
 static void
 test_broken_text_leaves_the_old_in_force(void **state)
 {
@@ -64,7 +66,7 @@
 	inf_free(inf);
 }
 
-/* The parent bounds its children, whichever of the two is written. */
+/* The root branch limits the others, whichever of the two is written. */
 static void
 test_writes_are_checked_against_the_tree(void **state)
 {
@@ -88,7 +90,7 @@
 	inf_offer(ctx, branch->name, branch->version, branch->yaml, NULL);
 }
 
-/* Two parts that took different changes while apart end with the same. */
+/* Two partitions that accepted different changes converge after a merge. */
 static void
 test_pulls_both_ways_end_equal(void **state)
 {
@@ -115,8 +117,8 @@
 }
 
 /*
- * A node that answers before it knows what was accepted would serve a state
- * that was left behind: it waits for the API, or several who have begun.
+ * A node that serves before it knows what was accepted would serve an outdated
+ * state: it waits for the API or for several peers that are ready.
  */
 static void
 test_start_waits_for_enough(void **state)
@@ -126,7 +128,8 @@
 	assert_false(inf_may_serve(&s));
 	s.api_failed = true;
 	s.waited_us = G_USEC_PER_SEC * INT64_C(3600);
-	assert_false(inf_may_serve(&s)); /* alone: never without the API */
+	/* without peers never before the API */
+	assert_false(inf_may_serve(&s));
 	s.peers_known = 5;
 	assert_false(inf_may_serve(&s));
 	s.peers_answered = INF_PEERS_REQUIRED;
@@ -151,7 +154,10 @@
 
 static const struct mem_ops no_ops = { .send = no_send, .changed = no_change };
 
-/* Node `self` of `n`, all alive, in three domains; `entries` come first. */
+/*
+ * Builds the member table of node `self` of `n` live nodes in three domains;
+ * the first `entries` nodes are gateways.
+ */
 static struct mem *
 view_of(unsigned int self, unsigned int n, unsigned int entries)
 {
@@ -178,8 +184,8 @@
 }
 
 /*
- * All nodes compute places for themselves. Each place must be one node's:
- * two firsts would write against one another, none would leave a role free.
+ * Each node computes its own rank, and each rank must belong to one node: two
+ * first ranks would write against each other, none would leave a role unheld.
  */
 static void
 test_each_rank_is_one_nodes(void **state)
@@ -208,13 +214,16 @@
 	}
 	for (i = 0; i < entries; i++) {
 		assert_int_equal(ranks[i], 1);
-		assert_in_range(firsts[i], 1, 24); /* spread, if not evenly */
+		/* spread over the nodes, though not evenly */
+		assert_in_range(firsts[i], 1, 24);
 	}
-	assert_int_equal(watchers, 3); /* one a domain */
+	assert_int_equal(watchers, 3); /* one per domain */
 }
 
-/* A domain without entries has a side as watcher; a single domain has three
- * watchers, so that one that is paused does not hold back news. */
+/*
+ * A domain without gateways has a sidecar as watcher; a single domain has three
+ * watchers, so that one that is paused does not delay updates.
+ */
 static void
 test_watchers_in_every_domain(void **state)
 {
@@ -223,7 +232,7 @@
 	char id[16];
 
 	for (i = 0; i < 30; i++) {
-		mem = view_of(i, 30, 2); /* entries in d0 and d1 only */
+		mem = view_of(i, 30, 2); /* gateways in d0 and d1 only */
 		snprintf(id, sizeof(id), "host-%u", i);
 		watchers += rank_is_watcher(mem, id);
 		alone += rank_is_watcher(mem, id) && i % 3 == 2;
--- a/tests/agree/test_lse.c
+++ b/tests/agree/test_lse.c
@@ -1,6 +1,6 @@
 /*
- * Lease decisions of three candidates on a fake clock, against an object in
- * memory whose calls take time, fail, or lose their answers.
+ * Lease decisions of three candidates on a virtual clock, against an in-memory
+ * object whose calls take time, fail, or lose their responses.
  */
 
 #include <setjmp.h>
@@ -32,11 +32,12 @@
 	struct world *world;
 	struct lse *lse;
 	char id[8];
-	struct call calls[2]; /* one read, one write at most */
+	struct call calls[2]; /* at most one read and one write */
 	int64_t paused_until_ms;
-	bool cut; /* from the object API */
+	bool cut; /* cut off from the object API */
 	int64_t apply_ms, answer_ms; /* of its calls; 0: at random */
-	unsigned int lose_writes; /* answers of its next writes */
+	/* number of next writes whose responses are lost */
+	unsigned int lose_writes;
 	unsigned int gained, lost;
 	uint64_t last_fence;
 	bool left;
@@ -50,9 +51,9 @@
 	char *value;
 	bool down;
 	unsigned int lose_permille;
-	unsigned int delay_ms; /* largest */
+	unsigned int delay_ms; /* upper limit */
 	struct rng rng;
-	uint64_t highest; /* fence ever given */
+	uint64_t highest; /* highest fencing number assigned */
 	unsigned int reads, writes, refused;
 };
 
@@ -282,7 +283,7 @@
 	g_free(w);
 }
 
-/* What the members' view does when the holder is `holder`. */
+/* Sets the ranks as the member tables do when node `holder` is the holder. */
 static void
 rank_without(struct world *w, int holder)
 {
@@ -295,7 +296,7 @@
 	}
 }
 
-/* First in rank claims, and no write is refused as long as nothing fails. */
+/* The first in rank claims, and no write is refused while nothing fails. */
 static void
 test_steady_state_refuses_nothing(void **state)
 {
@@ -314,8 +315,9 @@
 }
 
 /*
- * The holder dies. Orders stop; the next in rank must wait until the holder
- * surely knows that it has lapsed, and take over within a second of that.
+ * The holder crashes, and its orders stop. The next in rank must wait until the
+ * holder would certainly know that the lease has expired, and take over within
+ * a second after that.
  */
 static void
 test_crash_costs_one_lease_and_a_second(void **state)
@@ -336,7 +338,7 @@
 	}
 }
 
-/* The holder leaves: the next in rank has the role a moment later. */
+/* The holder leaves: the next in rank has the role within 300 ms. */
 static void
 test_planned_handover_is_at_once(void **state)
 {
@@ -355,8 +357,9 @@
 }
 
 /*
- * The holder pauses past its lease and believes, on waking, that it leads.
- * Asked before an order, it must say no, though nothing told it yet.
+ * The holder is paused until after its lease has expired and still has the
+ * state of a holder when it resumes. lse_fence() must return 0 even before the
+ * first event.
  */
 static void
 test_paused_holder_finds_out_before_it_acts(void **state)
@@ -375,14 +378,14 @@
 	run_ms(w, 5000);
 	assert_int_equal(w->nodes[0].lost, 1);
 	assert_int_equal(w->nodes[0].gained, 1);
-	assert_int_equal(w->refused, 0); /* it looks before it writes */
+	assert_int_equal(w->refused, 0); /* it reads before it writes */
 	world_free(w);
 }
 
 /*
- * A renewal takes effect at once but its answer comes late, then the holder
- * is cut from the API. Counted from the answer, its lease would outlast what
- * the others wait (asserted in run_ms).
+ * A renewal takes effect at once but its response is late; then the holder is
+ * cut off from the API. Counted from the response, its lease would outlast the
+ * time that the others wait (asserted in run_ms).
  */
 static void
 test_late_answer_does_not_lengthen_the_lease(void **state)
@@ -402,8 +405,9 @@
 }
 
 /*
- * Claims fail at once, as when nobody listens at the API's address. The
- * candidate must pace itself, or it would keep the loop and the API busy.
+ * Claims fail at once, as if nothing listened at the API's address. The
+ * candidate must limit its rate, or it would keep the event loop and the API
+ * busy.
  */
 static void
 test_failed_claims_are_paced(void **state)
@@ -421,8 +425,8 @@
 }
 
 /*
- * The answer of a renewal is lost. The next one is refused, as the version
- * has moved on, by our own write: no reason to give the role up.
+ * The response of a renewal is lost. The next renewal is refused, as this
+ * node's own write has changed the version: no reason to give the role up.
  */
 static void
 test_lost_renewal_answer_keeps_the_role(void **state)
@@ -440,8 +444,8 @@
 }
 
 /*
- * Entries that have just met see different members: for a moment each
- * believes that it is first. Claims wait until the rank has lasted.
+ * Gateways that have just joined have different member tables: for a moment
+ * each one considers itself first. Claims wait until the rank is stable.
  */
 static void
 test_claims_wait_until_ranks_settle(void **state)
@@ -461,8 +465,9 @@
 }
 
 /*
- * A candidate pauses while the holder renews. On waking, the version that it
- * remembers has long lapsed by its clock: it must look before it claims.
+ * A candidate is paused while the holder renews. When it resumes, the version
+ * that it last read has long expired by its clock: it must read before it
+ * claims.
  */
 static void
 test_woken_candidate_looks_first(void **state)
@@ -480,8 +485,8 @@
 }
 
 /*
- * The object API is away for longer than the lease. The holder stops in
- * time, nobody takes over meanwhile, and one of them does when it is back.
+ * The object API is unavailable for longer than the lease. The holder stops in
+ * time, nobody takes over meanwhile, and one node does after the outage.
  */
 static void
 test_api_outage_lapses_and_recovers(void **state)
@@ -501,9 +506,9 @@
 }
 
 /*
- * Pauses, slow calls, lost answers, an API that comes and goes, changing
- * ranks, all at random: never two holders (asserted at each step in run_ms)
- * and never a fencing number given twice (asserted in on_gained).
+ * Random pauses, slow calls, lost responses, API outages and rank changes:
+ * never two holders (asserted at each step in run_ms), and never a fencing
+ * number assigned twice (asserted in on_gained).
  */
 static void
 test_never_two_holders(void **state)
--- a/tests/agree/test_mem.c
+++ b/tests/agree/test_mem.c
@@ -1,6 +1,7 @@
 /*
- * Membership decisions on a fake clock, over a small lossy network in memory
- * that delivers what the shipped code sends. All runs repeat from a seed.
+ * Membership decisions on a virtual clock, over a small in-memory network with
+ * packet loss that delivers what the code under test sends. All runs are
+ * reproducible from a seed.
  */
 
 #include <setjmp.h>
@@ -11,9 +12,10 @@
 #include "mem_net.h"
 
 /*
- * All start at once, later one says that it leaves. Its requests stop only
- * where this is known, so all must know within two seconds, with one datagram
- * in fifty lost, and no node may send more because there are many.
+ * All nodes start at once; later one announces that it leaves. It gets new
+ * requests from every node that does not know yet, so all nodes must know
+ * within two seconds, with one datagram in fifty lost, and the bytes that a
+ * node sends must not grow with the number of nodes.
  */
 static void
 test_leaving_is_known_within_two_seconds(void **state)
@@ -52,8 +54,9 @@
 }
 
 /*
- * The link between two hosts stalls. Each probes the other in vain, asks
- * others, and hears from them that the other lives: nobody is given up.
+ * The link between two hosts stalls. Each probes the other without success,
+ * asks other members, and learns from them that the other is alive: no host is
+ * declared dead.
  */
 static void
 test_stalled_link_is_not_a_dead_host(void **state)
@@ -71,8 +74,8 @@
 }
 
 /*
- * A host dies without a word. It is suspected first, and given up by all
- * some seconds later.
+ * A host crashes. It is first suspected, and declared dead by all nodes some
+ * seconds later.
  */
 static void
 test_dead_host_is_given_up(void **state)
@@ -89,9 +92,9 @@
 }
 
 /*
- * A host pauses right after a probe, for less than the suspicion. It is
- * suspected, wakes, hears of it and refutes; and does not itself blame the
- * one whose answer it did not read.
+ * A host is paused right after a probe, for less than the suspicion timeout. It
+ * is suspected, resumes, receives the suspicion and refutes it; it must not
+ * suspect the member whose ack it did not read.
  */
 static void
 test_paused_host_refutes(void **state)
@@ -117,9 +120,9 @@
 }
 
 /*
- * A region is cut off for an hour: each part gives the other up and goes on
- * by itself, and the seeds die meanwhile. When the cut heals both parts must
- * find each other without a restart.
+ * A region is cut off for an hour: each partition declares the other dead and
+ * continues, and the seeds die meanwhile. When the partition heals the two must
+ * merge without a restart.
  */
 static void
 test_cut_region_is_found_again(void **state)
@@ -142,7 +145,7 @@
 }
 
 /*
- * A host restarts under its old name while its old life is still believed
+ * A host restarts under the same id while its earlier start is still considered
  * alive, or already dead. Old gossip must neither kill nor revive it.
  */
 static void
@@ -171,8 +174,8 @@
 }
 
 /*
- * A change is in force on all within a moment. Whichever entry the operator
- * asks must soon say so, of all nodes and at no great cost.
+ * A change becomes active on all nodes almost at once. Any gateway that an
+ * operator asks must soon report so for all nodes, within the byte limit.
  */
 static void
 test_all_learn_where_settings_are_in_force(void **state)
@@ -200,9 +203,9 @@
 }
 
 /*
- * Only node 0 watches the settings. A region that is cut off cannot hear of
- * changes; it goes on serving, and must know by the growing age that it may
- * be behind, while nobody else raises a false alarm.
+ * Only node 0 watches the settings. A region that is cut off gets no changes;
+ * it continues to serve and must see by the growing age that its settings may
+ * be outdated, while no other node raises a false alarm.
  */
 static void
 test_cut_off_nodes_know_their_age(void **state)
@@ -230,8 +233,8 @@
 }
 
 /*
- * A host has died. A table taken over from a node that was away still calls
- * it alive: it must stay dead, or work would be sent to it.
+ * A host has died. A table from a node that was away still lists it as alive:
+ * it must stay dead, or work would be sent to it.
  */
 static void
 test_old_news_does_not_revive(void **state)
@@ -252,8 +255,8 @@
 }
 
 /*
- * Many leave at once, as when a domain is drained. Their news is urgent, and
- * still no node may use more than its share of the network for it.
+ * Many nodes leave at once, as when a domain is drained. Their updates are
+ * urgent, but no node may exceed its byte limit for them.
  */
 static void
 test_many_leaving_stay_within_the_budget(void **state)
@@ -277,8 +280,8 @@
 }
 
 /*
- * The map of settings counts members in order. Taken from a node with another
- * table it would call a node in force that is not.
+ * The bits of the settings map are in member order. Applied from a node with
+ * another table, the map would mark a node as up to date that is not.
  */
 static void
 test_map_of_another_table_is_ignored(void **state)
@@ -310,7 +313,7 @@
 	end_net(net);
 }
 
-/* A node takes any bytes as updates without harm. */
+/* Arbitrary bytes as updates do no harm to a node. */
 static void
 test_malformed_updates_are_ignored(void **state)
 {
