--- a/lib/agree/agr.c
+++ b/lib/agree/agr.c
@@ -41,7 +41,7 @@
 }
 
 static void
-on_noted(const struct mem_note *note, const char *from, void *ctx)
+on_note(const struct mem_note *note, const char *from, void *ctx)
 {
 	struct agr *agr = ctx;
 
@@ -52,7 +52,7 @@
 }
 
 static void
-on_differ(const char *address, uint64_t settings, void *ctx)
+on_settings_differ(const char *address, uint64_t settings, void *ctx)
 {
 	agr_settings_digest_differs(ctx, address);
 }
@@ -66,8 +66,8 @@
 static const struct mem_ops mem_ops = {
 	.send = on_send,
 	.changed = on_changed,
-	.note_received = on_noted,
-	.settings_differ = on_differ,
+	.note_received = on_note,
+	.settings_differ = on_settings_differ,
 	.sync = on_sync,
 };
 
@@ -87,7 +87,7 @@
  * added as a member.
  */
 static void
-on_hosts(
+on_host_list(
     const struct hosts_entry *hosts, size_t n, const struct err *err, void *ctx)
 {
 	struct agr **call = ctx, *agr = *call;
@@ -101,7 +101,7 @@
 }
 
 static void
-ask_hosts(struct agr *agr, int64_t now_us)
+request_host_list(struct agr *agr, int64_t now_us)
 {
 	if (agr->conf.hosts == NULL || now_us < agr->next_hosts_us ||
 	    agr->hosts_call != NULL)
@@ -115,12 +115,12 @@
 		return;
 	agr->hosts_call = g_new(struct agr *, 1);
 	*agr->hosts_call = agr;
-	hosts_get(agr->conf.plat, agr->conf.hosts, HOSTS_DEADLINE_MS, on_hosts,
-	    agr->hosts_call);
+	hosts_get(agr->conf.plat, agr->conf.hosts, HOSTS_DEADLINE_MS,
+	    on_host_list, agr->hosts_call);
 }
 
 /* ------------------------------------------------------------------ */
-/* Life                                                                */
+/* Creation and shutdown                                               */
 /* ------------------------------------------------------------------ */
 
 static gboolean
@@ -140,7 +140,7 @@
 	}
 	agr_settings_tick(agr, now_us);
 	agr_roles_tick(agr, now_us);
-	ask_hosts(agr, now_us);
+	request_host_list(agr, now_us);
 	ctr_put(agr->age_ms, mem_age_ms(agr->mem, now_us));
 	return G_SOURCE_CONTINUE;
 }
@@ -211,13 +211,13 @@
 		return;
 	agr->closing = true;
 	if (agr->hosts_call != NULL)
-		/* on_hosts() then ignores the response */
+		/* on_host_list() then ignores the response */
 		*agr->hosts_call = NULL;
 	if (agr->timer != 0)
 		g_source_remove(agr->timer);
 	agr_settings_stop(agr);
 	agr_pulls_drop(agr);
-	agr_gates_stop(agr);
+	agr_fencing_stop(agr);
 	/* also ends the calls of roles and fencing checks */
 	obj_free(agr->obj);
 	agr_roles_free(agr);
@@ -240,7 +240,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Readers                                                             */
+/* Accessors                                                           */
 /* ------------------------------------------------------------------ */
 
 int64_t
--- a/lib/agree/agr_internal.h
+++ b/lib/agree/agr_internal.h
@@ -83,7 +83,7 @@
 
 	LIST_HEAD(pull_list, pull) pulls;
 	LIST_HEAD(agr_role_list, agr_role) roles;
-	LIST_HEAD(agr_gate_list, agr_fencing) gates;
+	LIST_HEAD(agr_fencing_list, agr_fencing) fencings;
 
 	struct ctr *pulls_count, *refused_branches, *sync_count, *members,
 	    *age_ms, *lease_refused;
@@ -126,8 +126,8 @@
 void agr_roles_free(struct agr *agr);
 
 /* gate.c */
-void agr_gates_told(struct agr *agr);
-void agr_gates_stop(struct agr *agr);
+void agr_fencing_peers_answered(struct agr *agr);
+void agr_fencing_stop(struct agr *agr);
 
 /* rank.c: ranks that all nodes with the same member table compute alike */
 unsigned int rank_for_role(
--- a/lib/agree/agr_pull.c
+++ b/lib/agree/agr_pull.c
@@ -9,21 +9,21 @@
 #include "agree/agr_internal.h"
 
 /* a stalled peer is given up after this time; other peers can answer */
-#define PULL_LIMIT_MS 5000
+#define PULL_TIMEOUT_MS 5000
 
 enum pull_type {
 	TYPE_SYNC = 66, /* from the pulling node: the states that it has */
 	TYPE_PAGE = 67, /* records that the receiver is missing */
 	/* from the answering node, after its pages: keys that it is missing */
-	TYPE_LACKING = 68,
+	TYPE_MISSING = 68,
 	/*
 	 * from the pulling node, after its pages; echoed by the answering node
 	 */
 	TYPE_SYNC_END = 69,
 	/* from the pulling node: the branch versions that it has */
-	TYPE_ASK = 70,
+	TYPE_PULL = 70,
 	TYPE_BRANCH = 71,
-	TYPE_ASK_END = 72,
+	TYPE_PULL_END = 72,
 };
 
 struct msg_blob {
@@ -36,12 +36,12 @@
     MSG_DESC(TYPE_SYNC, "sync", struct msg_blob, blob_fields);
 static const struct msg_desc page_desc =
     MSG_DESC(TYPE_PAGE, "page", struct msg_blob, blob_fields);
-static const struct msg_desc lacking_desc =
-    MSG_DESC(TYPE_LACKING, "lacking", struct msg_blob, blob_fields);
+static const struct msg_desc missing_desc =
+    MSG_DESC(TYPE_MISSING, "lacking", struct msg_blob, blob_fields);
 static const struct msg_desc sync_end_desc =
     MSG_DESC(TYPE_SYNC_END, "sync_end", struct msg_blob, blob_fields);
-static const struct msg_desc ask_desc =
-    MSG_DESC(TYPE_ASK, "ask", struct msg_blob, blob_fields);
+static const struct msg_desc pull_desc =
+    MSG_DESC(TYPE_PULL, "ask", struct msg_blob, blob_fields);
 
 struct msg_branch {
 	struct slice name;
@@ -56,16 +56,16 @@
 static const struct msg_desc branch_desc =
     MSG_DESC(TYPE_BRANCH, "branch", struct msg_branch, branch_fields);
 
-struct msg_ask_end {
+struct msg_pull_end {
 	uint64_t ready; /* 0: the answering node is not ready itself */
 	struct slice roles; /* fencing numbers and holders of the roles */
 };
-static const struct msg_field ask_end_fields[] = {
-	MSG_FIELD(struct msg_ask_end, ready, MSG_U64, 1),
-	MSG_FIELD(struct msg_ask_end, roles, MSG_BIN, 0),
+static const struct msg_field pull_end_fields[] = {
+	MSG_FIELD(struct msg_pull_end, ready, MSG_U64, 1),
+	MSG_FIELD(struct msg_pull_end, roles, MSG_BIN, 0),
 };
-static const struct msg_desc ask_end_desc =
-    MSG_DESC(TYPE_ASK_END, "ask_end", struct msg_ask_end, ask_end_fields);
+static const struct msg_desc pull_end_desc =
+    MSG_DESC(TYPE_PULL_END, "ask_end", struct msg_pull_end, pull_end_fields);
 
 static void
 send_blob(struct conn *c, const struct msg_desc *desc, GByteArray *blob)
@@ -85,7 +85,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Answering                                                           */
+/* Answering pulls                                                     */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -101,16 +101,16 @@
 }
 
 static void
-answer_ask(struct agr *agr, struct conn *c, struct slice known)
+answer_pull(struct agr *agr, struct conn *c, struct slice known)
 {
 	GByteArray *roles = mem_pack_role_notes(agr->mem);
-	struct msg_ask_end end = {
+	struct msg_pull_end end = {
 		.ready = agr->ready,
 		.roles = { roles->data, roles->len },
 	};
 
 	inf_each_newer(agr->inf, known, send_branch, c);
-	conn_send(c, &ask_end_desc, &end);
+	conn_send(c, &pull_end_desc, &end);
 	g_byte_array_unref(roles);
 }
 
@@ -124,7 +124,7 @@
 	case TYPE_SYNC:
 		if (!msg_read(m, &sync_desc, &blob, NULL))
 			break;
-		send_blob(c, &lacking_desc,
+		send_blob(c, &missing_desc,
 		    mem_sync_answer(agr->mem, now_us, blob.blob, send_page, c));
 		return true;
 	case TYPE_PAGE:
@@ -135,10 +135,10 @@
 	case TYPE_SYNC_END:
 		conn_send(c, &sync_end_desc, &(struct msg_blob){ 0 });
 		return true;
-	case TYPE_ASK:
-		if (!msg_read(m, &ask_desc, &blob, NULL))
+	case TYPE_PULL:
+		if (!msg_read(m, &pull_desc, &blob, NULL))
 			break;
-		answer_ask(agr, c, blob.blob);
+		answer_pull(agr, c, blob.blob);
 		return true;
 	default:
 		return false;
@@ -148,7 +148,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Asking                                                              */
+/* Pulling                                                             */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -161,11 +161,11 @@
 	if (p->kind == PULL_MEMBERS)
 		send_blob(c, &sync_desc, mem_sync_list(p->agr->mem));
 	else
-		send_blob(c, &ask_desc, inf_pack_versions(p->agr->inf));
+		send_blob(c, &pull_desc, inf_pack_versions(p->agr->inf));
 }
 
 static void
-take_branch(struct pull *p, const struct msg *m)
+handle_branch(struct pull *p, const struct msg *m)
 {
 	struct msg_branch branch;
 	char *name, *yaml;
@@ -180,11 +180,11 @@
 }
 
 static void
-take_ask_end(struct pull *p, const struct msg *m)
+handle_pull_end(struct pull *p, const struct msg *m)
 {
-	struct msg_ask_end end;
+	struct msg_pull_end end;
 
-	if (!msg_read(m, &ask_end_desc, &end, NULL))
+	if (!msg_read(m, &pull_end_desc, &end, NULL))
 		return;
 	mem_sync_roles(p->agr->mem, agr_now_us(p->agr), end.roles);
 	agr_settings_peer_answered(p->agr, p->address, end.ready != 0);
@@ -204,17 +204,17 @@
 		if (msg_read(m, &page_desc, &blob, NULL))
 			mem_sync_page(agr->mem, agr_now_us(agr), blob.blob);
 		return;
-	case TYPE_LACKING:
-		if (!msg_read(m, &lacking_desc, &blob, NULL))
+	case TYPE_MISSING:
+		if (!msg_read(m, &missing_desc, &blob, NULL))
 			break;
 		mem_sync_records(agr->mem, blob.blob, send_page, c);
 		conn_send(c, &sync_end_desc, &(struct msg_blob){ 0 });
 		return;
 	case TYPE_BRANCH:
-		take_branch(p, m);
+		handle_branch(p, m);
 		return;
-	case TYPE_ASK_END:
-		take_ask_end(p, m);
+	case TYPE_PULL_END:
+		handle_pull_end(p, m);
 		break;
 	default: /* TYPE_SYNC_END, or an unexpected message */
 		break;
@@ -245,7 +245,7 @@
 };
 
 static gboolean
-on_limit(gpointer data)
+on_timeout(gpointer data)
 {
 	struct pull *p = data;
 
@@ -269,7 +269,7 @@
 	g_strlcpy(p->address, address, sizeof(p->address));
 	LIST_INSERT_HEAD(&agr->pulls, p, link);
 	ctr_add(kind == PULL_SETTINGS ? agr->pulls_count : agr->sync_count, 1);
-	p->timer = g_timeout_add(PULL_LIMIT_MS, on_limit, p);
+	p->timer = g_timeout_add(PULL_TIMEOUT_MS, on_timeout, p);
 	p->conn = conn_dial(agr->conf.node, p->address, &pull_ops, p);
 }
 
--- a/lib/agree/agr_role.c
+++ b/lib/agree/agr_role.c
@@ -17,7 +17,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The lease's orders                                                  */
+/* Callbacks of the lease                                              */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -106,7 +106,8 @@
 	struct agr_role *role = ctx;
 
 	add_event(role, "role_gained", fence);
-	log_info("role %s gained, fence %" G_GUINT64_FORMAT, role->name, fence);
+	log_info("role %s gained with fencing number %" G_GUINT64_FORMAT,
+	    role->name, fence);
 	if (role->ops->gained != NULL && !role->closed)
 		role->ops->gained(role, fence, role->ctx);
 }
@@ -123,7 +124,7 @@
 }
 
 static void
-lease_tell(uint64_t fence, const char *holder, void *ctx)
+lease_publish(uint64_t fence, const char *holder, void *ctx)
 {
 	struct agr_role *role = ctx;
 	struct mem_note note = {
@@ -149,7 +150,7 @@
 	.write = lease_write,
 	.gained = lease_gained,
 	.lost = lease_lost,
-	.publish = lease_tell,
+	.publish = lease_publish,
 	.left = lease_left,
 };
 
--- a/lib/agree/agr_settings.c
+++ b/lib/agree/agr_settings.c
@@ -16,17 +16,17 @@
 #define LIST_DEADLINE_MAX_MS 24000
 #define LIST_PAUSE_US G_USEC_PER_SEC /* after a failure */
 #define WRITE_DEADLINE_MS 5000
-#define PULLS_AT_ONCE 2 /* a third response would bring the same branches */
-#define DIFFER_PAUSE_US (G_USEC_PER_SEC / 2)
+#define PULLS_MAX 2 /* a third response would bring the same branches */
+#define DIGEST_PULL_PAUSE_US (G_USEC_PER_SEC / 2)
 /*
  * A sidecar first waits up to this long for responses from members: after a
  * restart of all hosts, a thousand simultaneous lists and reads would overload
  * the object API again.
  */
-#define SIDE_LIST_WAIT_MS 1000
+#define SIDECAR_LIST_WAIT_MS 1000
 
 /* ------------------------------------------------------------------ */
-/* Taking a branch                                                     */
+/* Accepting a branch                                                  */
 /* ------------------------------------------------------------------ */
 
 void
@@ -64,7 +64,7 @@
 
 /* Returns NULL if the key is not that of a settings branch. */
 static const char *
-branch_of(const char *key)
+branch_name(const char *key)
 {
 	if (!g_str_has_prefix(key, INF_KEY_PREFIX))
 		return NULL;
@@ -86,7 +86,7 @@
 	agr->watch_works = true;
 	agr->revision = MAX(agr->revision, revision);
 	for (i = 0; i < n; i++) {
-		name = branch_of(objects[i].key);
+		name = branch_name(objects[i].key);
 		if (name != NULL && objects[i].value != NULL)
 			agr_offer_branch(agr, name, objects[i].version,
 			    objects[i].value, "watch");
@@ -99,22 +99,22 @@
 	struct agr *agr = ctx;
 
 	agr->watch_works = false;
-	log_warn("watch of the settings lost: %s", err->message);
+	log_warn("settings watch failed: %s", err->message);
 }
 
 static void
-on_watch_found(void *ctx)
+on_watch_restored(void *ctx)
 {
 	struct agr *agr = ctx;
 
 	agr->watch_works = true;
-	log_info("watch of the settings works again");
+	log_info("settings watch restored");
 }
 
 static const struct obj_watch_ops watch_ops = {
 	.changed = on_watch_changed,
 	.lost = on_watch_lost,
-	.found = on_watch_found,
+	.found = on_watch_restored,
 };
 
 static void
@@ -143,7 +143,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Members' news                                                       */
+/* Updates from members                                                */
 /* ------------------------------------------------------------------ */
 
 void
@@ -152,7 +152,7 @@
 {
 	if (from == NULL || !inf_is_newer(agr->inf, note->name, note->number))
 		return;
-	if (agr_pulls(agr, PULL_SETTINGS) < PULLS_AT_ONCE) {
+	if (agr_pulls(agr, PULL_SETTINGS) < PULLS_MAX) {
 		agr_pull(agr, PULL_SETTINGS, from);
 		return;
 	}
@@ -183,9 +183,9 @@
 	int64_t now_us = agr_now_us(agr);
 
 	if (now_us < agr->next_digest_pull_us ||
-	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_AT_ONCE)
+	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_MAX)
 		return;
-	agr->next_digest_pull_us = now_us + DIFFER_PAUSE_US;
+	agr->next_digest_pull_us = now_us + DIGEST_PULL_PAUSE_US;
 	agr_pull(agr, PULL_SETTINGS, from);
 }
 
@@ -194,7 +194,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-read_ended(struct agr *agr)
+finish_reading(struct agr *agr)
 {
 	if (agr->pending_reads > 0)
 		return;
@@ -217,13 +217,13 @@
 		return;
 	agr->pending_reads--;
 	if (err == NULL) {
-		name = branch_of(object->key);
+		name = branch_name(object->key);
 		agr_offer_branch(
 		    agr, name, object->version, object->value, "api");
 	} else if (err->code != ERR_NOT_FOUND) {
 		agr->read_failed = true;
 	}
-	read_ended(agr);
+	finish_reading(agr);
 }
 
 static void
@@ -241,7 +241,7 @@
 	if (err == NULL)
 		agr->revision = MAX(agr->revision, revision);
 	for (i = 0; i < n; i++) {
-		name = branch_of(objects[i].key);
+		name = branch_name(objects[i].key);
 		if (name == NULL ||
 		    !inf_is_newer(agr->inf, name, objects[i].version))
 			continue;
@@ -249,17 +249,17 @@
 		obj_get(agr->obj, objects[i].key, agr->list_deadline_ms,
 		    on_read, agr);
 	}
-	read_ended(agr);
+	finish_reading(agr);
 }
 
 static void
-list_when_due(struct agr *agr, int64_t now_us)
+list_if_due(struct agr *agr, int64_t now_us)
 {
 	if (agr->listing || agr->start.api_read || now_us < agr->next_list_us)
 		return;
 	if (agr->next_list_us == 0 && agr->conf.self.kind == MEM_SIDECAR) {
 		agr->next_list_us = agr->started_us +
-		    (int64_t)rng_below(&agr->rng, SIDE_LIST_WAIT_MS) * 1000;
+		    (int64_t)rng_below(&agr->rng, SIDECAR_LIST_WAIT_MS) * 1000;
 		return;
 	}
 	agr->listing = true;
@@ -275,17 +275,17 @@
 		return; /* the peer may be missing accepted versions */
 	g_hash_table_add(agr->answered_peers, g_strdup(address));
 	agr->start.peers_answered = g_hash_table_size(agr->answered_peers);
-	agr_gates_told(agr);
+	agr_fencing_peers_answered(agr);
 }
 
 /* Pulls from random members until enough of them have answered. */
 static void
-ask_members(struct agr *agr)
+pull_from_members(struct agr *agr)
 {
 	const char *address;
 
 	if (inf_enough_peers(&agr->start) || agr->start.peers_known == 0 ||
-	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_AT_ONCE)
+	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_MAX)
 		return;
 	address = mem_random_address(agr->mem);
 	if (address != NULL &&
@@ -296,8 +296,8 @@
 void
 agr_settings_tick(struct agr *agr, int64_t now_us)
 {
-	list_when_due(agr, now_us);
-	ask_members(agr);
+	list_if_due(agr, now_us);
+	pull_from_members(agr);
 	if (agr->ready)
 		return;
 	agr->start.waited_us = now_us - agr->started_us;
@@ -361,7 +361,7 @@
 }
 
 static gboolean
-on_refused(gpointer data)
+on_invalid(gpointer data)
 {
 	struct write *w = data;
 
@@ -384,7 +384,7 @@
 	w->done = done;
 	w->ctx = ctx;
 	if (!inf_check_write(agr->inf, name, yaml, &w->refused)) {
-		g_idle_add(on_refused, w);
+		g_idle_add(on_invalid, w);
 		return;
 	}
 	put = (struct obj_put){
@@ -399,7 +399,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Readers                                                             */
+/* Accessors                                                           */
 /* ------------------------------------------------------------------ */
 
 const struct inf_branch *
@@ -415,7 +415,7 @@
 	inf_each(agr->inf, each, ctx);
 }
 
-struct in_force {
+struct active_count {
 	uint64_t digest;
 	struct agr_active_count *out;
 	const char **overdue;
@@ -423,9 +423,9 @@
 };
 
 static void
-count_in_force(const struct mem_member *member, void *ctx)
+count_active(const struct mem_member *member, void *ctx)
 {
-	struct in_force *f = ctx;
+	struct active_count *f = ctx;
 
 	f->out->nodes++;
 	if (member->settings >= f->digest)
@@ -438,7 +438,7 @@
 agr_active_count(struct agr *agr, struct agr_active_count *out,
     const char **overdue, size_t max, size_t *n_overdue)
 {
-	struct in_force f = {
+	struct active_count f = {
 		.digest = inf_digest(agr->inf),
 		.out = out,
 		.overdue = overdue,
@@ -446,6 +446,6 @@
 	};
 
 	*out = (struct agr_active_count){ 0 };
-	mem_each(agr->mem, count_in_force, &f);
+	mem_each(agr->mem, count_active, &f);
 	*n_overdue = f.n;
 }
--- a/lib/agree/agree.h
+++ b/lib/agree/agree.h
@@ -78,7 +78,7 @@
 typedef void mem_each_cb(const struct mem_member *member, void *ctx);
 
 /* ------------------------------------------------------------------ */
-/* Settings in force                                                   */
+/* Active settings                                                     */
 /* ------------------------------------------------------------------ */
 
 #define INF_BRANCH_MAX 64 /* length of a branch name */
@@ -95,7 +95,7 @@
 };
 
 /* ------------------------------------------------------------------ */
-/* The node: everything above with its I/O                             */
+/* The node: all of the above with its I/O                             */
 /* ------------------------------------------------------------------ */
 
 struct agr;
@@ -205,7 +205,7 @@
 const char *agr_role_holder(struct agr_role *role);
 
 /* ------------------------------------------------------------------ */
-/* Order gate                                                          */
+/* Fencing check                                                       */
 /* ------------------------------------------------------------------ */
 
 /*
@@ -216,13 +216,13 @@
  */
 struct agr_fencing;
 struct agr_fencing *agr_fencing_new(struct agr *agr);
-void agr_fencing_free(struct agr_fencing *gate);
+void agr_fencing_free(struct agr_fencing *fencing);
 /*
  * Returns true and raises the floor if an order of `role` with fencing number
  * `fence` may pass. Otherwise sets ERR_STALE_FENCE or, while the floor is
  * unknown, ERR_UNAVAILABLE with a retry delay.
  */
-bool agr_fencing_check(struct agr_fencing *gate, const char *role,
+bool agr_fencing_check(struct agr_fencing *fencing, const char *role,
     uint64_t fence, struct err *err);
 
 #endif
--- a/lib/agree/gate.c
+++ b/lib/agree/gate.c
@@ -11,13 +11,13 @@
 #define RETRY_AFTER_MS 200
 
 struct floor { /* fencing floor of one role */
-	struct agr_fencing *gate; /* NULL after agr_fencing_free() */
+	struct agr_fencing *fencing; /* NULL after agr_fencing_free() */
 	char *role;
 	uint64_t fence;
 	bool known;
 	bool reading;
 	/* the object API did not answer; wait for members instead */
-	bool by_members;
+	bool use_members;
 };
 
 static void
@@ -30,16 +30,16 @@
 }
 
 static uint64_t
-noted_fence(const struct agr_fencing *gate, const char *role)
+reported_fence(const struct agr_fencing *fencing, const char *role)
 {
 	const struct mem_note *note =
-	    mem_find_note(gate->agr->mem, MEM_NOTE_ROLE, role);
+	    mem_find_note(fencing->agr->mem, MEM_NOTE_ROLE, role);
 
 	return note == NULL ? 0 : note->number;
 }
 
 /* ------------------------------------------------------------------ */
-/* Learning the floor after a start                                    */
+/* Reading the floor after a start                                     */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -48,16 +48,16 @@
 	struct floor *floor = ctx;
 	struct lse_value value;
 
-	if (floor->gate == NULL) {
+	if (floor->fencing == NULL) {
 		floor_free(floor);
 		return;
 	}
 	floor->reading = false;
-	if (floor->gate->agr == NULL)
+	if (floor->fencing->agr == NULL)
 		return;
 	if (err != NULL && err->code != ERR_NOT_FOUND) {
-		floor->by_members = true;
-		agr_gates_told(floor->gate->agr);
+		floor->use_members = true;
+		agr_fencing_peers_answered(floor->fencing->agr);
 		return;
 	}
 	floor->known = true;
@@ -72,7 +72,7 @@
  * least that of any order that this host accepted before the restart.
  */
 static void
-learn(struct agr_fencing *gate, struct floor *floor)
+read_floor(struct agr_fencing *fencing, struct floor *floor)
 {
 	char *key;
 
@@ -80,7 +80,7 @@
 		return;
 	floor->reading = true;
 	key = g_strconcat(LSE_KEY_PREFIX, floor->role, NULL);
-	obj_get(gate->agr->obj, key, READ_DEADLINE_MS, on_read, floor);
+	obj_get(fencing->agr->obj, key, READ_DEADLINE_MS, on_read, floor);
 	g_free(key);
 }
 
@@ -93,25 +93,25 @@
  * needs to reach all members.
  */
 static bool
-news_has_spread(const struct agr_fencing *gate)
+gossip_has_spread(const struct agr_fencing *fencing)
 {
-	return agr_now_us(gate->agr) - gate->started_us >=
-	    (int64_t)gate->agr->conf.lease_ms * 1000;
+	return agr_now_us(fencing->agr) - fencing->started_us >=
+	    (int64_t)fencing->agr->conf.lease_ms * 1000;
 }
 
 void
-agr_gates_told(struct agr *agr)
+agr_fencing_peers_answered(struct agr *agr)
 {
-	struct agr_fencing *gate;
+	struct agr_fencing *fencing;
 	GHashTableIter iter;
 	gpointer value;
 
-	LIST_FOREACH (gate, &agr->gates, link) {
-		g_hash_table_iter_init(&iter, gate->floors);
+	LIST_FOREACH (fencing, &agr->fencings, link) {
+		g_hash_table_iter_init(&iter, fencing->floors);
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
 			struct floor *floor = value;
 
-			if (floor->by_members && news_has_spread(gate) &&
+			if (floor->use_members && gossip_has_spread(fencing) &&
 			    inf_enough_peers(&agr->start))
 				floor->known = true;
 		}
@@ -125,63 +125,64 @@
 struct agr_fencing *
 agr_fencing_new(struct agr *agr)
 {
-	struct agr_fencing *gate = g_new0(struct agr_fencing, 1);
+	struct agr_fencing *fencing = g_new0(struct agr_fencing, 1);
 
-	gate->agr = agr;
-	gate->started_us = agr_now_us(agr);
-	gate->floors = g_hash_table_new(g_str_hash, g_str_equal);
-	LIST_INSERT_HEAD(&agr->gates, gate, link);
-	return gate;
+	fencing->agr = agr;
+	fencing->started_us = agr_now_us(agr);
+	fencing->floors = g_hash_table_new(g_str_hash, g_str_equal);
+	LIST_INSERT_HEAD(&agr->fencings, fencing, link);
+	return fencing;
 }
 
 void
-agr_fencing_free(struct agr_fencing *gate)
+agr_fencing_free(struct agr_fencing *fencing)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (gate == NULL)
+	if (fencing == NULL)
 		return;
-	g_hash_table_iter_init(&iter, gate->floors);
+	g_hash_table_iter_init(&iter, fencing->floors);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct floor *floor = value;
 
-		floor->gate = NULL;
+		floor->fencing = NULL;
 		if (!floor->reading)
 			floor_free(floor);
 	}
-	g_hash_table_unref(gate->floors);
-	if (gate->agr != NULL)
-		LIST_REMOVE(gate, link);
-	g_free(gate);
+	g_hash_table_unref(fencing->floors);
+	if (fencing->agr != NULL)
+		LIST_REMOVE(fencing, link);
+	g_free(fencing);
 }
 
 bool
-agr_fencing_check(
-    struct agr_fencing *gate, const char *role, uint64_t fence, struct err *err)
+agr_fencing_check(struct agr_fencing *fencing, const char *role, uint64_t fence,
+    struct err *err)
 {
-	struct floor *floor = g_hash_table_lookup(gate->floors, role);
+	struct floor *floor = g_hash_table_lookup(fencing->floors, role);
 	uint64_t lowest;
 
-	if (gate->agr == NULL)
-		return err_set(err, ERR_CANCELLED, VERDICT_NOT_RUN, "stopping");
+	if (fencing->agr == NULL)
+		return err_set(
+		    err, ERR_CANCELLED, VERDICT_NOT_RUN, "process is stopping");
 	if (floor == NULL) {
 		floor = g_new0(struct floor, 1);
-		floor->gate = gate;
+		floor->fencing = fencing;
 		floor->role = g_strdup(role);
-		g_hash_table_insert(gate->floors, floor->role, floor);
+		g_hash_table_insert(fencing->floors, floor->role, floor);
 	}
-	lowest = MAX(floor->fence, noted_fence(gate, role));
+	lowest = MAX(floor->fence, reported_fence(fencing, role));
 	if (fence == 0 || fence < lowest) {
 		return err_set(err, ERR_STALE_FENCE, VERDICT_NOT_RUN,
-		    "order of %s under %" G_GUINT64_FORMAT
-		    ", the floor is %" G_GUINT64_FORMAT,
+		    "order of role %s has fencing number %" G_GUINT64_FORMAT
+		    ", below the floor %" G_GUINT64_FORMAT,
 		    role, fence, lowest);
 	}
 	if (!floor->known) {
-		learn(gate, floor);
+		read_floor(fencing, floor);
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
-		    "the fencing floor of %s is not known yet", role);
+		    "the fencing floor of role %s is not known yet", role);
 		if (err != NULL)
 			err->retry_after_ms = RETRY_AFTER_MS;
 		return false;
@@ -192,12 +193,12 @@
 
 /* Fencing checks that the program has not freed yet reject every order. */
 void
-agr_gates_stop(struct agr *agr)
+agr_fencing_stop(struct agr *agr)
 {
-	struct agr_fencing *gate;
+	struct agr_fencing *fencing;
 
-	while ((gate = LIST_FIRST(&agr->gates)) != NULL) {
-		LIST_REMOVE(gate, link);
-		gate->agr = NULL;
+	while ((fencing = LIST_FIRST(&agr->fencings)) != NULL) {
+		LIST_REMOVE(fencing, link);
+		fencing->agr = NULL;
 	}
 }
--- a/lib/agree/inf.c
+++ b/lib/agree/inf.c
@@ -30,7 +30,7 @@
 };
 
 static struct branch *
-find(const struct inf *inf, const char *name)
+find_branch(const struct inf *inf, const char *name)
 {
 	struct branch *b;
 
@@ -42,7 +42,7 @@
 }
 
 static struct branch *
-add(struct inf *inf, const char *name)
+add_branch(struct inf *inf, const char *name)
 {
 	struct branch *b = g_new0(struct branch, 1), *at, *last = NULL;
 
@@ -101,7 +101,7 @@
 bool
 inf_is_newer(const struct inf *inf, const char *name, uint64_t version)
 {
-	const struct branch *b = find(inf, name);
+	const struct branch *b = find_branch(inf, name);
 
 	if (b == NULL)
 		return version > 0;
@@ -112,7 +112,7 @@
 inf_offer(struct inf *inf, const char *name, uint64_t version, const char *yaml,
     struct err *err)
 {
-	struct branch *b = find(inf, name);
+	struct branch *b = find_branch(inf, name);
 	struct cfg *cfg;
 
 	/*
@@ -127,10 +127,10 @@
 		if (strlen(name) > INF_BRANCH_MAX || !cfg_key_valid(name) ||
 		    inf_count(inf) >= BRANCHES_MAX) {
 			err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-			    "'%s' is no name of a branch", name);
+			    "'%s' is not a valid branch name", name);
 			return INF_REFUSED;
 		}
-		b = add(inf, name);
+		b = add_branch(inf, name);
 	}
 	cfg = parse(name, yaml, err);
 	if (cfg == NULL) {
@@ -150,7 +150,7 @@
 const struct inf_branch *
 inf_find(const struct inf *inf, const char *name)
 {
-	const struct branch *b = find(inf, name);
+	const struct branch *b = find_branch(inf, name);
 
 	return b == NULL || b->cfg == NULL ? NULL : &b->public;
 }
@@ -204,7 +204,7 @@
 
 	if (strlen(name) > INF_BRANCH_MAX || !cfg_key_valid(name)) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "'%s' is no name of a branch", name);
+		    "'%s' is not a valid branch name", name);
 	}
 	cfg = parse(name, yaml, err);
 	if (cfg == NULL)
@@ -222,7 +222,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What a peer has: a row of [name, version]                           */
+/* Versions of a peer: a sequence of [name, version]                   */
 /* ------------------------------------------------------------------ */
 
 static int
--- a/lib/agree/lse.c
+++ b/lib/agree/lse.c
@@ -24,7 +24,7 @@
 #define SETTLE_MS 1000
 #define RETRY_MS 200 /* after a failed renewal */
 #define CLAIM_RETRY_MS 500 /* after a failed claim */
-#define RELEASE_LIMIT_MS 2000
+#define RELEASE_TIMEOUT_MS 2000
 #define CANDIDATES 2 /* number of ranks that read the object */
 #define NO_RANK UINT_MAX
 
@@ -55,25 +55,25 @@
 	int64_t now_us; /* time of the event being handled */
 
 	unsigned int rank;
-	int64_t ranked_us; /* when the rank last changed */
+	int64_t rank_since_us; /* when the rank last changed */
 
-	bool seen; /* the fields below come from a read or a write */
+	bool known; /* the fields below come from a read or a write */
 	uint64_t version; /* 0: absent */
 	struct lse_value value;
-	int64_t seen_us; /* when this version was first seen */
+	int64_t first_seen_us; /* when this version was first seen */
 	int64_t seen_read_us; /* when the read that returned it was started */
-	uint64_t highest; /* highest fencing number read or reported */
-	int64_t claim_us; /* earliest time of the next claim */
+	uint64_t highest_fence; /* highest fencing number read or reported */
+	int64_t next_claim_us; /* earliest time of the next claim */
 	bool reading;
-	int64_t read_us; /* when the last successful read was started */
-	int64_t read_begun_us;
-	int64_t read_due_us;
+	int64_t last_read_us; /* when the last successful read was started */
+	int64_t read_started_us;
+	int64_t next_read_us;
 
-	int64_t sent_us; /* just before the last write was sent */
+	int64_t write_sent_us; /* just before the last write was sent */
 	struct lse_value written;
 	uint64_t fence; /* while held, else 0 */
 	int64_t deadline_us;
-	int64_t renew_us;
+	int64_t next_renew_us;
 	unsigned int refused;
 };
 
@@ -84,11 +84,11 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What is known of the object                                         */
+/* Known state of the object                                           */
 /* ------------------------------------------------------------------ */
 
 static bool
-is_mine(const struct lse *lse)
+names_self(const struct lse *lse)
 {
 	return lse->value.incarnation == lse->conf.incarnation &&
 	    strcmp(lse->value.holder, lse->conf.self) == 0;
@@ -101,22 +101,23 @@
 static int64_t
 free_since_us(const struct lse *lse)
 {
-	if (!lse->seen)
+	if (!lse->known)
 		return INT64_MAX;
-	if (lse->version == 0 || lse->value.handed_over || is_mine(lse))
+	if (lse->version == 0 || lse->value.handed_over || names_self(lse))
 		return lse->seen_read_us;
-	return lse->seen_us + (int64_t)lse->value.lease_ms * 1000 +
+	return lse->first_seen_us + (int64_t)lse->value.lease_ms * 1000 +
 	    margin_us(lse);
 }
 
 static void
-take_seen(struct lse *lse, uint64_t version, const char *text, int64_t read_us)
+record_value(
+    struct lse *lse, uint64_t version, const char *text, int64_t read_us)
 {
-	if (lse->seen && version == lse->version)
+	if (lse->known && version == lse->version)
 		return;
-	lse->seen = true;
+	lse->known = true;
 	lse->version = version;
-	lse->seen_us = lse->now_us;
+	lse->first_seen_us = lse->now_us;
 	lse->seen_read_us = read_us;
 	lse->value = (struct lse_value){ 0 };
 	if (version != 0 && !lse_value_parse(text, &lse->value)) {
@@ -128,7 +129,7 @@
 		lse->value.lease_ms = lse->conf.lease_ms;
 		lse->value.fence = version;
 	}
-	lse->highest = MAX(lse->highest, lse->value.fence);
+	lse->highest_fence = MAX(lse->highest_fence, lse->value.fence);
 }
 
 /* ------------------------------------------------------------------ */
@@ -144,8 +145,8 @@
 
 	if (lse->rank >= CANDIDATES || lse->now_us < free_us)
 		return false;
-	if (lse->now_us < lse->claim_us ||
-	    lse->now_us - lse->ranked_us < SETTLE_MS * 1000)
+	if (lse->now_us < lse->next_claim_us ||
+	    lse->now_us - lse->rank_since_us < SETTLE_MS * 1000)
 		return false;
 	if (lse->rank > 0)
 		wait_us = BACKUP_WAIT_MS * 1000;
@@ -155,7 +156,7 @@
 	 * long out of date.
 	 */
 	return lse->now_us >= free_us + wait_us &&
-	    lse->read_us >= free_us + wait_us;
+	    lse->last_read_us >= free_us + wait_us;
 }
 
 static bool
@@ -166,23 +167,23 @@
 
 	if (lse->rank >= CANDIDATES || lse->reading)
 		return false;
-	if (lse->now_us >= lse->read_due_us)
+	if (lse->now_us >= lse->next_read_us)
 		return true;
 	return lse->rank == 0 && lse->now_us >= free_us &&
-	    lse->read_us < free_us && lse->read_begun_us < free_us;
+	    lse->last_read_us < free_us && lse->read_started_us < free_us;
 }
 
 static bool
-in_time(void *ctx, const void *event_data)
+within_lease(void *ctx, const void *event_data)
 {
 	const struct lse *lse = ctx;
 
-	return lse->now_us <
-	    lse->sent_us + (int64_t)lse->conf.lease_ms * 1000 - margin_us(lse);
+	return lse->now_us < lse->write_sent_us +
+	    (int64_t)lse->conf.lease_ms * 1000 - margin_us(lse);
 }
 
 static bool
-lapsed(void *ctx, const void *event_data)
+lease_expired(void *ctx, const void *event_data)
 {
 	const struct lse *lse = ctx;
 
@@ -194,7 +195,7 @@
 {
 	const struct lse *lse = ctx;
 
-	return lse->now_us >= lse->renew_us;
+	return lse->now_us >= lse->next_renew_us;
 }
 
 /* ------------------------------------------------------------------ */
@@ -209,11 +210,11 @@
 
 	if (lse->rank > 0)
 		pause_ms = BACKUP_POLL_MS;
-	lse->read_due_us = lse->now_us + pause_ms * 1000;
+	lse->next_read_us = lse->now_us + pause_ms * 1000;
 	if (lse->reading)
 		return;
 	lse->reading = true;
-	lse->read_begun_us = lse->now_us;
+	lse->read_started_us = lse->now_us;
 	lse->ops->read(lse->ctx);
 }
 
@@ -221,7 +222,7 @@
 write_value(struct lse *lse, uint64_t fence, bool handed_over)
 {
 	unsigned int limit_ms = handed_over
-	    ? RELEASE_LIMIT_MS
+	    ? RELEASE_TIMEOUT_MS
 	    : lse->conf.lease_ms - (unsigned int)(margin_us(lse) / 1000);
 	char *text;
 
@@ -239,7 +240,7 @@
 	 * it. Counting from the response would add its delay to the holder's
 	 * time.
 	 */
-	lse->sent_us = lse->now_us;
+	lse->write_sent_us = lse->now_us;
 	text = lse_value_format(&lse->written);
 	lse->ops->write(text, lse->version, limit_ms, lse->ctx);
 	g_free(text);
@@ -255,7 +256,7 @@
 	 * and created again must not restart at a number that sidecars have
 	 * already passed.
 	 */
-	write_value(lse, lse->highest + 1, false);
+	write_value(lse, lse->highest_fence + 1, false);
 }
 
 static void
@@ -280,8 +281,8 @@
 	struct lse *lse = ctx;
 	int64_t lease_us = (int64_t)lse->conf.lease_ms * 1000;
 
-	lse->deadline_us = lse->sent_us + lease_us - margin_us(lse);
-	lse->renew_us = lse->sent_us + lease_us / 3;
+	lse->deadline_us = lse->write_sent_us + lease_us - margin_us(lse);
+	lse->next_renew_us = lse->write_sent_us + lease_us / 3;
 }
 
 static void
@@ -290,7 +291,7 @@
 	struct lse *lse = ctx;
 
 	lse->fence = lse->written.fence;
-	lse->highest = lse->fence;
+	lse->highest_fence = lse->fence;
 	do_extend(lse, NULL);
 	/*
 	 * Announce the number before acting: a sidecar that restarts while the
@@ -310,7 +311,7 @@
 	 * The last value still names this node; another may hold the lease by
 	 * now.
 	 */
-	lse->seen = false;
+	lse->known = false;
 	lse->ops->lost(lse->ctx);
 }
 
@@ -319,7 +320,7 @@
 {
 	struct lse *lse = ctx;
 
-	lse->renew_us = lse->now_us + RETRY_MS * 1000;
+	lse->next_renew_us = lse->now_us + RETRY_MS * 1000;
 }
 
 static void
@@ -331,7 +332,7 @@
 }
 
 static void
-do_tell_free(void *ctx, const void *event_data)
+do_publish_free(void *ctx, const void *event_data)
 {
 	struct lse *lse = ctx;
 
@@ -341,8 +342,8 @@
 static const struct chart_guard guards[] = {
 	{ "may_claim", may_claim },
 	{ "read_due", read_due },
-	{ "in_time", in_time },
-	{ "lapsed", lapsed },
+	{ "in_time", within_lease },
+	{ "lapsed", lease_expired },
 	{ "renew_due", renew_due },
 	{ NULL, NULL },
 };
@@ -357,7 +358,7 @@
 	{ "lose", do_lose },
 	{ "retry_soon", do_retry_soon },
 	{ "count_refused", do_count_refused },
-	{ "tell_free", do_tell_free },
+	{ "tell_free", do_publish_free },
 	{ NULL, NULL },
 };
 
@@ -402,8 +403,8 @@
 	lse->ops = ops;
 	lse->ctx = ctx;
 	lse->rank = NO_RANK;
-	lse->read_begun_us = INT64_MIN;
-	lse->read_us = INT64_MIN;
+	lse->read_started_us = INT64_MIN;
+	lse->last_read_us = INT64_MIN;
 	return lse;
 }
 
@@ -425,19 +426,19 @@
 	if (rank == lse->rank)
 		return;
 	if (rank >= CANDIDATES && lse->fence == 0)
-		lse->seen = false; /* this node reads the object no more */
+		lse->known = false; /* this node reads the object no more */
 	if (lse->rank >= CANDIDATES || rank >= CANDIDATES)
-		lse->read_due_us = now_us;
+		lse->next_read_us = now_us;
 	lse->rank = rank;
-	lse->ranked_us = now_us;
+	lse->rank_since_us = now_us;
 }
 
 void
 lse_hint(struct lse *lse, int64_t now_us, uint64_t fence)
 {
-	lse->highest = MAX(lse->highest, fence);
-	if (!lse->seen || fence >= lse->value.fence)
-		lse->read_due_us = now_us;
+	lse->highest_fence = MAX(lse->highest_fence, fence);
+	if (!lse->known || fence >= lse->value.fence)
+		lse->next_read_us = now_us;
 	lse_tick(lse, now_us);
 }
 
@@ -445,7 +446,7 @@
 lse_read_done(struct lse *lse, int64_t now_us, bool ok, uint64_t version,
     const char *value)
 {
-	bool idle;
+	bool no_write_since;
 
 	lse->reading = false;
 	lse->now_us = now_us;
@@ -453,10 +454,10 @@
 	 * A response is discarded if a write was sent after the read: it may
 	 * show the object before or after the write.
 	 */
-	idle = lse->read_begun_us >= lse->sent_us;
-	if (ok && idle && lse->fence == 0) {
-		take_seen(lse, version, value, lse->read_begun_us);
-		lse->read_us = lse->read_begun_us;
+	no_write_since = lse->read_started_us >= lse->write_sent_us;
+	if (ok && no_write_since && lse->fence == 0) {
+		record_value(lse, version, value, lse->read_started_us);
+		lse->last_read_us = lse->read_started_us;
 	}
 	lse_tick(lse, now_us);
 }
@@ -465,25 +466,25 @@
 lse_write_done(struct lse *lse, int64_t now_us, enum lse_outcome outcome,
     uint64_t version, const char *value)
 {
-	bool ours;
+	bool own_renewal;
 
 	lse->now_us = now_us;
 	switch (outcome) {
 	case LSE_WRITTEN:
-		lse->seen = true;
+		lse->known = true;
 		lse->version = version;
 		lse->value = lse->written;
-		lse->seen_us = now_us;
+		lse->first_seen_us = now_us;
 		step(lse, now_us, EVENT_WRITTEN);
 		break;
 	case LSE_REFUSED:
-		take_seen(lse, version, value, now_us);
+		record_value(lse, version, value, now_us);
 		/*
 		 * An earlier renewal whose response was lost did take effect.
 		 */
-		ours = is_mine(lse) && lse->fence != 0 &&
+		own_renewal = names_self(lse) && lse->fence != 0 &&
 		    lse->value.fence == lse->fence && !lse->value.handed_over;
-		step(lse, now_us, ours ? EVENT_FAILED : EVENT_REFUSED);
+		step(lse, now_us, own_renewal ? EVENT_FAILED : EVENT_REFUSED);
 		break;
 	case LSE_FAILED:
 		/*
@@ -492,8 +493,8 @@
 		 * the object API is unavailable.
 		 */
 		if (lse->fence == 0)
-			lse->seen = false;
-		lse->claim_us = now_us + CLAIM_RETRY_MS * 1000;
+			lse->known = false;
+		lse->next_claim_us = now_us + CLAIM_RETRY_MS * 1000;
 		step(lse, now_us, EVENT_FAILED);
 		break;
 	}
--- a/lib/agree/mem.c
+++ b/lib/agree/mem.c
@@ -43,7 +43,7 @@
 /* ------------------------------------------------------------------ */
 
 static guint
-place_of(const struct mem *mem, const char *id)
+index_of(const struct mem *mem, const char *id)
 {
 	guint low = 0, high = mem->by_id->len, middle;
 	const struct mem_entry *e;
@@ -64,7 +64,7 @@
 /* ------------------------------------------------------------------ */
 
 static uint64_t
-view_of(const struct mem_entry *e)
+member_digest(const struct mem_entry *e)
 {
 	uint64_t facts[2] = { e->member.node.incarnation,
 		e->member.state == MEM_LEAVING };
@@ -98,7 +98,7 @@
  * yet.
  */
 static void
-announce(struct mem *mem, struct mem_entry *e, enum mem_class class)
+queue_update(struct mem *mem, struct mem_entry *e, enum mem_class class)
 {
 	if (e->class != MEM_CLASSES)
 		TAILQ_REMOVE(&mem->updates[e->class], e, update_link);
@@ -118,7 +118,7 @@
 }
 
 static int64_t
-suspicion_us(const struct mem *mem)
+suspicion_timeout_us(const struct mem *mem)
 {
 	/* A refutation needs about log2(n) periods to arrive. */
 	int64_t spread_ms = (int64_t)mem->conf.gossip_ms * mem_log2(mem) / 2;
@@ -127,20 +127,20 @@
 }
 
 static void
-change(struct mem *mem, struct mem_entry *e, int64_t now_us,
+set_state(struct mem *mem, struct mem_entry *e, int64_t now_us,
     uint64_t incarnation, enum mem_state state)
 {
 	enum mem_state before = e->member.state;
 
-	mem->table_digest ^= view_of(e);
+	mem->table_digest ^= member_digest(e);
 	e->member.node.incarnation = incarnation;
 	e->member.state = state;
-	mem->table_digest ^= view_of(e);
+	mem->table_digest ^= member_digest(e);
 	mem->changed_us = now_us;
 	mem->alive += (before == MEM_DEAD) - (state == MEM_DEAD);
 	e->suspect_until_us =
-	    state == MEM_SUSPECT ? now_us + suspicion_us(mem) : 0;
-	announce(mem, e, class_of(before, state));
+	    state == MEM_SUSPECT ? now_us + suspicion_timeout_us(mem) : 0;
+	queue_update(mem, e, class_of(before, state));
 	if (state == before)
 		return;
 	e->member.since_us = now_us;
@@ -169,8 +169,8 @@
 	} else {
 		incarnation++;
 	}
-	change(mem, self, now_us, incarnation, self->member.state);
-	announce(mem, self, MEM_CLASS_URGENT);
+	set_state(mem, self, now_us, incarnation, self->member.state);
+	queue_update(mem, self, MEM_CLASS_URGENT);
 }
 
 static bool
@@ -199,7 +199,7 @@
 	    (mem_start_ms(incarnation) ==
 		    mem_start_ms(e->member.node.incarnation) ||
 		state == MEM_DEAD)) {
-		change(mem, e, now_us, incarnation, state);
+		set_state(mem, e, now_us, incarnation, state);
 		return;
 	}
 	/*
@@ -214,7 +214,7 @@
 }
 
 static struct mem_entry *
-add(struct mem *mem, const struct mem_node *node, int64_t now_us)
+add_entry(struct mem *mem, const struct mem_node *node, int64_t now_us)
 {
 	struct mem_entry *e = g_new0(struct mem_entry, 1);
 
@@ -224,7 +224,7 @@
 	e->member.since_us = now_us;
 	e->class = MEM_CLASSES;
 	g_hash_table_insert(mem->by_key, &e->key, e);
-	g_ptr_array_insert(mem->by_id, (gint)place_of(mem, node->id), e);
+	g_ptr_array_insert(mem->by_id, (gint)index_of(mem, node->id), e);
 	return e;
 }
 
@@ -244,38 +244,39 @@
 	if (e == NULL) {
 		if (state == MEM_DEAD)
 			return;
-		e = add(mem, node, now_us);
+		e = add_entry(mem, node, now_us);
 		g_hash_table_remove(mem->missing_records, &key);
-		change(mem, e, now_us, incarnation, state);
+		set_state(mem, e, now_us, incarnation, state);
 		return;
 	}
 	known = e->member.node.incarnation;
 	if (mem_start_ms(incarnation) > mem_start_ms(known)) {
-		mem->table_digest ^= view_of(e);
+		mem->table_digest ^= member_digest(e);
 		e->member.node = *node;
-		mem->table_digest ^= view_of(e);
+		mem->table_digest ^= member_digest(e);
 		e->member.settings = 0;
 		g_hash_table_remove(mem->missing_records, &key);
 		/* A new address is a change even if the state is the same. */
 		if (e->member.state == state && state != MEM_DEAD)
 			mem->ops->changed(&e->member, mem->ctx);
-		change(mem, e, now_us, incarnation, state);
+		set_state(mem, e, now_us, incarnation, state);
 		return;
 	}
 	if (is_newer(e, incarnation, state))
-		change(mem, e, now_us, incarnation, state);
+		set_state(mem, e, now_us, incarnation, state);
 }
 
 void
 mem_suspect(struct mem *mem, struct mem_entry *e, int64_t now_us)
 {
 	if (e->member.state == MEM_ALIVE) {
-		change(mem, e, now_us, e->member.node.incarnation, MEM_SUSPECT);
+		set_state(
+		    mem, e, now_us, e->member.node.incarnation, MEM_SUSPECT);
 	} else if (e->member.state == MEM_LEAVING && e->suspect_until_us == 0) {
 		/*
 		 * It stays "leaving" for all nodes until it is declared dead.
 		 */
-		e->suspect_until_us = now_us + suspicion_us(mem);
+		e->suspect_until_us = now_us + suspicion_timeout_us(mem);
 	}
 }
 
@@ -288,7 +289,7 @@
 	for (i = mem->by_id->len; i > 0; i--) {
 		e = g_ptr_array_index(mem->by_id, i - 1);
 		if (e->suspect_until_us != 0 && now_us > e->suspect_until_us) {
-			change(mem, e, now_us, e->member.node.incarnation,
+			set_state(mem, e, now_us, e->member.node.incarnation,
 			    MEM_DEAD);
 		}
 		if (e->member.state != MEM_DEAD || e == mem->self ||
@@ -332,7 +333,8 @@
 }
 
 static struct mem_note_entry *
-noted(const struct mem *mem, enum mem_note_kind kind, const char *name)
+find_note_entry(
+    const struct mem *mem, enum mem_note_kind kind, const char *name)
 {
 	struct mem_note_entry *n;
 
@@ -355,7 +357,7 @@
 bool
 mem_note_merge(struct mem *mem, const struct mem_note *note)
 {
-	struct mem_note_entry *n = noted(mem, note->kind, note->name);
+	struct mem_note_entry *n = find_note_entry(mem, note->kind, note->name);
 	unsigned int known = 0;
 	const struct mem_note_entry *each;
 
@@ -402,13 +404,13 @@
 const struct mem_note *
 mem_find_note(const struct mem *mem, enum mem_note_kind kind, const char *name)
 {
-	struct mem_note_entry *n = noted(mem, kind, name);
+	struct mem_note_entry *n = find_note_entry(mem, kind, name);
 
 	return n == NULL ? NULL : &n->note;
 }
 
 /* ------------------------------------------------------------------ */
-/* Life                                                                */
+/* Creation and shutdown                                               */
 /* ------------------------------------------------------------------ */
 
 struct mem *
@@ -435,11 +437,11 @@
 	LIST_INIT(&mem->notes);
 	LIST_INIT(&mem->relays);
 	self.incarnation <<= MEM_REFUTES_BITS;
-	mem->self = add(mem, &self, now_us);
+	mem->self = add_entry(mem, &self, now_us);
 	mem->self->member.state = MEM_ALIVE;
-	mem->table_digest = view_of(mem->self);
+	mem->table_digest = member_digest(mem->self);
 	mem->alive = 1;
-	announce(mem, mem->self, MEM_CLASS_ALIVE);
+	queue_update(mem, mem->self, MEM_CLASS_ALIVE);
 	mem->last_tick_us = now_us;
 	mem->credit_us = now_us;
 	mem->fresh_us = now_us;
@@ -480,7 +482,8 @@
 
 	if (self->member.state == MEM_LEAVING)
 		return;
-	change(mem, self, now_us, self->member.node.incarnation, MEM_LEAVING);
+	set_state(
+	    mem, self, now_us, self->member.node.incarnation, MEM_LEAVING);
 	mem_flush(mem, now_us);
 }
 
@@ -491,7 +494,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Readers                                                             */
+/* Accessors                                                           */
 /* ------------------------------------------------------------------ */
 
 void
--- a/lib/agree/mem_in_force.c
+++ b/lib/agree/mem_in_force.c
@@ -17,7 +17,7 @@
 #define MAP_HEADER_BYTES (1 + 9 + 3)
 
 static void
-map_changed(struct mem *mem)
+resend_map(struct mem *mem)
 {
 	mem->map_sends_left = 3 + mem_log2(mem);
 }
@@ -33,7 +33,7 @@
 		return;
 	e->member.settings = settings;
 	if (settings >= mem->self->member.settings)
-		map_changed(mem);
+		resend_map(mem);
 }
 
 void
@@ -53,7 +53,7 @@
 mem_pack_map(struct mem *mem, GByteArray *out, size_t room)
 {
 	uint64_t settings = mem->self->member.settings;
-	size_t len = (mem->alive + 7) / 8, place = 0;
+	size_t len = (mem->alive + 7) / 8, bit = 0;
 	const struct mem_entry *e;
 	msgpack_packer pk;
 	uint8_t *bits;
@@ -69,8 +69,8 @@
 		if (e->member.state == MEM_DEAD)
 			continue;
 		if (e->member.settings >= settings)
-			bits[place / 8] |= 1u << place % 8;
-		place++;
+			bits[bit / 8] |= 1u << bit % 8;
+		bit++;
 	}
 	msgpack_packer_init(&pk, out, append);
 	msgpack_pack_array(&pk, 2);
@@ -84,7 +84,7 @@
 mem_apply_map(struct mem *mem, uint64_t settings, struct slice map)
 {
 	struct mem_entry *e;
-	size_t place = 0;
+	size_t bit = 0;
 	guint i;
 
 	if (map.len != (mem->alive + 7) / 8)
@@ -93,9 +93,8 @@
 		e = g_ptr_array_index(mem->by_id, i);
 		if (e->member.state == MEM_DEAD)
 			continue;
-		if ((map.data[place / 8] >> place % 8 & 1) != 0 &&
-		    e != mem->self)
+		if ((map.data[bit / 8] >> bit % 8 & 1) != 0 && e != mem->self)
 			mem_record_settings(mem, e, settings);
-		place++;
+		bit++;
 	}
 }
--- a/lib/agree/mem_probe.c
+++ b/lib/agree/mem_probe.c
@@ -28,16 +28,16 @@
 /* a longer gap between ticks is a pause, not only a busy host */
 #define PAUSE_TICKS 5
 #define RELAYS_MAX 64
-#define WANTS_AT_ONCE 8 /* a table sync is used for more records than this */
+#define WANTS_MAX 8 /* a table sync is used for more records than this */
 #define WANT_PAUSE_US (G_USEC_PER_SEC / 2)
 
 /*
  * Table digests also differ while updates are in flight. This many mismatches
  * (less the matches) mean that updates were lost.
  */
-#define SYNC_DIFFER 8
+#define SYNC_MISMATCHES 8
 #define SYNC_PERIODS 5
-#define NEWS_PERIODS 3
+#define SPREAD_PERIODS 3
 #define SYNC_BYTES_S 1000 /* average rate limit of the lists sent */
 /* ... while many members are new, as after a cold start */
 #define JOIN_BYTES_S 4000
@@ -185,7 +185,7 @@
  * refute it: that it is suspect or dead. NULL if it is neither.
  */
 static struct mem_entry *
-to_be_refuted(struct mem_entry *e)
+refutable_update(struct mem_entry *e)
 {
 	if (e->member.state == MEM_SUSPECT || e->member.state == MEM_DEAD)
 		return e;
@@ -208,7 +208,7 @@
 		.end_us = now_us + period_us * 9 / 10,
 	};
 	mem_send(mem, e->member.node.address, MEM_PING, mem->probe.seq, 0,
-	    to_be_refuted(e));
+	    refutable_update(e));
 }
 
 /*
@@ -283,7 +283,7 @@
 }
 
 static void
-ask_others(struct mem *mem)
+request_indirect_probes(struct mem *mem)
 {
 	struct mem_entry *e = mem_entry(mem, mem->probe.key);
 	const char *to;
@@ -310,7 +310,7 @@
 }
 
 static void
-drop_relays(struct mem *mem, int64_t now_us)
+expire_relays(struct mem *mem, int64_t now_us)
 {
 	struct mem_relay *r, *next;
 
@@ -329,12 +329,12 @@
  * updates about them.
  */
 static void
-ask_wanted(struct mem *mem, int64_t now_us)
+request_missing(struct mem *mem, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer key, from;
 	GByteArray *blob;
-	char *teller = NULL;
+	char *sender = NULL;
 	uint64_t be;
 
 	if (g_hash_table_size(mem->missing_records) == 0 ||
@@ -344,19 +344,19 @@
 	blob = g_byte_array_new();
 	g_hash_table_iter_init(&iter, mem->missing_records);
 	while (g_hash_table_iter_next(&iter, &key, &from)) {
-		if (teller == NULL)
-			teller = g_strdup(from);
-		if (strcmp(teller, from) != 0)
+		if (sender == NULL)
+			sender = g_strdup(from);
+		if (strcmp(sender, from) != 0)
 			continue;
 		be = GUINT64_TO_BE(*(uint64_t *)key);
 		g_byte_array_append(blob, (guint8 *)&be, sizeof(be));
 		g_hash_table_iter_remove(&iter);
-		if (blob->len >= WANTS_AT_ONCE * sizeof(be))
+		if (blob->len >= WANTS_MAX * sizeof(be))
 			break;
 	}
-	send_blob(mem, teller, MEM_WANT, 0, 0, blob);
+	send_blob(mem, sender, MEM_WANT, 0, 0, blob);
 	g_byte_array_unref(blob);
-	g_free(teller);
+	g_free(sender);
 }
 
 /*
@@ -364,7 +364,7 @@
  * where a change is active; it uses only credit that other updates leave.
  */
 static void
-pass_map(struct mem *mem)
+send_map(struct mem *mem)
 {
 	const char *to = mem_random_address(mem);
 
@@ -391,12 +391,12 @@
 		mem->next_probe_us = now_us + period_us;
 		return;
 	}
-	drop_relays(mem, now_us);
+	expire_relays(mem, now_us);
 	if (mem->probe.key != 0 && now_us >= mem->probe.end_us)
 		end_probe(mem, now_us);
 	if (mem->probe.key != 0 && !mem->probe.indirect_sent &&
 	    now_us >= mem->probe.indirect_us)
-		ask_others(mem);
+		request_indirect_probes(mem);
 	if (now_us >= mem->next_probe_us) {
 		mem->next_probe_us += period_us;
 		mem_expire(mem, now_us);
@@ -404,9 +404,9 @@
 		probe_dead(mem);
 		probe_seeds(mem);
 	}
-	ask_wanted(mem, now_us);
+	request_missing(mem, now_us);
 	if (mem->map_sends_left > 0 && mem->byte_credit >= MAP_CREDIT)
-		pass_map(mem);
+		send_map(mem);
 	mem_flush(mem, now_us);
 }
 
@@ -415,7 +415,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-take_ping_req(
+handle_ping_req(
     struct mem *mem, int64_t now_us, const char *from, const struct mem_msg *m)
 {
 	struct mem_entry *e = mem_entry(mem, m->target);
@@ -430,12 +430,12 @@
 	g_strlcpy(r->requester, from, sizeof(r->requester));
 	LIST_INSERT_HEAD(&mem->relays, r, link);
 	mem->nrelays++;
-	mem_send(
-	    mem, e->member.node.address, MEM_PING, r->seq, 0, to_be_refuted(e));
+	mem_send(mem, e->member.node.address, MEM_PING, r->seq, 0,
+	    refutable_update(e));
 }
 
 static void
-take_ack(struct mem *mem, const struct mem_msg *m)
+handle_ack(struct mem *mem, const struct mem_msg *m)
 {
 	struct mem_relay *r;
 
@@ -489,7 +489,7 @@
 
 /* `many`: the peer knows many members that are missing here. */
 static void
-ask_for_sync(struct mem *mem, const char *address, int64_t now_us, bool many)
+request_sync(struct mem *mem, const char *address, int64_t now_us, bool many)
 {
 	int64_t period_us = (int64_t)mem->conf.gossip_ms * 1000;
 	int64_t list_us = list_bytes(mem) * G_USEC_PER_SEC;
@@ -516,7 +516,7 @@
 }
 
 static void
-compare_views(struct mem *mem, const struct mem_entry *e,
+compare_digests(struct mem *mem, const struct mem_entry *e,
     const struct mem_msg *m, int64_t now_us)
 {
 	bool many;
@@ -532,17 +532,17 @@
 	 */
 	if (list_bytes(mem) <= DGRAM_MAX ||
 	    now_us - mem->changed_us >
-		NEWS_PERIODS * (int64_t)mem->conf.gossip_ms * 1000)
+		SPREAD_PERIODS * (int64_t)mem->conf.gossip_ms * 1000)
 		mem->digest_mismatches++;
-	many = g_hash_table_size(mem->missing_records) > WANTS_AT_ONCE ||
-	    m->members > mem->alive + WANTS_AT_ONCE;
-	if (!mem->joined || mem->digest_mismatches >= SYNC_DIFFER || many)
-		ask_for_sync(mem, e->member.node.address, now_us, many);
+	many = g_hash_table_size(mem->missing_records) > WANTS_MAX ||
+	    m->members > mem->alive + WANTS_MAX;
+	if (!mem->joined || mem->digest_mismatches >= SYNC_MISMATCHES || many)
+		request_sync(mem, e->member.node.address, now_us, many);
 }
 
 /* Applies the facts about the sender that every datagram carries. */
 static void
-take_header(struct mem *mem, struct mem_entry *e, const struct mem_msg *m,
+handle_header(struct mem *mem, struct mem_entry *e, const struct mem_msg *m,
     int64_t now_us)
 {
 	const struct mem_member *self = &mem->self->member;
@@ -567,11 +567,11 @@
 		mem->ops->settings_differ(
 		    e->member.node.address, m->settings, mem->ctx);
 	}
-	compare_views(mem, e, m, now_us);
+	compare_digests(mem, e, m, now_us);
 }
 
 static void
-take_from_unknown(
+handle_unknown_sender(
     struct mem *mem, const char *from, const struct mem_msg *m, int64_t now_us)
 {
 	uint64_t *wanted = g_new(uint64_t, 1);
@@ -579,7 +579,7 @@
 	*wanted = m->from;
 	g_hash_table_replace(mem->missing_records, wanted, g_strdup(from));
 	if (!mem->joined)
-		ask_for_sync(mem, from, now_us, true);
+		request_sync(mem, from, now_us, true);
 }
 
 void
@@ -600,9 +600,9 @@
 	if (e == NULL ||
 	    mem_start_ms(m->incarnation) >
 		mem_start_ms(e->member.node.incarnation))
-		take_from_unknown(mem, from, m, now_us);
+		handle_unknown_sender(mem, from, m, now_us);
 	else
-		take_header(mem, e, m, now_us);
+		handle_header(mem, e, m, now_us);
 	/*
 	 * The bits are in member order, which is the same only if the tables
 	 * are.
@@ -611,10 +611,10 @@
 		mem_apply_map(mem, map.settings, map.bits);
 	if (type == MEM_PING)
 		mem_send(mem, from, MEM_ACK, m->seq, 0,
-		    e == NULL ? NULL : to_be_refuted(e));
+		    e == NULL ? NULL : refutable_update(e));
 	else if (type == MEM_ACK)
-		take_ack(mem, m);
+		handle_ack(mem, m);
 	else if (type == MEM_PING_REQ)
-		take_ping_req(mem, now_us, from, m);
+		handle_ping_req(mem, now_us, from, m);
 	mem_flush(mem, now_us);
 }
--- a/lib/agree/mem_wire.c
+++ b/lib/agree/mem_wire.c
@@ -18,7 +18,7 @@
  * The members in a larger page of a sync are not news to the other nodes:
  * forwarding them would fill all datagrams for minutes after a cold start.
  */
-#define NEWS_BYTES 1500
+#define BULK_PAGE_BYTES 1500
 
 static const struct msg_field mem_fields[] = {
 	MSG_FIELD(struct mem_msg, from, MSG_U64, 0),
@@ -185,7 +185,7 @@
 }
 
 static void
-take_state(struct mem *mem, int64_t now_us, const char *from,
+apply_state(struct mem *mem, int64_t now_us, const char *from,
     const msgpack_object *field)
 {
 	uint64_t key, incarnation, state;
@@ -197,7 +197,7 @@
 }
 
 static void
-take_full(struct mem *mem, int64_t now_us, const msgpack_object *field)
+apply_full(struct mem *mem, int64_t now_us, const msgpack_object *field)
 {
 	struct mem_node node = { 0 };
 	uint64_t state, kind;
@@ -216,7 +216,7 @@
 }
 
 static void
-take_map(const msgpack_object *field, struct mem_map *map)
+read_map(const msgpack_object *field, struct mem_map *map)
 {
 	if (map == NULL || field[1].type != MSGPACK_OBJECT_BIN ||
 	    !get_number(&field[0], UINT64_MAX, &map->settings))
@@ -226,7 +226,7 @@
 }
 
 static void
-take_note(struct mem *mem, const char *from, const msgpack_object *field)
+apply_note(struct mem *mem, const char *from, const msgpack_object *field)
 {
 	struct mem_note note = { 0 };
 	uint64_t kind;
@@ -267,16 +267,16 @@
 		field = o->via.array.ptr;
 		switch (o->via.array.size) {
 		case 2:
-			take_map(field, map);
+			read_map(field, map);
 			break;
 		case 3:
-			take_state(mem, now_us, from, field);
+			apply_state(mem, now_us, from, field);
 			break;
 		case 4:
-			take_note(mem, from, field);
+			apply_note(mem, from, field);
 			break;
 		case 8:
-			take_full(mem, now_us, field);
+			apply_full(mem, now_us, field);
 			break;
 		default: /* array of a newer release */
 			break;
@@ -286,7 +286,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Taking over a table                                                 */
+/* Table sync                                                          */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -338,7 +338,7 @@
 }
 
 static void
-page_record(struct pages *p, const struct mem_entry *e)
+pack_record(struct pages *p, const struct mem_entry *e)
 {
 	mem_pack_full(p->bytes, e);
 	if (p->bytes->len >= MEM_PAGE_BYTES)
@@ -359,7 +359,7 @@
 	size_t at = 0;
 	const msgpack_object *field;
 	struct listed l;
-	struct listed *kept;
+	struct listed *stored;
 
 	if (!msg_bounded(list))
 		return known;
@@ -373,15 +373,15 @@
 		    !get_number(&field[1], UINT64_MAX, &l.incarnation) ||
 		    !get_number(&field[2], MEM_DEAD, &l.state))
 			continue;
-		kept = g_memdup2(&l, sizeof(l));
-		g_hash_table_replace(known, &kept->key, kept);
+		stored = g_memdup2(&l, sizeof(l));
+		g_hash_table_replace(known, &stored->key, stored);
 	}
 	msgpack_unpacked_destroy(&got);
 	return known;
 }
 
 static void
-page_missing(struct mem *mem, GHashTable *known, struct pages *p)
+pack_missing(struct mem *mem, GHashTable *known, struct pages *p)
 {
 	const struct mem_entry *e;
 	const struct listed *theirs;
@@ -397,7 +397,7 @@
 		if (theirs == NULL ||
 		    mem_start_ms(theirs->incarnation) <
 			mem_start_ms(incarnation))
-			page_record(p, e);
+			pack_record(p, e);
 		else if (theirs->incarnation < incarnation ||
 		    (theirs->incarnation == incarnation &&
 			theirs->state < e->member.state))
@@ -410,7 +410,7 @@
 mem_sync_answer(struct mem *mem, int64_t now_us, struct slice list,
     mem_page_cb *page, void *ctx)
 {
-	GByteArray *lacking = g_byte_array_new();
+	GByteArray *missing = g_byte_array_new();
 	GHashTable *known = read_list(list);
 	struct pages p = { g_byte_array_new(), page, ctx };
 	GHashTableIter iter;
@@ -424,7 +424,7 @@
 	 * ones are requested over this connection.
 	 */
 	mem_apply_updates(mem, now_us, NULL, list, NULL);
-	page_missing(mem, known, &p);
+	pack_missing(mem, known, &p);
 	end_page(&p);
 	g_hash_table_iter_init(&iter, known);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -436,11 +436,11 @@
 			    mem_start_ms(e->member.node.incarnation)))
 			continue;
 		be = GUINT64_TO_BE(theirs->key);
-		g_byte_array_append(lacking, (guint8 *)&be, sizeof(be));
+		g_byte_array_append(missing, (guint8 *)&be, sizeof(be));
 	}
 	g_hash_table_unref(known);
 	g_byte_array_unref(p.bytes);
-	return lacking;
+	return missing;
 }
 
 void
@@ -456,7 +456,7 @@
 		memcpy(&key, keys.data + i, sizeof(key));
 		e = mem_entry(mem, GUINT64_FROM_BE(key));
 		if (e != NULL && e->member.state != MEM_DEAD)
-			page_record(&p, e);
+			pack_record(&p, e);
 	}
 	end_page(&p);
 	g_byte_array_unref(p.bytes);
@@ -466,7 +466,7 @@
 mem_sync_page(struct mem *mem, int64_t now_us, struct slice page)
 {
 	mem->joined = true;
-	mem->bulk_page = page.len > NEWS_BYTES;
+	mem->bulk_page = page.len > BULK_PAGE_BYTES;
 	mem_apply_updates(mem, now_us, NULL, page, NULL);
 	mem->bulk_page = false;
 }
--- a/lib/agree/rank.c
+++ b/lib/agree/rank.c
@@ -25,12 +25,12 @@
 	const char *role;
 	const char *holder;
 	const char *self;
-	uint64_t own;
-	unsigned int better;
+	uint64_t own_score;
+	unsigned int ahead;
 };
 
 static void
-count_better(const struct mem_member *member, void *ctx)
+count_ahead(const struct mem_member *member, void *ctx)
 {
 	struct role_rank *r = ctx;
 	uint64_t theirs;
@@ -44,7 +44,7 @@
 	    strcmp(member->node.id, r->self) == 0)
 		return;
 	theirs = score(r->role, member->node.id);
-	r->better += theirs > r->own;
+	r->ahead += theirs > r->own_score;
 }
 
 unsigned int
@@ -55,23 +55,23 @@
 		.role = role,
 		.holder = holder,
 		.self = self,
-		.own = score(role, self),
+		.own_score = score(role, self),
 	};
 
 	if (strcmp(holder, self) == 0)
 		return 0;
 	if (mem_self(mem)->state == MEM_LEAVING)
 		return UINT_MAX;
-	mem_each(mem, count_better, &r);
-	return r.better;
+	mem_each(mem, count_ahead, &r);
+	return r.ahead;
 }
 
 struct watch_rank {
 	const struct mem_member *self;
 	GHashTable *domains;
-	uint64_t own;
-	unsigned int better;
-	bool entries; /* a gateway runs in the domain of `self` */
+	uint64_t own_score;
+	unsigned int ahead;
+	bool has_gateway; /* a gateway runs in the domain of `self` */
 };
 
 static bool
@@ -81,7 +81,7 @@
 }
 
 static void
-see_domain(const struct mem_member *member, void *ctx)
+collect_domain(const struct mem_member *member, void *ctx)
 {
 	struct watch_rank *w = ctx;
 
@@ -90,19 +90,19 @@
 	g_hash_table_add(w->domains, (gpointer)member->node.domain);
 	if (member->node.kind == MEM_GATEWAY &&
 	    strcmp(member->node.domain, w->self->node.domain) == 0)
-		w->entries = true;
+		w->has_gateway = true;
 }
 
 static void
-count_better_watcher(const struct mem_member *member, void *ctx)
+count_watchers_ahead(const struct mem_member *member, void *ctx)
 {
 	struct watch_rank *w = ctx;
 
 	if (!is_candidate(member) ||
 	    strcmp(member->node.domain, w->self->node.domain) != 0 ||
-	    (w->entries && member->node.kind != MEM_GATEWAY))
+	    (w->has_gateway && member->node.kind != MEM_GATEWAY))
 		return;
-	w->better += score("settings", member->node.id) > w->own;
+	w->ahead += score("settings", member->node.id) > w->own_score;
 }
 
 bool
@@ -110,18 +110,18 @@
 {
 	struct watch_rank w = {
 		.self = mem_self(mem),
-		.own = score("settings", self),
+		.own_score = score("settings", self),
 	};
 	unsigned int domains;
 
 	if (!is_candidate(w.self))
 		return false;
 	w.domains = g_hash_table_new(g_str_hash, g_str_equal);
-	mem_each(mem, see_domain, &w);
+	mem_each(mem, collect_domain, &w);
 	domains = g_hash_table_size(w.domains);
 	g_hash_table_unref(w.domains);
-	if (w.entries && w.self->node.kind != MEM_GATEWAY)
+	if (w.has_gateway && w.self->node.kind != MEM_GATEWAY)
 		return false;
-	mem_each(mem, count_better_watcher, &w);
-	return w.better < MAX(1, (WATCHERS + domains - 1) / domains);
+	mem_each(mem, count_watchers_ahead, &w);
+	return w.ahead < MAX(1, (WATCHERS + domains - 1) / domains);
 }
--- a/tests/agree/mem_net.h
+++ b/tests/agree/mem_net.h
@@ -107,12 +107,12 @@
 }
 
 static inline void
-on_noted(const struct mem_note *note, const char *from, void *ctx)
+on_note(const struct mem_note *note, const char *from, void *ctx)
 {
 }
 
 static inline void
-on_differ(const char *address, uint64_t settings, void *ctx)
+on_settings_differ(const char *address, uint64_t settings, void *ctx)
 {
 }
 
@@ -121,7 +121,7 @@
 };
 
 static inline void
-give_page(struct slice page, void *ctx)
+deliver_page(struct slice page, void *ctx)
 {
 	struct page_to *p = ctx;
 
@@ -137,26 +137,27 @@
 	struct net *net = node->net;
 	struct node *peer = &net->nodes[number_of(address)];
 	struct page_to to_us = { peer, node }, to_peer = { node, peer };
-	GByteArray *list, *lacking;
+	GByteArray *list, *missing;
 
 	if (!passes(net, node->number, peer->number) || peer->paused)
 		return;
 	list = mem_sync_list(node->mem);
 	node->bytes += list->len;
 	peer->bytes += list->len;
-	lacking = mem_sync_answer(peer->mem, now_us(net),
-	    (struct slice){ list->data, list->len }, give_page, &to_us);
+	missing = mem_sync_answer(peer->mem, now_us(net),
+	    (struct slice){ list->data, list->len }, deliver_page, &to_us);
 	mem_sync_records(node->mem,
-	    (struct slice){ lacking->data, lacking->len }, give_page, &to_peer);
+	    (struct slice){ missing->data, missing->len }, deliver_page,
+	    &to_peer);
 	g_byte_array_unref(list);
-	g_byte_array_unref(lacking);
+	g_byte_array_unref(missing);
 }
 
 static const struct mem_ops ops = {
 	.send = on_send,
 	.changed = on_changed,
-	.note_received = on_noted,
-	.settings_differ = on_differ,
+	.note_received = on_note,
+	.settings_differ = on_settings_differ,
 	.sync = on_sync,
 };
 
@@ -221,7 +222,7 @@
 }
 
 static inline unsigned int
-seeing(struct net *net, unsigned int about, enum mem_state state)
+count_seeing(struct net *net, unsigned int about, enum mem_state state)
 {
 	const struct mem_member *m;
 	unsigned int i, count = 0;
--- a/tests/agree/test_agr.c
+++ b/tests/agree/test_agr.c
@@ -28,7 +28,7 @@
 	struct plat *plat;
 	struct agr *agr;
 	struct agr_role *role;
-	struct agr_fencing *gate;
+	struct agr_fencing *fencing;
 	bool ready;
 	unsigned int changed, gained, lost;
 	uint64_t fence;
@@ -152,7 +152,7 @@
 	if (n->agr == NULL)
 		return;
 	agr_free(n->agr);
-	agr_fencing_free(n->gate);
+	agr_fencing_free(n->fencing);
 	n->agr = NULL;
 	conn_server_free(n->server);
 	run_for(20);
@@ -184,7 +184,7 @@
 
 /* Runs the loop until `holds(arg)`; fails the test after PATIENCE_MS. */
 static void
-run_while_not(bool (*holds)(int arg), int arg)
+run_until_holds(bool (*holds)(int arg), int arg)
 {
 	int waited;
 
@@ -231,7 +231,7 @@
 }
 
 static bool
-counted_in_force(int n)
+all_active(int n)
 {
 	struct agr_active_count f;
 	size_t overdue;
@@ -279,7 +279,7 @@
  * root branch's limits is rejected before it is sent.
  */
 static void
-test_change_is_in_force_everywhere(void **state)
+test_change_becomes_active_everywhere(void **state)
 {
 	struct written w;
 	unsigned int writes;
@@ -287,13 +287,13 @@
 
 	for (i = 0; i < NODES; i++)
 		start_node(i, i < 2 ? MEM_GATEWAY : MEM_SIDECAR);
-	run_while_not(all_ready, NODES);
+	run_until_holds(all_ready, NODES);
 	w = set_konya(0, 100, 0);
 	assert_int_equal(w.code, ERR_NONE);
 	assert_int_equal(w.version, 1);
 	assert_int_equal(agr_branch(nodes[0].agr, "konya")->version, 1);
-	run_while_not(konya_everywhere, 1);
-	run_while_not(counted_in_force, NODES);
+	run_until_holds(konya_everywhere, 1);
+	run_until_holds(all_active, NODES);
 	w = set_konya(1, 200, 0);
 	assert_int_equal(w.code, ERR_CONFLICT);
 	assert_int_equal(w.now_version, 1);
@@ -303,7 +303,7 @@
 	assert_int_equal(api.writes, writes);
 	w = set_konya(1, 200, 1);
 	assert_int_equal(w.code, ERR_NONE);
-	run_while_not(konya_everywhere, 2);
+	run_until_holds(konya_everywhere, 2);
 }
 
 /*
@@ -311,20 +311,20 @@
  * the active version stays, and the next valid one is accepted.
  */
 static void
-test_broken_branch_is_not_taken(void **state)
+test_invalid_branch_is_refused(void **state)
 {
 	start_node(0, MEM_GATEWAY);
 	start_node(1, MEM_SIDECAR);
-	run_while_not(all_ready, 2);
+	run_until_holds(all_ready, 2);
 	set_konya(0, 100, 0);
-	run_while_not(konya_everywhere, 1);
+	run_until_holds(konya_everywhere, 1);
 	store(&api, "settings/konya", "x", "team: konya\nnonsense: 1\n");
 	run_for(500);
 	assert_true(konya_everywhere(1));
 	assert_true(
 	    ctr_read(nodes[0].node.counters, "agree_refused_branches") > 0);
 	set_konya(0, 300, 2);
-	run_while_not(konya_everywhere, 3);
+	run_until_holds(konya_everywhere, 3);
 }
 
 /*
@@ -338,12 +338,12 @@
 
 	for (i = 0; i < 3; i++)
 		start_node(i, MEM_GATEWAY);
-	run_while_not(all_ready, 3);
+	run_until_holds(all_ready, 3);
 	set_konya(0, 100, 0);
-	run_while_not(konya_everywhere, 1);
+	run_until_holds(konya_everywhere, 1);
 	objects_down(&api, true);
 	start_node(3, MEM_SIDECAR);
-	run_while_not(all_ready, 4);
+	run_until_holds(all_ready, 4);
 	assert_int_equal(agr_branch(nodes[3].agr, "konya")->version, 1);
 	for (i = 0; i < NODES; i++)
 		stop_node(i);
@@ -354,8 +354,8 @@
 	assert_false(agr_is_ready(nodes[0].agr));
 	assert_false(agr_is_ready(nodes[1].agr));
 	objects_down(&api, false);
-	run_while_not(all_ready, 2);
-	run_while_not(konya_everywhere, 1);
+	run_until_holds(all_ready, 2);
+	run_until_holds(konya_everywhere, 1);
 }
 
 static int
@@ -379,10 +379,10 @@
 }
 
 static bool
-gate_passes(int fence)
+fencing_passes(int fence)
 {
 	return agr_fencing_check(
-	    nodes[3].gate, "rollout", (uint64_t)fence, NULL);
+	    nodes[3].fencing, "rollout", (uint64_t)fence, NULL);
 }
 
 /*
@@ -392,7 +392,7 @@
  * also if only the members know the number because the API is unavailable.
  */
 static void
-test_role_moves_and_gate_holds(void **state)
+test_role_moves_and_stale_orders_are_rejected(void **state)
 {
 	struct err err = { 0 };
 	int i, first, second;
@@ -400,47 +400,47 @@
 
 	for (i = 0; i < NODES; i++)
 		start_node(i, i < 3 ? MEM_GATEWAY : MEM_SIDECAR);
-	run_while_not(all_ready, NODES);
+	run_until_holds(all_ready, NODES);
 	for (i = 0; i < 3; i++)
 		nodes[i].role = agr_role_join(
 		    nodes[i].agr, "rollout", &role_ops, &nodes[i]);
-	nodes[3].gate = agr_fencing_new(nodes[3].agr);
-	run_while_not(other_holds, -1);
+	nodes[3].fencing = agr_fencing_new(nodes[3].agr);
+	run_until_holds(other_holds, -1);
 	first = holder();
 	assert_int_equal(nodes[first].fence, 1);
-	assert_false(agr_fencing_check(nodes[3].gate, "rollout", 1, &err));
+	assert_false(agr_fencing_check(nodes[3].fencing, "rollout", 1, &err));
 	assert_int_equal(err.code, ERR_UNAVAILABLE);
-	run_while_not(gate_passes, 1);
+	run_until_holds(fencing_passes, 1);
 
 	agr_role_leave(nodes[first].role);
 	nodes[first].role = NULL;
-	run_while_not(other_holds, first);
+	run_until_holds(other_holds, first);
 	second = holder();
 	assert_int_equal(nodes[second].fence, 2);
-	run_while_not(gate_passes, 2);
-	assert_false(agr_fencing_check(nodes[3].gate, "rollout", 1, &err));
+	run_until_holds(fencing_passes, 2);
+	assert_false(agr_fencing_check(nodes[3].fencing, "rollout", 1, &err));
 	assert_int_equal(err.code, ERR_STALE_FENCE);
 
 	nodes[second].role = NULL;
 	stop_node(second);
-	run_while_not(other_holds, second);
+	run_until_holds(other_holds, second);
 	assert_int_equal(nodes[holder()].fence, 3);
 	assert_int_equal(api.refused, 0);
 
 	/* An order may arrive before the note about its holder. */
-	assert_true(gate_passes(4));
-	assert_false(gate_passes(3));
+	assert_true(fencing_passes(4));
+	assert_false(fencing_passes(3));
 
 	stop_node(3);
 	objects_down(&api, true);
 	start_node(3, MEM_SIDECAR);
 	restarted_us = g_get_monotonic_time();
-	nodes[3].gate = agr_fencing_new(nodes[3].agr);
-	run_while_not(gate_passes, 3);
+	nodes[3].fencing = agr_fencing_new(nodes[3].agr);
+	run_until_holds(fencing_passes, 3);
 	/* Not before the members have certainly received the last number. */
 	assert_true(g_get_monotonic_time() - restarted_us >=
 	    LEASE_MS * G_USEC_PER_SEC / 1000);
-	assert_false(agr_fencing_check(nodes[3].gate, "rollout", 2, &err));
+	assert_false(agr_fencing_check(nodes[3].fencing, "rollout", 2, &err));
 	assert_int_equal(err.code, ERR_STALE_FENCE);
 }
 
@@ -449,13 +449,14 @@
 {
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-		    test_change_is_in_force_everywhere, set_up, tear_down),
+		    test_change_becomes_active_everywhere, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-		    test_broken_branch_is_not_taken, set_up, tear_down),
+		    test_invalid_branch_is_refused, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 		    test_api_down_at_start, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-		    test_role_moves_and_gate_holds, set_up, tear_down),
+		    test_role_moves_and_stale_orders_are_rejected, set_up,
+		    tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/agree/test_inf.c
+++ b/tests/agree/test_inf.c
@@ -17,7 +17,7 @@
 			   "  konya: {requests_s: 10, queue: 9000}\n";
 
 static int64_t
-in_force(struct inf *inf)
+active_limit(struct inf *inf)
 {
 	return cfg_int(inf_find(inf, "konya")->cfg, "limits.requests_s");
 }
@@ -38,11 +38,11 @@
 	assert_true(digest > before);
 	assert_int_equal(inf_offer(inf, "konya", 6, v1, NULL), INF_STALE);
 	assert_int_equal(inf_offer(inf, "konya", 7, v1, NULL), INF_STALE);
-	assert_int_equal(in_force(inf), 2);
+	assert_int_equal(active_limit(inf), 2);
 	assert_true(inf_digest(inf) == digest);
 	/* A rollback is a new version. */
 	assert_int_equal(inf_offer(inf, "konya", 8, v1, NULL), INF_ACCEPTED);
-	assert_int_equal(in_force(inf), 1);
+	assert_int_equal(active_limit(inf), 1);
 	assert_true(inf_digest(inf) > digest);
 	inf_free(inf);
 }
@@ -51,7 +51,7 @@
  * A text that fails validation is refused once and not pulled again and again.
  */
 static void
-test_broken_text_leaves_the_old_in_force(void **state)
+test_invalid_text_keeps_active_version(void **state)
 {
 	struct inf *inf = inf_new();
 	struct err err = { 0 };
@@ -59,7 +59,7 @@
 	inf_offer(inf, "konya", 1, v1, NULL);
 	assert_int_equal(inf_offer(inf, "konya", 2, broken, &err), INF_REFUSED);
 	assert_non_null(strstr(err.message, "requests_s"));
-	assert_int_equal(in_force(inf), 1);
+	assert_int_equal(active_limit(inf), 1);
 	assert_false(inf_is_newer(inf, "konya", 2));
 	assert_int_equal(inf_offer(inf, "a.b", 1, v1, &err), INF_REFUSED);
 	assert_int_equal(inf_offer(inf, "konya", 3, v2, NULL), INF_ACCEPTED);
@@ -92,7 +92,7 @@
 
 /* Two partitions that accepted different changes converge after a merge. */
 static void
-test_pulls_both_ways_end_equal(void **state)
+test_pulls_both_ways_converge(void **state)
 {
 	struct inf *a = inf_new(), *b = inf_new();
 	GByteArray *known;
@@ -110,7 +110,7 @@
 	    a, (struct slice){ known->data, known->len }, offer_to, b);
 	g_byte_array_unref(known);
 	assert_true(inf_digest(a) == inf_digest(b));
-	assert_int_equal(in_force(a), 2);
+	assert_int_equal(active_limit(a), 2);
 	assert_int_equal(inf_find(b, INF_ROOT_BRANCH)->version, 3);
 	inf_free(a);
 	inf_free(b);
@@ -121,7 +121,7 @@
  * state: it waits for the API or for several peers that are ready.
  */
 static void
-test_start_waits_for_enough(void **state)
+test_start_waits_for_api_or_peers(void **state)
 {
 	struct inf_start s = { 0 };
 
@@ -159,7 +159,7 @@
  * the first `entries` nodes are gateways.
  */
 static struct mem *
-view_of(unsigned int self, unsigned int n, unsigned int entries)
+build_table(unsigned int self, unsigned int n, unsigned int gateways)
 {
 	struct mem_conf conf = { .gossip_ms = 1000, .suspect_ms = 1000 };
 	struct mem *mem = NULL;
@@ -169,7 +169,7 @@
 	for (order = 0; order <= n; order++) {
 		i = order == 0 ? self : order - 1;
 		node = (struct mem_node){
-			.kind = i < entries ? MEM_GATEWAY : MEM_SIDECAR,
+			.kind = i < gateways ? MEM_GATEWAY : MEM_SIDECAR,
 			.incarnation = UINT64_C(1) << MEM_REFUTES_BITS,
 		};
 		snprintf(node.id, sizeof(node.id), "host-%u", i);
@@ -188,31 +188,31 @@
  * first ranks would write against each other, none would leave a role unheld.
  */
 static void
-test_each_rank_is_one_nodes(void **state)
+test_ranks_are_unique(void **state)
 {
-	const unsigned int n = 40, entries = 8;
+	const unsigned int n = 40, gateways = 8;
 	unsigned int ranks[8] = { 0 }, firsts[8] = { 0 };
 	unsigned int i, r, rank, watchers = 0;
 	struct mem *mem;
 	char id[16], role[16];
 
 	for (i = 0; i < n; i++) {
-		mem = view_of(i, n, entries);
+		mem = build_table(i, n, gateways);
 		snprintf(id, sizeof(id), "host-%u", i);
 		watchers += rank_is_watcher(mem, id);
-		if (i < entries) {
+		if (i < gateways) {
 			rank = rank_for_role(mem, "lead", "", id);
-			assert_true(rank < entries);
+			assert_true(rank < gateways);
 			ranks[rank]++;
 			assert_int_equal(rank_for_role(mem, "lead", id, id), 0);
 		}
-		for (r = 0; r < 64 && i < entries; r++) {
+		for (r = 0; r < 64 && i < gateways; r++) {
 			snprintf(role, sizeof(role), "claims-%u", r);
 			firsts[i] += rank_for_role(mem, role, "", id) == 0;
 		}
 		mem_free(mem);
 	}
-	for (i = 0; i < entries; i++) {
+	for (i = 0; i < gateways; i++) {
 		assert_int_equal(ranks[i], 1);
 		/* spread over the nodes, though not evenly */
 		assert_in_range(firsts[i], 1, 24);
@@ -232,7 +232,7 @@
 	char id[16];
 
 	for (i = 0; i < 30; i++) {
-		mem = view_of(i, 30, 2); /* gateways in d0 and d1 only */
+		mem = build_table(i, 30, 2); /* gateways in d0 and d1 only */
 		snprintf(id, sizeof(id), "host-%u", i);
 		watchers += rank_is_watcher(mem, id);
 		alone += rank_is_watcher(mem, id) && i % 3 == 2;
@@ -247,11 +247,11 @@
 {
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_versions_only_grow),
-		cmocka_unit_test(test_broken_text_leaves_the_old_in_force),
+		cmocka_unit_test(test_invalid_text_keeps_active_version),
 		cmocka_unit_test(test_writes_are_checked_against_the_tree),
-		cmocka_unit_test(test_pulls_both_ways_end_equal),
-		cmocka_unit_test(test_start_waits_for_enough),
-		cmocka_unit_test(test_each_rank_is_one_nodes),
+		cmocka_unit_test(test_pulls_both_ways_converge),
+		cmocka_unit_test(test_start_waits_for_api_or_peers),
+		cmocka_unit_test(test_ranks_are_unique),
 		cmocka_unit_test(test_watchers_in_every_domain),
 	};
 
--- a/tests/agree/test_lse.c
+++ b/tests/agree/test_lse.c
@@ -29,7 +29,7 @@
 };
 
 struct candidate {
-	struct world *world;
+	struct sim *sim;
 	struct lse *lse;
 	char id[8];
 	struct call calls[2]; /* at most one read and one write */
@@ -43,7 +43,7 @@
 	bool left;
 };
 
-struct world {
+struct sim {
 	struct chart *chart;
 	struct candidate nodes[NODES];
 	int64_t now_ms;
@@ -59,7 +59,7 @@
 
 /* Most calls are quick, one in eight may take up to `delay_ms`. */
 static int64_t
-delay_ms(struct world *w)
+delay_ms(struct sim *w)
 {
 	uint64_t bound = rng_below(&w->rng, 8) == 0 ? w->delay_ms : 20;
 
@@ -69,7 +69,7 @@
 static void
 begin(struct candidate *c, struct call *call)
 {
-	struct world *w = c->world;
+	struct sim *w = c->sim;
 
 	assert_false(call->running);
 	call->running = true;
@@ -106,8 +106,8 @@
 {
 	struct candidate *c = ctx;
 
-	assert_true(fence > c->world->highest);
-	c->world->highest = fence;
+	assert_true(fence > c->sim->highest);
+	c->sim->highest = fence;
 	c->last_fence = fence;
 	c->gained++;
 }
@@ -121,10 +121,10 @@
 }
 
 static void
-on_tell(uint64_t fence, const char *holder, void *ctx)
+on_publish(uint64_t fence, const char *holder, void *ctx)
 {
 	struct candidate *c = ctx, *other;
-	struct world *w = c->world;
+	struct sim *w = c->sim;
 	int i;
 
 	for (i = 0; i < NODES; i++) {
@@ -147,14 +147,14 @@
 	.write = on_write,
 	.gained = on_gained,
 	.lost = on_lost,
-	.publish = on_tell,
+	.publish = on_publish,
 	.left = on_left,
 };
 
 static void
 apply(struct candidate *c, struct call *call)
 {
-	struct world *w = c->world;
+	struct sim *w = c->sim;
 
 	call->apply_ms = INT64_MAX;
 	call->read_ok = !w->down && !c->cut;
@@ -185,7 +185,7 @@
 static void
 answer(struct candidate *c, struct call *call)
 {
-	int64_t now_us = c->world->now_ms * 1000;
+	int64_t now_us = c->sim->now_ms * 1000;
 	char *found = call->found, *value = call->value;
 
 	call->running = false;
@@ -201,7 +201,7 @@
 }
 
 static unsigned int
-holders(struct world *w)
+holders(struct sim *w)
 {
 	unsigned int i, n = 0;
 
@@ -211,7 +211,7 @@
 }
 
 static void
-run_ms(struct world *w, int64_t ms)
+run_ms(struct sim *w, int64_t ms)
 {
 	int64_t end = w->now_ms + ms;
 	struct candidate *c;
@@ -238,10 +238,10 @@
 	}
 }
 
-static struct world *
-world_new(uint64_t seed)
+static struct sim *
+sim_new(uint64_t seed)
 {
-	struct world *w = g_new0(struct world, 1);
+	struct sim *w = g_new0(struct sim, 1);
 	struct err err = { 0 };
 	struct lse_conf conf;
 	int i;
@@ -253,7 +253,7 @@
 	w->now_ms = 100000;
 	rng_seed(&w->rng, seed);
 	for (i = 0; i < NODES; i++) {
-		w->nodes[i].world = w;
+		w->nodes[i].sim = w;
 		snprintf(w->nodes[i].id, sizeof(w->nodes[i].id), "e%d", i);
 		conf = (struct lse_conf){
 			.self = w->nodes[i].id,
@@ -267,7 +267,7 @@
 }
 
 static void
-world_free(struct world *w)
+sim_free(struct sim *w)
 {
 	int i, j;
 
@@ -285,7 +285,7 @@
 
 /* Sets the ranks as the member tables do when node `holder` is the holder. */
 static void
-rank_without(struct world *w, int holder)
+set_ranks_for_holder(struct sim *w, int holder)
 {
 	int i;
 	unsigned int rank = 0;
@@ -300,18 +300,18 @@
 static void
 test_steady_state_refuses_nothing(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
 	assert_int_equal(w->nodes[0].gained, 1);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	run_ms(w, 60000);
 	assert_int_equal(w->nodes[0].gained, 1);
 	assert_int_equal(w->nodes[0].lost, 0);
 	assert_int_equal(w->refused, 0);
 	print_message("steady 60 s: reads=%u writes=%u\n", w->reads, w->writes);
 	assert_true(w->writes < 70);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -322,30 +322,30 @@
 static void
 test_crash_costs_one_lease_and_a_second(void **state)
 {
-	struct world *w;
+	struct sim *w;
 	uint64_t seed;
 
 	for (seed = 1; seed <= 50; seed++) {
-		w = world_new(seed);
+		w = sim_new(seed);
 		run_ms(w, 3000);
-		rank_without(w, 0);
+		set_ranks_for_holder(w, 0);
 		run_ms(w, 2000 + (int64_t)seed * 37);
 		w->nodes[0].paused_until_ms = INT64_MAX;
 		run_ms(w, LEASE_MS + 1000);
 		assert_int_equal(w->nodes[1].gained, 1);
 		assert_int_equal(w->refused, 0);
-		world_free(w);
+		sim_free(w);
 	}
 }
 
 /* The holder leaves: the next in rank has the role within 300 ms. */
 static void
-test_planned_handover_is_at_once(void **state)
+test_planned_handover_is_immediate(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	run_ms(w, 5000);
 	lse_leave(w->nodes[0].lse, w->now_ms * 1000);
 	assert_int_equal(lse_fence(w->nodes[0].lse, w->now_ms * 1000), 0);
@@ -353,7 +353,7 @@
 	assert_true(w->nodes[0].left);
 	assert_int_equal(w->nodes[1].gained, 1);
 	assert_int_equal(w->refused, 0);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -362,13 +362,13 @@
  * first event.
  */
 static void
-test_paused_holder_finds_out_before_it_acts(void **state)
+test_paused_holder_has_no_fence(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 	uint64_t fence;
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	fence = lse_fence(w->nodes[0].lse, w->now_ms * 1000);
 	assert_int_equal(fence, 1);
 	w->nodes[0].paused_until_ms = w->now_ms + 10000;
@@ -379,7 +379,7 @@
 	assert_int_equal(w->nodes[0].lost, 1);
 	assert_int_equal(w->nodes[0].gained, 1);
 	assert_int_equal(w->refused, 0); /* it reads before it writes */
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -390,10 +390,10 @@
 static void
 test_late_answer_does_not_lengthen_the_lease(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->nodes[0].apply_ms = 1;
 	w->nodes[0].answer_ms = 1500;
 	run_ms(w, 1200);
@@ -401,7 +401,7 @@
 	w->nodes[0].answer_ms = 1;
 	run_ms(w, 10000);
 	assert_int_equal(w->nodes[1].gained, 1);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -412,16 +412,16 @@
 static void
 test_failed_claims_are_paced(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
 	w->nodes[0].lose_writes = 1000;
 	w->nodes[0].paused_until_ms = w->now_ms + LEASE_MS;
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->nodes[1].cut = w->nodes[2].cut = true;
 	run_ms(w, 13000);
 	assert_true(1000 - w->nodes[0].lose_writes < 30);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -431,16 +431,16 @@
 static void
 test_lost_renewal_answer_keeps_the_role(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->nodes[0].lose_writes = 1;
 	run_ms(w, 10000);
 	assert_int_equal(w->nodes[0].lose_writes, 0);
 	assert_int_equal(w->nodes[0].lost, 0);
 	assert_int_equal(w->nodes[0].gained, 1);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -450,7 +450,7 @@
 static void
 test_claims_wait_until_ranks_settle(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 	int i;
 
 	for (i = 0; i < NODES; i++)
@@ -461,7 +461,7 @@
 	run_ms(w, 5000);
 	assert_int_equal(w->nodes[0].gained, 1);
 	assert_int_equal(w->refused, 0);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -470,18 +470,18 @@
  * claims.
  */
 static void
-test_woken_candidate_looks_first(void **state)
+test_resumed_candidate_reads_first(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	run_ms(w, 2000);
 	w->nodes[1].paused_until_ms = w->now_ms + 10000;
 	run_ms(w, 15000);
 	assert_int_equal(w->nodes[0].lost, 0);
 	assert_int_equal(w->refused, 0);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -489,12 +489,12 @@
  * time, nobody takes over meanwhile, and one node does after the outage.
  */
 static void
-test_api_outage_lapses_and_recovers(void **state)
+test_api_outage_expires_lease_and_recovers(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->down = true;
 	run_ms(w, 20000);
 	assert_int_equal(holders(w), 0);
@@ -502,7 +502,7 @@
 	run_ms(w, 3000);
 	assert_int_equal(holders(w), 1);
 	assert_true(w->refused <= 1);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
@@ -513,12 +513,12 @@
 static void
 test_never_two_holders(void **state)
 {
-	struct world *w;
+	struct sim *w;
 	uint64_t seed;
 	int round, i;
 
 	for (seed = 1; seed <= 60; seed++) {
-		w = world_new(seed);
+		w = sim_new(seed);
 		w->delay_ms = 1 + (unsigned)rng_below(&w->rng, 3000);
 		w->lose_permille = 200;
 		for (round = 0; round < 60; round++) {
@@ -527,7 +527,7 @@
 				w->nodes[i].paused_until_ms = w->now_ms +
 				    (int64_t)rng_below(&w->rng, 8000);
 			w->down = rng_below(&w->rng, 8) == 0;
-			rank_without(w, (int)rng_below(&w->rng, NODES));
+			set_ranks_for_holder(w, (int)rng_below(&w->rng, NODES));
 			run_ms(w, (int64_t)rng_below(&w->rng, 6000));
 		}
 		w->down = false;
@@ -535,7 +535,7 @@
 		w->delay_ms = 20;
 		run_ms(w, 30000);
 		assert_int_equal(holders(w), 1);
-		world_free(w);
+		sim_free(w);
 	}
 }
 
@@ -545,14 +545,14 @@
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_steady_state_refuses_nothing),
 		cmocka_unit_test(test_crash_costs_one_lease_and_a_second),
-		cmocka_unit_test(test_planned_handover_is_at_once),
-		cmocka_unit_test(test_paused_holder_finds_out_before_it_acts),
+		cmocka_unit_test(test_planned_handover_is_immediate),
+		cmocka_unit_test(test_paused_holder_has_no_fence),
 		cmocka_unit_test(test_late_answer_does_not_lengthen_the_lease),
 		cmocka_unit_test(test_failed_claims_are_paced),
 		cmocka_unit_test(test_lost_renewal_answer_keeps_the_role),
 		cmocka_unit_test(test_claims_wait_until_ranks_settle),
-		cmocka_unit_test(test_woken_candidate_looks_first),
-		cmocka_unit_test(test_api_outage_lapses_and_recovers),
+		cmocka_unit_test(test_resumed_candidate_reads_first),
+		cmocka_unit_test(test_api_outage_expires_lease_and_recovers),
 		cmocka_unit_test(test_never_two_holders),
 	};
 
--- a/tests/agree/test_mem.c
+++ b/tests/agree/test_mem.c
@@ -42,7 +42,7 @@
 		assert_int_equal(total_deaths(net), 0);
 		mem_leave(net->nodes[n / 2].mem, now_us(net));
 		run_ms(net, 2000);
-		assert_int_equal(seeing(net, n / 2, MEM_LEAVING), n - 1);
+		assert_int_equal(count_seeing(net, n / 2, MEM_LEAVING), n - 1);
 		end_net(net);
 	}
 }
@@ -69,7 +69,7 @@
 	assert_int_equal(total_deaths(net), 0);
 	assert_int_equal(net->nodes[3].suspicions, 0);
 	assert_int_equal(net->nodes[4].suspicions, 0);
-	assert_int_equal(seeing(net, 3, MEM_ALIVE), 11);
+	assert_int_equal(count_seeing(net, 3, MEM_ALIVE), 11);
 	end_net(net);
 }
 
@@ -78,16 +78,16 @@
  * seconds later.
  */
 static void
-test_dead_host_is_given_up(void **state)
+test_crashed_host_is_declared_dead(void **state)
 {
 	struct net *net = start_net(40, 20);
 
 	settle(net, 40, 60);
 	stop_node(net, 5);
 	run_ms(net, 3000);
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 0);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 0);
 	run_ms(net, 40000);
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 39);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 39);
 	end_net(net);
 }
 
@@ -104,11 +104,11 @@
 	settle(net, 12, 60);
 	net->nodes[2].pause_at_ping = true;
 	run_ms(net, 5000);
-	assert_true(seeing(net, 2, MEM_SUSPECT) > 0);
+	assert_true(count_seeing(net, 2, MEM_SUSPECT) > 0);
 	net->nodes[2].pause_at_ping = net->nodes[2].paused = false;
 	run_ms(net, 10000);
 	assert_int_equal(net->nodes[2].suspicions, 0);
-	assert_int_equal(seeing(net, 2, MEM_ALIVE), 11);
+	assert_int_equal(count_seeing(net, 2, MEM_ALIVE), 11);
 	assert_int_equal(total_deaths(net), 0);
 	end_net(net);
 }
@@ -125,7 +125,7 @@
  * merge without a restart.
  */
 static void
-test_cut_region_is_found_again(void **state)
+test_partitions_merge(void **state)
 {
 	struct net *net = start_net(40, 0);
 	int healed;
@@ -149,7 +149,7 @@
  * alive, or already dead. Old gossip must neither kill nor revive it.
  */
 static void
-test_restart_is_a_new_life(void **state)
+test_restart_overrides_old_state(void **state)
 {
 	struct net *net = start_net(20, 20);
 
@@ -158,10 +158,10 @@
 	start_node(net, 7);
 	settle(net, 20, 60);
 	run_ms(net, 30000);
-	assert_int_equal(seeing(net, 7, MEM_ALIVE), 19);
+	assert_int_equal(count_seeing(net, 7, MEM_ALIVE), 19);
 	stop_node(net, 7);
 	run_ms(net, 40000);
-	assert_int_equal(seeing(net, 7, MEM_DEAD), 19);
+	assert_int_equal(count_seeing(net, 7, MEM_DEAD), 19);
 	start_node(net, 7);
 	settle(net, 20, 60);
 	end_net(net);
@@ -178,7 +178,7 @@
  * operator asks must soon report so for all nodes, within the byte limit.
  */
 static void
-test_all_learn_where_settings_are_in_force(void **state)
+test_all_learn_where_settings_are_active(void **state)
 {
 	struct net *net = start_net(150, 20);
 	unsigned int i, seen;
@@ -237,7 +237,7 @@
  * it must stay dead, or work would be sent to it.
  */
 static void
-test_old_news_does_not_revive(void **state)
+test_old_table_does_not_revive(void **state)
 {
 	struct net *net = start_net(6, 0);
 	GByteArray *old;
@@ -246,10 +246,10 @@
 	old = mem_sync_list(net->nodes[1].mem);
 	stop_node(net, 5);
 	run_ms(net, 40000);
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 5);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 5);
 	mem_sync_page(net->nodes[0].mem, now_us(net),
 	    (struct slice){ old->data, old->len });
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 5);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 5);
 	g_byte_array_unref(old);
 	end_net(net);
 }
@@ -275,7 +275,7 @@
 	print_message("50 leave: bytes_s mean=%" PRId64 " worst=%" PRId64 "\n",
 	    mean, worst);
 	assert_true(worst < 4096);
-	assert_int_equal(seeing(net, 70, MEM_LEAVING), 149);
+	assert_int_equal(count_seeing(net, 70, MEM_LEAVING), 149);
 	end_net(net);
 }
 
@@ -344,13 +344,13 @@
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_leaving_is_known_within_two_seconds),
 		cmocka_unit_test(test_stalled_link_is_not_a_dead_host),
-		cmocka_unit_test(test_dead_host_is_given_up),
+		cmocka_unit_test(test_crashed_host_is_declared_dead),
 		cmocka_unit_test(test_paused_host_refutes),
-		cmocka_unit_test(test_cut_region_is_found_again),
-		cmocka_unit_test(test_restart_is_a_new_life),
-		cmocka_unit_test(test_all_learn_where_settings_are_in_force),
+		cmocka_unit_test(test_partitions_merge),
+		cmocka_unit_test(test_restart_overrides_old_state),
+		cmocka_unit_test(test_all_learn_where_settings_are_active),
 		cmocka_unit_test(test_cut_off_nodes_know_their_age),
-		cmocka_unit_test(test_old_news_does_not_revive),
+		cmocka_unit_test(test_old_table_does_not_revive),
 		cmocka_unit_test(test_many_leaving_stay_within_the_budget),
 		cmocka_unit_test(test_map_of_another_table_is_ignored),
 		cmocka_unit_test(test_malformed_updates_are_ignored),
