--- a/lib/agree/agr.c
+++ b/lib/agree/agr.c
@@ -211,8 +211,7 @@
 		return;
 	agr->closing = true;
 	if (agr->hosts_call != NULL)
-		/* on_host_list() then ignores the response */
-		*agr->hosts_call = NULL;
+		*agr->hosts_call = NULL; /* on_host_list() then ignores it */
 	if (agr->timer != 0)
 		g_source_remove(agr->timer);
 	agr_settings_stop(agr);
--- a/lib/agree/agr_internal.h
+++ b/lib/agree/agr_internal.h
@@ -105,14 +105,14 @@
 
 /* agr_settings.c */
 void agr_settings_tick(struct agr *agr, int64_t now_us);
-/* to be called after a membership change */
+/* To be called after a membership change. */
 void agr_settings_members_changed(struct agr *agr);
 void agr_settings_on_note(
     struct agr *agr, const struct mem_note *note, const char *from);
 void agr_settings_digest_differs(struct agr *agr, const char *from);
 void agr_settings_peer_answered(
     struct agr *agr, const char *address, bool ready);
-/* to be called when a pull has ended */
+/* To be called when a pull has ended. */
 void agr_settings_pull_ended(struct agr *agr);
 void agr_settings_stop(struct agr *agr);
 void agr_offer_branch(struct agr *agr, const char *name, uint64_t version,
--- a/lib/agree/lse_internal.h
+++ b/lib/agree/lse_internal.h
@@ -18,11 +18,8 @@
 
 struct lse_value {
 	char holder[MEM_ID_MAX + 1];
-	uint64_t
-	    /*
-	     * of the holder, so that a restarted holder counts as another one
-	     */
-	    incarnation;
+	/* of the holder, so that a restarted holder counts as another one */
+	uint64_t incarnation;
 	uint64_t fence;
 	uint64_t lease_ms;
 	bool handed_over;
@@ -41,7 +38,7 @@
 	 * release.
 	 */
 	void (*publish)(uint64_t fence, const char *holder, void *ctx);
-	void (*left)(void *ctx); /* the last callback */
+	void (*left)(void *ctx); /* no callback follows */
 };
 
 struct lse_conf {
--- a/lib/agree/mem.c
+++ b/lib/agree/mem.c
@@ -157,9 +157,9 @@
 refute(struct mem *mem, int64_t now_us, uint64_t incarnation)
 {
 	struct mem_entry *self = mem->self;
-	uint64_t life = mem_start_ms(self->member.node.incarnation);
+	uint64_t start_ms = mem_start_ms(self->member.node.incarnation);
 
-	if (mem_start_ms(incarnation) > life) {
+	if (mem_start_ms(incarnation) > start_ms) {
 		/*
 		 * An earlier start of this node had a clock ahead of the
 		 * present one: the static facts must count as newer too.
@@ -302,7 +302,10 @@
 	}
 }
 
-/* A pause of this node must not count as silence of the others. */
+/*
+ * Extends the timeouts of suspicions by a pause of this node: other members
+ * could not refute them meanwhile.
+ */
 void
 mem_extend_suspicions(struct mem *mem, int64_t paused_us)
 {
--- a/lib/agree/mem_internal.h
+++ b/lib/agree/mem_internal.h
@@ -93,14 +93,14 @@
     void *ctx, int64_t now_us);
 void mem_free(struct mem *mem);
 #define MEM_TICK_MS 100
-/* to be called every MEM_TICK_MS */
+/* To be called every MEM_TICK_MS. */
 void mem_tick(struct mem *mem, int64_t now_us);
 void mem_receive(struct mem *mem, int64_t now_us, const char *from,
     enum mem_type type, const struct mem_msg *message);
 void mem_leave(struct mem *mem, int64_t now_us);
 /*
- * Sets an address from the host list that may be a node; only the last one is
- * kept.
+ * Sets an address from the host list to be probed once; only the last one is
+ * retained.
  */
 void mem_hint(struct mem *mem, const char *address);
 void mem_set_settings(struct mem *mem, uint64_t settings);
@@ -131,7 +131,7 @@
  */
 #define MEM_PAGE_BYTES (64u << 10)
 typedef void mem_page_cb(struct slice page, void *ctx);
-/* packs the notes about roles */
+/* Packs the notes about roles. */
 GByteArray *mem_pack_role_notes(const struct mem *mem);
 GByteArray *mem_sync_list(struct mem *mem);
 GByteArray *mem_sync_answer(struct mem *mem, int64_t now_us, struct slice list,
@@ -254,7 +254,7 @@
 /* Sends the notes about roles once more, as a peer is missing some. */
 void mem_resend_role_notes(struct mem *mem);
 
-/* to be called once per period */
+/* To be called once per period. */
 void mem_expire(struct mem *mem, int64_t now_us);
 void mem_extend_suspicions(struct mem *mem, int64_t paused_us);
 
@@ -280,7 +280,7 @@
 void mem_apply_map(struct mem *mem, uint64_t settings, struct slice map);
 
 /* mem_probe.c */
-/* sends urgent updates at once */
+/* Sends urgent updates at once. */
 void mem_flush(struct mem *mem, int64_t now_us);
 void mem_send(struct mem *mem, const char *to, enum mem_type type, uint64_t seq,
     uint64_t target, struct mem_entry *about);
--- a/lib/agree/mem_probe.c
+++ b/lib/agree/mem_probe.c
@@ -382,9 +382,9 @@
 	mem->last_tick_us = now_us;
 	if (gap_us > MAX(period_us, PAUSE_TICKS * MEM_TICK_MS * 1000)) {
 		/*
-		 * This process was paused: unread acks are queued, and the
-		 * silence of the other nodes is due to this node. Suspecting
-		 * them would empty the table.
+		 * This process was paused: acks are waiting unread, so missing
+		 * ones say nothing about the other nodes. Suspecting those
+		 * would empty the table.
 		 */
 		mem_extend_suspicions(mem, gap_us);
 		mem->probe.key = 0;
--- a/lib/agree/mem_wire.c
+++ b/lib/agree/mem_wire.c
@@ -15,7 +15,7 @@
 #define STATE_BYTES 20 /* largest encoding */
 #define NOTE_BYTES (2 + 9 + 2 + INF_BRANCH_MAX + 2 + MEM_ID_MAX)
 /*
- * The members in a larger page of a sync are not news to the other nodes:
+ * The members in a larger page of a sync are known to the other nodes already:
  * forwarding them would fill all datagrams for minutes after a cold start.
  */
 #define BULK_PAGE_BYTES 1500
--- a/tests/agree/test_inf.c
+++ b/tests/agree/test_inf.c
@@ -128,7 +128,7 @@
 	assert_false(inf_may_serve(&s));
 	s.api_failed = true;
 	s.waited_us = G_USEC_PER_SEC * INT64_C(3600);
-	/* without peers never before the API */
+	/* a node without peers needs the API's list */
 	assert_false(inf_may_serve(&s));
 	s.peers_known = 5;
 	assert_false(inf_may_serve(&s));
@@ -156,7 +156,7 @@
 
 /*
  * Builds the member table of node `self` of `n` live nodes in three domains;
- * the first `entries` nodes are gateways.
+ * the first `gateways` nodes are gateways.
  */
 static struct mem *
 build_table(unsigned int self, unsigned int n, unsigned int gateways)
