--- a/lib/agree/agr.c
+++ b/lib/agree/agr.c
@@ -1,4 +1,7 @@
-/* The node: carries out what membership, settings and leases decide. */
+/*
+ * One agree node: performs the I/O for the decisions of the membership,
+ * settings and lease modules.
+ */
 
 #include <string.h>
 
@@ -22,7 +25,7 @@
 {
 	struct agr *agr = ctx;
 
-	/* Before agr_new has opened the socket there is nobody to tell. */
+	/* agr_new() creates mem before it opens the socket. */
 	if (agr->dgram != NULL)
 		dgram_send(agr->dgram, to, mem_msg_desc(type), m);
 }
@@ -38,20 +41,20 @@
 }
 
 static void
-on_noted(const struct mem_note *note, const char *from, void *ctx)
+on_note(const struct mem_note *note, const char *from, void *ctx)
 {
 	struct agr *agr = ctx;
 
 	if (note->kind == MEM_NOTE_BRANCH)
-		agr_settings_noted(agr, note, from);
+		agr_settings_on_note(agr, note, from);
 	else
-		agr_role_noted(agr, note);
+		agr_roles_on_note(agr, note);
 }
 
 static void
-on_differ(const char *address, uint64_t settings, void *ctx)
+on_settings_differ(const char *address, uint64_t settings, void *ctx)
 {
-	agr_settings_differ(ctx, address);
+	agr_settings_digest_differs(ctx, address);
 }
 
 static void
@@ -63,8 +66,8 @@
 static const struct mem_ops mem_ops = {
 	.send = on_send,
 	.changed = on_changed,
-	.noted = on_noted,
-	.settings_differ = on_differ,
+	.note_received = on_note,
+	.settings_differ = on_settings_differ,
 	.sync = on_sync,
 };
 
@@ -76,12 +79,15 @@
 	struct mem_msg message;
 
 	if (desc != NULL && msg_read(m, desc, &message, NULL))
-		mem_take(agr->mem, agr_now_us(agr), from, m->type, &message);
+		mem_receive(agr->mem, agr_now_us(agr), from, m->type, &message);
 }
 
-/* The host list lags: its addresses are only asked whether they are there. */
+/*
+ * The host list may be out of date, so an address from it is only probed, not
+ * added as a member.
+ */
 static void
-on_hosts(
+on_host_list(
     const struct hosts_entry *hosts, size_t n, const struct err *err, void *ctx)
 {
 	struct agr **call = ctx, *agr = *call;
@@ -95,23 +101,26 @@
 }
 
 static void
-ask_hosts(struct agr *agr, int64_t now_us)
+request_host_list(struct agr *agr, int64_t now_us)
 {
-	if (agr->conf.hosts == NULL || now_us < agr->hosts_us ||
+	if (agr->conf.hosts == NULL || now_us < agr->next_hosts_us ||
 	    agr->hosts_call != NULL)
 		return;
-	/* By all nodes together about one call a pause. */
-	agr->hosts_us = now_us + HOSTS_PAUSE_US;
+	/*
+	 * Each node asks with probability 1/n, so that all nodes together make
+	 * about one call per pause.
+	 */
+	agr->next_hosts_us = now_us + HOSTS_PAUSE_US;
 	if (rng_below(&agr->rng, mem_count(agr->mem)) > 0)
 		return;
 	agr->hosts_call = g_new(struct agr *, 1);
 	*agr->hosts_call = agr;
-	hosts_get(agr->conf.plat, agr->conf.hosts, HOSTS_DEADLINE_MS, on_hosts,
-	    agr->hosts_call);
+	hosts_get(agr->conf.plat, agr->conf.hosts, HOSTS_DEADLINE_MS,
+	    on_host_list, agr->hosts_call);
 }
 
 /* ------------------------------------------------------------------ */
-/* Life                                                                */
+/* Creation and shutdown                                               */
 /* ------------------------------------------------------------------ */
 
 static gboolean
@@ -125,13 +134,13 @@
 	mem_tick(agr->mem, now_us);
 	if (agr->members_changed) {
 		agr->members_changed = false;
-		agr_settings_members(agr);
-		agr_roles_members(agr);
+		agr_settings_members_changed(agr);
+		agr_roles_members_changed(agr);
 		ctr_put(agr->members, mem_count(agr->mem));
 	}
 	agr_settings_tick(agr, now_us);
 	agr_roles_tick(agr, now_us);
-	ask_hosts(agr, now_us);
+	request_host_list(agr, now_us);
 	ctr_put(agr->age_ms, mem_age_ms(agr->mem, now_us));
 	return G_SOURCE_CONTINUE;
 }
@@ -167,7 +176,7 @@
 	rng_seed(&agr->rng, conf->seed);
 	agr->conf.self.incarnation = (uint64_t)clk_wall_us(agr->clock) / 1000;
 	agr->started_us = agr_now_us(agr);
-	agr->told =
+	agr->answered_peers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	open_counters(agr);
 	agr->inf = inf_new();
@@ -202,19 +211,20 @@
 		return;
 	agr->closing = true;
 	if (agr->hosts_call != NULL)
-		*agr->hosts_call = NULL; /* its answer finds nobody */
+		*agr->hosts_call = NULL; /* on_host_list() then ignores it */
 	if (agr->timer != 0)
 		g_source_remove(agr->timer);
 	agr_settings_stop(agr);
 	agr_pulls_drop(agr);
-	agr_gates_stop(agr);
-	obj_free(agr->obj); /* ends the calls of roles and gates too */
+	agr_fencing_stop(agr);
+	/* also ends the calls of roles and fencing checks */
+	obj_free(agr->obj);
 	agr_roles_free(agr);
 	dgram_free(agr->dgram);
 	mem_free(agr->mem);
 	inf_free(agr->inf);
 	chart_free(agr->lease_chart);
-	g_hash_table_unref(agr->told);
+	g_hash_table_unref(agr->answered_peers);
 	g_strfreev(agr->seeds);
 	g_free((char *)agr->conf.objects);
 	g_free((char *)agr->conf.hosts);
@@ -229,7 +239,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Readers                                                             */
+/* Accessors                                                           */
 /* ------------------------------------------------------------------ */
 
 int64_t
--- a/lib/agree/agr_pull.c
+++ b/lib/agree/agr_pull.c
@@ -1,23 +1,29 @@
 /*
- * Take-overs by TCP: the table of members, or the branches of settings. The
- * asking side dials; the answering side gets the question on one of the
- * program's accepted connections.
+ * Pulls over TCP: of the member table, or of the settings branches. The pulling
+ * node opens the connection; the answering node receives the request on a
+ * connection that the program accepted.
  */
 
 #include <string.h>
 
 #include "agree/agr_internal.h"
 
-#define PULL_LIMIT_MS 5000 /* a stalled peer is given up; others are there */
+/* a stalled peer is given up after this time; other peers can answer */
+#define PULL_TIMEOUT_MS 5000
 
 enum pull_type {
-	TYPE_SYNC = 66, /* asker: what I know */
-	TYPE_PAGE = 67, /* records that the other lacks */
-	TYPE_LACKING = 68, /* answerer, after its pages: keys that I lack */
-	TYPE_SYNC_END = 69, /* asker, after its pages; echoed */
-	TYPE_ASK = 70, /* asker: versions that I know */
+	TYPE_SYNC = 66, /* from the pulling node: the states that it has */
+	TYPE_PAGE = 67, /* records that the receiver is missing */
+	/* from the answering node, after its pages: keys that it is missing */
+	TYPE_MISSING = 68,
+	/*
+	 * from the pulling node, after its pages; echoed by the answering node
+	 */
+	TYPE_SYNC_END = 69,
+	/* from the pulling node: the branch versions that it has */
+	TYPE_PULL = 70,
 	TYPE_BRANCH = 71,
-	TYPE_ASK_END = 72,
+	TYPE_PULL_END = 72,
 };
 
 struct msg_blob {
@@ -30,12 +36,12 @@
     MSG_DESC(TYPE_SYNC, "sync", struct msg_blob, blob_fields);
 static const struct msg_desc page_desc =
     MSG_DESC(TYPE_PAGE, "page", struct msg_blob, blob_fields);
-static const struct msg_desc lacking_desc =
-    MSG_DESC(TYPE_LACKING, "lacking", struct msg_blob, blob_fields);
+static const struct msg_desc missing_desc =
+    MSG_DESC(TYPE_MISSING, "lacking", struct msg_blob, blob_fields);
 static const struct msg_desc sync_end_desc =
     MSG_DESC(TYPE_SYNC_END, "sync_end", struct msg_blob, blob_fields);
-static const struct msg_desc ask_desc =
-    MSG_DESC(TYPE_ASK, "ask", struct msg_blob, blob_fields);
+static const struct msg_desc pull_desc =
+    MSG_DESC(TYPE_PULL, "ask", struct msg_blob, blob_fields);
 
 struct msg_branch {
 	struct slice name;
@@ -50,16 +56,16 @@
 static const struct msg_desc branch_desc =
     MSG_DESC(TYPE_BRANCH, "branch", struct msg_branch, branch_fields);
 
-struct msg_ask_end {
-	uint64_t ready; /* 0: the answering node has not begun itself */
-	struct slice roles; /* notes of the roles */
+struct msg_pull_end {
+	uint64_t ready; /* 0: the answering node is not ready itself */
+	struct slice roles; /* fencing numbers and holders of the roles */
 };
-static const struct msg_field ask_end_fields[] = {
-	MSG_FIELD(struct msg_ask_end, ready, MSG_U64, 1),
-	MSG_FIELD(struct msg_ask_end, roles, MSG_BIN, 0),
+static const struct msg_field pull_end_fields[] = {
+	MSG_FIELD(struct msg_pull_end, ready, MSG_U64, 1),
+	MSG_FIELD(struct msg_pull_end, roles, MSG_BIN, 0),
 };
-static const struct msg_desc ask_end_desc =
-    MSG_DESC(TYPE_ASK_END, "ask_end", struct msg_ask_end, ask_end_fields);
+static const struct msg_desc pull_end_desc =
+    MSG_DESC(TYPE_PULL_END, "ask_end", struct msg_pull_end, pull_end_fields);
 
 static void
 send_blob(struct conn *c, const struct msg_desc *desc, GByteArray *blob)
@@ -79,7 +85,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Answering                                                           */
+/* Answering pulls                                                     */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -95,16 +101,16 @@
 }
 
 static void
-answer_ask(struct agr *agr, struct conn *c, struct slice known)
+answer_pull(struct agr *agr, struct conn *c, struct slice known)
 {
-	GByteArray *roles = mem_roles(agr->mem);
-	struct msg_ask_end end = {
+	GByteArray *roles = mem_pack_role_notes(agr->mem);
+	struct msg_pull_end end = {
 		.ready = agr->ready,
 		.roles = { roles->data, roles->len },
 	};
 
 	inf_each_newer(agr->inf, known, send_branch, c);
-	conn_send(c, &ask_end_desc, &end);
+	conn_send(c, &pull_end_desc, &end);
 	g_byte_array_unref(roles);
 }
 
@@ -118,7 +124,7 @@
 	case TYPE_SYNC:
 		if (!msg_read(m, &sync_desc, &blob, NULL))
 			break;
-		send_blob(c, &lacking_desc,
+		send_blob(c, &missing_desc,
 		    mem_sync_answer(agr->mem, now_us, blob.blob, send_page, c));
 		return true;
 	case TYPE_PAGE:
@@ -129,20 +135,20 @@
 	case TYPE_SYNC_END:
 		conn_send(c, &sync_end_desc, &(struct msg_blob){ 0 });
 		return true;
-	case TYPE_ASK:
-		if (!msg_read(m, &ask_desc, &blob, NULL))
+	case TYPE_PULL:
+		if (!msg_read(m, &pull_desc, &blob, NULL))
 			break;
-		answer_ask(agr, c, blob.blob);
+		answer_pull(agr, c, blob.blob);
 		return true;
 	default:
 		return false;
 	}
-	conn_close(c); /* malformed */
+	conn_close(c); /* malformed message */
 	return true;
 }
 
 /* ------------------------------------------------------------------ */
-/* Asking                                                              */
+/* Pulling                                                             */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -155,11 +161,11 @@
 	if (p->kind == PULL_MEMBERS)
 		send_blob(c, &sync_desc, mem_sync_list(p->agr->mem));
 	else
-		send_blob(c, &ask_desc, inf_known(p->agr->inf));
+		send_blob(c, &pull_desc, inf_pack_versions(p->agr->inf));
 }
 
 static void
-take_branch(struct pull *p, const struct msg *m)
+handle_branch(struct pull *p, const struct msg *m)
 {
 	struct msg_branch branch;
 	char *name, *yaml;
@@ -168,20 +174,20 @@
 		return;
 	name = slice_dup(branch.name);
 	yaml = slice_dup(branch.yaml);
-	agr_adopt(p->agr, name, branch.version, yaml, p->address);
+	agr_offer_branch(p->agr, name, branch.version, yaml, p->address);
 	g_free(name);
 	g_free(yaml);
 }
 
 static void
-take_ask_end(struct pull *p, const struct msg *m)
+handle_pull_end(struct pull *p, const struct msg *m)
 {
-	struct msg_ask_end end;
+	struct msg_pull_end end;
 
-	if (!msg_read(m, &ask_end_desc, &end, NULL))
+	if (!msg_read(m, &pull_end_desc, &end, NULL))
 		return;
 	mem_sync_roles(p->agr->mem, agr_now_us(p->agr), end.roles);
-	agr_settings_told(p->agr, p->address, end.ready != 0);
+	agr_settings_peer_answered(p->agr, p->address, end.ready != 0);
 }
 
 static void
@@ -198,19 +204,19 @@
 		if (msg_read(m, &page_desc, &blob, NULL))
 			mem_sync_page(agr->mem, agr_now_us(agr), blob.blob);
 		return;
-	case TYPE_LACKING:
-		if (!msg_read(m, &lacking_desc, &blob, NULL))
+	case TYPE_MISSING:
+		if (!msg_read(m, &missing_desc, &blob, NULL))
 			break;
 		mem_sync_records(agr->mem, blob.blob, send_page, c);
 		conn_send(c, &sync_end_desc, &(struct msg_blob){ 0 });
 		return;
 	case TYPE_BRANCH:
-		take_branch(p, m);
+		handle_branch(p, m);
 		return;
-	case TYPE_ASK_END:
-		take_ask_end(p, m);
+	case TYPE_PULL_END:
+		handle_pull_end(p, m);
 		break;
-	default: /* TYPE_SYNC_END, or nothing that we asked for */
+	default: /* TYPE_SYNC_END, or an unexpected message */
 		break;
 	}
 	conn_close(c);
@@ -229,7 +235,7 @@
 		LIST_REMOVE(p, link);
 	g_free(p);
 	if (agr != NULL && kind == PULL_SETTINGS)
-		agr_settings_pulled(agr);
+		agr_settings_pull_ended(agr);
 }
 
 static const struct conn_ops pull_ops = {
@@ -239,7 +245,7 @@
 };
 
 static gboolean
-on_limit(gpointer data)
+on_timeout(gpointer data)
 {
 	struct pull *p = data;
 
@@ -263,7 +269,7 @@
 	g_strlcpy(p->address, address, sizeof(p->address));
 	LIST_INSERT_HEAD(&agr->pulls, p, link);
 	ctr_add(kind == PULL_SETTINGS ? agr->pulls_count : agr->sync_count, 1);
-	p->timer = g_timeout_add(PULL_LIMIT_MS, on_limit, p);
+	p->timer = g_timeout_add(PULL_TIMEOUT_MS, on_timeout, p);
 	p->conn = conn_dial(agr->conf.node, p->address, &pull_ops, p);
 }
 
@@ -278,7 +284,7 @@
 	return n;
 }
 
-/* The connections end by the loop, after the node is gone. */
+/* The event loop closes the connections after agr_free() has returned. */
 void
 agr_pulls_drop(struct agr *agr)
 {
--- a/lib/agree/agr_role.c
+++ b/lib/agree/agr_role.c
@@ -1,4 +1,4 @@
-/* Leased roles: carries the lease decisions out on the object API. */
+/* Leased roles: makes the object API calls that the lease decisions ask for. */
 
 #include <string.h>
 
@@ -7,7 +7,7 @@
 static void
 free_when_idle(struct agr_role *role)
 {
-	if (!role->left || role->calls > 0)
+	if (!role->closed || role->calls > 0)
 		return;
 	LIST_REMOVE(role, link);
 	lse_free(role->lse);
@@ -17,7 +17,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The lease's orders                                                  */
+/* Callbacks of the lease                                              */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -106,8 +106,9 @@
 	struct agr_role *role = ctx;
 
 	add_event(role, "role_gained", fence);
-	log_info("role %s gained, fence %" G_GUINT64_FORMAT, role->name, fence);
-	if (role->ops->gained != NULL && !role->left)
+	log_info("role %s gained with fencing number %" G_GUINT64_FORMAT,
+	    role->name, fence);
+	if (role->ops->gained != NULL && !role->closed)
 		role->ops->gained(role, fence, role->ctx);
 }
 
@@ -118,12 +119,12 @@
 
 	add_event(role, "role_lost", 0);
 	log_info("role %s lost", role->name);
-	if (role->ops->lost != NULL && !role->left)
+	if (role->ops->lost != NULL && !role->closed)
 		role->ops->lost(role, role->ctx);
 }
 
 static void
-lease_tell(uint64_t fence, const char *holder, void *ctx)
+lease_publish(uint64_t fence, const char *holder, void *ctx)
 {
 	struct agr_role *role = ctx;
 	struct mem_note note = {
@@ -136,7 +137,7 @@
 	g_strlcpy(note.name, role->name, sizeof(note.name));
 	g_strlcpy(note.text, holder, sizeof(note.text));
 	mem_note(role->agr->mem, agr_now_us(role->agr), &note);
-	role->agr->members_changed = true; /* ranks leave out the holder */
+	role->agr->members_changed = true; /* the ranks leave out the holder */
 }
 
 static void
@@ -149,7 +150,7 @@
 	.write = lease_write,
 	.gained = lease_gained,
 	.lost = lease_lost,
-	.tell = lease_tell,
+	.publish = lease_publish,
 	.left = lease_left,
 };
 
@@ -172,7 +173,7 @@
 	struct agr *agr = role->agr;
 	unsigned int rank = UINT_MAX;
 
-	/* Without settings in force a holder has nothing to act on. */
+	/* A holder without active settings has nothing to act on. */
 	if (agr->ready)
 		rank = rank_for_role(
 		    agr->mem, role->name, holder_of(role), agr->conf.self.id);
@@ -180,7 +181,7 @@
 }
 
 void
-agr_roles_members(struct agr *agr)
+agr_roles_members_changed(struct agr *agr)
 {
 	struct agr_role *role;
 
@@ -200,7 +201,7 @@
 }
 
 void
-agr_role_noted(struct agr *agr, const struct mem_note *note)
+agr_roles_on_note(struct agr *agr, const struct mem_note *note)
 {
 	struct agr_role *role;
 
@@ -223,7 +224,7 @@
 	struct agr_role *role = g_new0(struct agr_role, 1);
 	struct lse_conf conf = {
 		.self = agr->conf.self.id,
-		.life = agr->conf.self.incarnation,
+		.incarnation = agr->conf.self.incarnation,
 		.lease_ms = agr->conf.lease_ms,
 	};
 
@@ -243,9 +244,9 @@
 {
 	struct agr *agr = role->agr;
 
-	if (!role->left)
+	if (!role->closed)
 		lse_leave(role->lse, agr_now_us(agr));
-	role->left = true;
+	role->closed = true;
 	free_when_idle(role);
 }
 
@@ -261,7 +262,7 @@
 	return holder_of(role);
 }
 
-/* The handles stay the program's: it still gives them back. */
+/* Does not free the roles: the program still calls agr_role_leave(). */
 void
 agr_roles_leave(struct agr *agr)
 {
@@ -277,7 +278,7 @@
 	struct agr_role *role;
 
 	while ((role = LIST_FIRST(&agr->roles)) != NULL) {
-		role->left = true;
+		role->closed = true;
 		role->calls = 0;
 		free_when_idle(role);
 	}
--- a/lib/agree/agr_settings.c
+++ b/lib/agree/agr_settings.c
@@ -1,31 +1,37 @@
 /*
- * Settings: the few watchers' watch of the object API, the others' pulls
- * from members, the start of a node, and writes.
+ * Settings: the watch of the object API by a few nodes, the pulls from members
+ * by all others, the start of a node, and writes.
  */
 
 #include <string.h>
 
 #include "agree/agr_internal.h"
 
-/* The first list is given up soon, so that members can stand in; each one
- * that failed doubles the time, for an API that is slow for minutes. */
+/*
+ * The deadline of the first list is short, so that members can stand in for the
+ * API soon; each failed list doubles the deadline, for an API that is slow for
+ * minutes.
+ */
 #define LIST_DEADLINE_MS 1500
 #define LIST_DEADLINE_MAX_MS 24000
 #define LIST_PAUSE_US G_USEC_PER_SEC /* after a failure */
 #define WRITE_DEADLINE_MS 5000
-#define PULLS_AT_ONCE 2 /* a third answer would bring the same */
-#define DIFFER_PAUSE_US (G_USEC_PER_SEC / 2)
-/* A side lets members tell it first: after a restart of all, a thousand
- * lists and reads at once would be the API's next outage. */
-#define SIDE_LIST_WAIT_MS 1000
+#define PULLS_MAX 2 /* a third response would bring the same branches */
+#define DIGEST_PULL_PAUSE_US (G_USEC_PER_SEC / 2)
+/*
+ * A sidecar first waits up to this long for responses from members: after a
+ * restart of all hosts, a thousand simultaneous lists and reads would overload
+ * the object API again.
+ */
+#define SIDECAR_LIST_WAIT_MS 1000
 
 /* ------------------------------------------------------------------ */
-/* Taking a branch                                                     */
+/* Accepting a branch                                                  */
 /* ------------------------------------------------------------------ */
 
 void
-agr_adopt(struct agr *agr, const char *name, uint64_t version, const char *yaml,
-    const char *source)
+agr_offer_branch(struct agr *agr, const char *name, uint64_t version,
+    const char *yaml, const char *source)
 {
 	struct mem_note note = {
 		.kind = MEM_NOTE_BRANCH,
@@ -34,7 +40,7 @@
 	struct err err = { 0 };
 
 	switch (inf_offer(agr->inf, name, version, yaml, &err)) {
-	case INF_OLD:
+	case INF_STALE:
 		return;
 	case INF_REFUSED:
 		ctr_add(agr->refused_branches, 1);
@@ -42,7 +48,7 @@
 			 " from %s refused: %s",
 		    name, version, source, err.message);
 		return;
-	case INF_TAKEN:
+	case INF_ACCEPTED:
 		break;
 	}
 	if (agr->conf.node->timeline != NULL) {
@@ -56,9 +62,9 @@
 		agr->ops->branch_changed(inf_find(agr->inf, name), agr->ctx);
 }
 
-/* NULL for an object that is no branch. */
+/* Returns NULL if the key is not that of a settings branch. */
 static const char *
-branch_of(const char *key)
+branch_name(const char *key)
 {
 	if (!g_str_has_prefix(key, INF_KEY_PREFIX))
 		return NULL;
@@ -80,9 +86,9 @@
 	agr->watch_works = true;
 	agr->revision = MAX(agr->revision, revision);
 	for (i = 0; i < n; i++) {
-		name = branch_of(objects[i].key);
+		name = branch_name(objects[i].key);
 		if (name != NULL && objects[i].value != NULL)
-			agr_adopt(agr, name, objects[i].version,
+			agr_offer_branch(agr, name, objects[i].version,
 			    objects[i].value, "watch");
 	}
 }
@@ -93,22 +99,22 @@
 	struct agr *agr = ctx;
 
 	agr->watch_works = false;
-	log_warn("watch of the settings lost: %s", err->message);
+	log_warn("settings watch failed: %s", err->message);
 }
 
 static void
-on_watch_found(void *ctx)
+on_watch_restored(void *ctx)
 {
 	struct agr *agr = ctx;
 
 	agr->watch_works = true;
-	log_info("watch of the settings works again");
+	log_info("settings watch restored");
 }
 
 static const struct obj_watch_ops watch_ops = {
 	.changed = on_watch_changed,
 	.lost = on_watch_lost,
-	.found = on_watch_found,
+	.found = on_watch_restored,
 };
 
 static void
@@ -122,7 +128,7 @@
 }
 
 void
-agr_settings_members(struct agr *agr)
+agr_settings_members_changed(struct agr *agr)
 {
 	bool watcher = rank_is_watcher(agr->mem, agr->conf.self.id);
 
@@ -132,49 +138,54 @@
 	} else if (agr->watch == NULL && agr->start.api_read) {
 		agr->watch = obj_watch_start(
 		    agr->obj, INF_KEY_PREFIX, agr->revision, &watch_ops, agr);
-		agr->watch_works = true; /* until it says otherwise */
+		agr->watch_works = true; /* until on_watch_lost() is called */
 	}
 }
 
 /* ------------------------------------------------------------------ */
-/* Members' news                                                       */
+/* Updates from members                                                */
 /* ------------------------------------------------------------------ */
 
 void
-agr_settings_noted(
+agr_settings_on_note(
     struct agr *agr, const struct mem_note *note, const char *from)
 {
-	if (from == NULL || !inf_is_news(agr->inf, note->name, note->number))
+	if (from == NULL || !inf_is_newer(agr->inf, note->name, note->number))
 		return;
-	if (agr_pulls(agr, PULL_SETTINGS) < PULLS_AT_ONCE) {
+	if (agr_pulls(agr, PULL_SETTINGS) < PULLS_MAX) {
 		agr_pull(agr, PULL_SETTINGS, from);
 		return;
 	}
-	g_strlcpy(agr->later.address, from, sizeof(agr->later.address));
-	g_strlcpy(agr->later.branch, note->name, sizeof(agr->later.branch));
-	agr->later.version = note->number;
+	g_strlcpy(
+	    agr->queued_note.address, from, sizeof(agr->queued_note.address));
+	g_strlcpy(agr->queued_note.branch, note->name,
+	    sizeof(agr->queued_note.branch));
+	agr->queued_note.version = note->number;
 }
 
 void
-agr_settings_pulled(struct agr *agr)
+agr_settings_pull_ended(struct agr *agr)
 {
-	if (agr->later.version == 0)
+	if (agr->queued_note.version == 0)
 		return;
-	if (inf_is_news(agr->inf, agr->later.branch, agr->later.version))
-		agr_pull(agr, PULL_SETTINGS, agr->later.address);
-	agr->later.version = 0;
+	if (inf_is_newer(
+		agr->inf, agr->queued_note.branch, agr->queued_note.version))
+		agr_pull(agr, PULL_SETTINGS, agr->queued_note.address);
+	agr->queued_note.version = 0;
 }
 
-/* Anti-entropy: the urgent note was lost, or we were away. */
+/*
+ * Anti-entropy: the urgent note was lost, or this node was paused or cut off.
+ */
 void
-agr_settings_differ(struct agr *agr, const char *from)
+agr_settings_digest_differs(struct agr *agr, const char *from)
 {
 	int64_t now_us = agr_now_us(agr);
 
-	if (now_us < agr->differ_us ||
-	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_AT_ONCE)
+	if (now_us < agr->next_digest_pull_us ||
+	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_MAX)
 		return;
-	agr->differ_us = now_us + DIFFER_PAUSE_US;
+	agr->next_digest_pull_us = now_us + DIGEST_PULL_PAUSE_US;
 	agr_pull(agr, PULL_SETTINGS, from);
 }
 
@@ -183,9 +194,9 @@
 /* ------------------------------------------------------------------ */
 
 static void
-read_ended(struct agr *agr)
+finish_reading(struct agr *agr)
 {
-	if (agr->reading > 0)
+	if (agr->pending_reads > 0)
 		return;
 	agr->listing = false;
 	if (agr->read_failed)
@@ -193,7 +204,7 @@
 		    MIN(2 * agr->list_deadline_ms, LIST_DEADLINE_MAX_MS);
 	agr->start.api_read = !agr->read_failed;
 	agr->start.api_failed = agr->read_failed;
-	agr->members_changed = true; /* a watch may begin */
+	agr->members_changed = true; /* a watch may start */
 }
 
 static void
@@ -204,14 +215,15 @@
 
 	if (agr->closing)
 		return;
-	agr->reading--;
+	agr->pending_reads--;
 	if (err == NULL) {
-		name = branch_of(object->key);
-		agr_adopt(agr, name, object->version, object->value, "api");
+		name = branch_name(object->key);
+		agr_offer_branch(
+		    agr, name, object->version, object->value, "api");
 	} else if (err->code != ERR_NOT_FOUND) {
 		agr->read_failed = true;
 	}
-	read_ended(agr);
+	finish_reading(agr);
 }
 
 static void
@@ -225,29 +237,29 @@
 	if (agr->closing)
 		return;
 	agr->read_failed = err != NULL;
-	agr->list_us = agr_now_us(agr) + LIST_PAUSE_US;
+	agr->next_list_us = agr_now_us(agr) + LIST_PAUSE_US;
 	if (err == NULL)
 		agr->revision = MAX(agr->revision, revision);
 	for (i = 0; i < n; i++) {
-		name = branch_of(objects[i].key);
+		name = branch_name(objects[i].key);
 		if (name == NULL ||
-		    !inf_is_news(agr->inf, name, objects[i].version))
+		    !inf_is_newer(agr->inf, name, objects[i].version))
 			continue;
-		agr->reading++;
+		agr->pending_reads++;
 		obj_get(agr->obj, objects[i].key, agr->list_deadline_ms,
 		    on_read, agr);
 	}
-	read_ended(agr);
+	finish_reading(agr);
 }
 
 static void
-list_when_due(struct agr *agr, int64_t now_us)
+list_if_due(struct agr *agr, int64_t now_us)
 {
-	if (agr->listing || agr->start.api_read || now_us < agr->list_us)
+	if (agr->listing || agr->start.api_read || now_us < agr->next_list_us)
 		return;
-	if (agr->list_us == 0 && agr->conf.self.kind == MEM_SIDE) {
-		agr->list_us = agr->started_us +
-		    (int64_t)rng_below(&agr->rng, SIDE_LIST_WAIT_MS) * 1000;
+	if (agr->next_list_us == 0 && agr->conf.self.kind == MEM_SIDECAR) {
+		agr->next_list_us = agr->started_us +
+		    (int64_t)rng_below(&agr->rng, SIDECAR_LIST_WAIT_MS) * 1000;
 		return;
 	}
 	agr->listing = true;
@@ -257,45 +269,46 @@
 }
 
 void
-agr_settings_told(struct agr *agr, const char *address, bool ready)
+agr_settings_peer_answered(struct agr *agr, const char *address, bool ready)
 {
 	if (!ready)
-		return; /* may know less than was accepted */
-	g_hash_table_add(agr->told, g_strdup(address));
-	agr->start.peers_told = g_hash_table_size(agr->told);
-	agr_gates_told(agr);
+		return; /* the peer may be missing accepted versions */
+	g_hash_table_add(agr->answered_peers, g_strdup(address));
+	agr->start.peers_answered = g_hash_table_size(agr->answered_peers);
+	agr_fencing_peers_answered(agr);
 }
 
-/* Asks members until enough have told. */
+/* Pulls from random members until enough of them have answered. */
 static void
-ask_members(struct agr *agr)
+pull_from_members(struct agr *agr)
 {
 	const char *address;
 
-	if (inf_peers_told(&agr->start) || agr->start.peers_known == 0 ||
-	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_AT_ONCE)
+	if (inf_enough_peers(&agr->start) || agr->start.peers_known == 0 ||
+	    agr_pulls(agr, PULL_SETTINGS) >= PULLS_MAX)
 		return;
 	address = mem_random_address(agr->mem);
-	if (address != NULL && !g_hash_table_contains(agr->told, address))
+	if (address != NULL &&
+	    !g_hash_table_contains(agr->answered_peers, address))
 		agr_pull(agr, PULL_SETTINGS, address);
 }
 
 void
 agr_settings_tick(struct agr *agr, int64_t now_us)
 {
-	list_when_due(agr, now_us);
-	ask_members(agr);
+	list_if_due(agr, now_us);
+	pull_from_members(agr);
 	if (agr->ready)
 		return;
 	agr->start.waited_us = now_us - agr->started_us;
-	if (!inf_may_begin(&agr->start))
+	if (!inf_may_serve(&agr->start))
 		return;
 	agr->ready = true;
 	if (agr->conf.node->timeline != NULL) {
 		tl_add(agr->conf.node->timeline, "settings_ready",
 		    agr->conf.self.id, "branches=%u api=%s peers=%u",
 		    inf_count(agr->inf), agr->start.api_read ? "yes" : "no",
-		    agr->start.peers_told);
+		    agr->start.peers_answered);
 	}
 	if (agr->ops->ready != NULL)
 		agr->ops->ready(agr->ctx);
@@ -336,16 +349,19 @@
 {
 	struct write *w = ctx;
 
-	/* In force here before the answer: who reads back what was just
-	 * accepted from this node must find it. */
+	/*
+	 * The version becomes active here before the caller gets its response,
+	 * so that a caller who then reads from this node finds what was
+	 * accepted.
+	 */
 	if (err == NULL && !w->agr->closing)
-		agr_adopt(w->agr, w->name, version, w->yaml, "write");
+		agr_offer_branch(w->agr, w->name, version, w->yaml, "write");
 	w->done(version, now, err, w->ctx);
 	write_free(w);
 }
 
 static gboolean
-on_refused(gpointer data)
+on_invalid(gpointer data)
 {
 	struct write *w = data;
 
@@ -368,7 +384,7 @@
 	w->done = done;
 	w->ctx = ctx;
 	if (!inf_check_write(agr->inf, name, yaml, &w->refused)) {
-		g_idle_add(on_refused, w);
+		g_idle_add(on_invalid, w);
 		return;
 	}
 	put = (struct obj_put){
@@ -383,7 +399,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Readers                                                             */
+/* Accessors                                                           */
 /* ------------------------------------------------------------------ */
 
 const struct inf_branch *
@@ -399,37 +415,37 @@
 	inf_each(agr->inf, each, ctx);
 }
 
-struct in_force {
+struct active_count {
 	uint64_t digest;
-	struct agr_in_force *out;
+	struct agr_active_count *out;
 	const char **overdue;
 	size_t max, n;
 };
 
 static void
-count_in_force(const struct mem_member *member, void *ctx)
+count_active(const struct mem_member *member, void *ctx)
 {
-	struct in_force *f = ctx;
+	struct active_count *f = ctx;
 
 	f->out->nodes++;
 	if (member->settings >= f->digest)
-		f->out->in_force++;
+		f->out->active++;
 	else if (f->n < f->max)
 		f->overdue[f->n++] = member->node.id;
 }
 
 void
-agr_in_force(struct agr *agr, struct agr_in_force *out, const char **overdue,
-    size_t max, size_t *n_overdue)
+agr_active_count(struct agr *agr, struct agr_active_count *out,
+    const char **overdue, size_t max, size_t *n_overdue)
 {
-	struct in_force f = {
+	struct active_count f = {
 		.digest = inf_digest(agr->inf),
 		.out = out,
 		.overdue = overdue,
 		.max = max,
 	};
 
-	*out = (struct agr_in_force){ 0 };
-	mem_each(agr->mem, count_in_force, &f);
+	*out = (struct agr_active_count){ 0 };
+	mem_each(agr->mem, count_active, &f);
 	*n_overdue = f.n;
 }
--- a/lib/agree/inf.c
+++ b/lib/agree/inf.c
@@ -1,30 +1,36 @@
-/* Settings in force: which offers are taken, and when a node may begin. */
+/*
+ * Active settings: which offered versions are accepted, and when a node may
+ * start to serve.
+ */
 
 #include <msgpack.h>
 #include <string.h>
 
 #include "agree/inf_internal.h"
 
-#define BRANCHES_MAX 256 /* teams; more is a mistake in the API's prefix */
-/* With the API's list in hand, peers get so long to tell more: a write that
- * was accepted after the list was made. */
+/* workspaces; more indicate a wrong prefix in the object API */
+#define BRANCHES_MAX 256
+/*
+ * After the object API's list was read, peers get this long to report a write
+ * that was accepted after the list was made.
+ */
 #define PEERS_WAIT_US (G_USEC_PER_SEC / 2)
 
 struct branch {
-	struct inf_branch public; /* cfg is NULL until one was taken */
+	struct inf_branch public; /* cfg is NULL until a version was accepted */
 	char name[INF_BRANCH_MAX + 1];
 	char *yaml;
 	struct cfg *cfg;
-	uint64_t refused; /* highest version that failed its check */
+	uint64_t refused; /* highest version that failed validation */
 	LIST_ENTRY(branch) link;
 };
 
 struct inf {
-	LIST_HEAD(branch_list, branch) branches; /* by name */
+	LIST_HEAD(branch_list, branch) branches; /* sorted by name */
 };
 
 static struct branch *
-find(const struct inf *inf, const char *name)
+find_branch(const struct inf *inf, const char *name)
 {
 	struct branch *b;
 
@@ -36,7 +42,7 @@
 }
 
 static struct branch *
-add(struct inf *inf, const char *name)
+add_branch(struct inf *inf, const char *name)
 {
 	struct branch *b = g_new0(struct branch, 1), *at, *last = NULL;
 
@@ -93,9 +99,9 @@
 }
 
 bool
-inf_is_news(const struct inf *inf, const char *name, uint64_t version)
+inf_is_newer(const struct inf *inf, const char *name, uint64_t version)
 {
-	const struct branch *b = find(inf, name);
+	const struct branch *b = find_branch(inf, name);
 
 	if (b == NULL)
 		return version > 0;
@@ -106,24 +112,25 @@
 inf_offer(struct inf *inf, const char *name, uint64_t version, const char *yaml,
     struct err *err)
 {
-	struct branch *b = find(inf, name);
+	struct branch *b = find_branch(inf, name);
 	struct cfg *cfg;
 
 	/*
-	 * A paused watcher that wakes, a peer from a cut region or a slow
-	 * answer offers what was in force long ago. Taking it would revert an
-	 * accepted change; the version of the object says which is later.
+	 * A watcher that resumes after a pause, a peer from a region that was
+	 * cut off or a delayed response may offer a version that was active
+	 * long ago. Accepting it would revert an accepted change; the version
+	 * of the object shows which one is newer.
 	 */
-	if (!inf_is_news(inf, name, version))
-		return INF_OLD;
+	if (!inf_is_newer(inf, name, version))
+		return INF_STALE;
 	if (b == NULL) {
 		if (strlen(name) > INF_BRANCH_MAX || !cfg_key_valid(name) ||
 		    inf_count(inf) >= BRANCHES_MAX) {
 			err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-			    "'%s' is no name of a branch", name);
+			    "'%s' is not a valid branch name", name);
 			return INF_REFUSED;
 		}
-		b = add(inf, name);
+		b = add_branch(inf, name);
 	}
 	cfg = parse(name, yaml, err);
 	if (cfg == NULL) {
@@ -137,13 +144,13 @@
 	b->public.version = version;
 	b->public.yaml = b->yaml;
 	b->public.cfg = b->cfg;
-	return INF_TAKEN;
+	return INF_ACCEPTED;
 }
 
 const struct inf_branch *
 inf_find(const struct inf *inf, const char *name)
 {
-	const struct branch *b = find(inf, name);
+	const struct branch *b = find_branch(inf, name);
 
 	return b == NULL || b->cfg == NULL ? NULL : &b->public;
 }
@@ -197,7 +204,7 @@
 
 	if (strlen(name) > INF_BRANCH_MAX || !cfg_key_valid(name)) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "'%s' is no name of a branch", name);
+		    "'%s' is not a valid branch name", name);
 	}
 	cfg = parse(name, yaml, err);
 	if (cfg == NULL)
@@ -215,7 +222,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What a peer has: a row of [name, version]                           */
+/* Versions of a peer: a sequence of [name, version]                   */
 /* ------------------------------------------------------------------ */
 
 static int
@@ -226,7 +233,7 @@
 }
 
 GByteArray *
-inf_known(const struct inf *inf)
+inf_pack_versions(const struct inf *inf)
 {
 	GByteArray *out = g_byte_array_new();
 	const struct branch *b;
@@ -234,7 +241,10 @@
 
 	msgpack_packer_init(&pk, out, append);
 	LIST_FOREACH (b, &inf->branches, link) {
-		/* A refused version is not asked for again and again. */
+		/*
+		 * List a refused version too, so that it is not pulled again
+		 * and again.
+		 */
 		msgpack_pack_array(&pk, 2);
 		msgpack_pack_str(&pk, strlen(b->name));
 		msgpack_pack_str_body(&pk, b->name, strlen(b->name));
@@ -285,17 +295,18 @@
 }
 
 bool
-inf_peers_told(const struct inf_start *start)
+inf_enough_peers(const struct inf_start *start)
 {
-	return start->peers_told > 0 &&
-	    start->peers_told >= MIN(INF_PEERS_WANTED, start->peers_known);
+	return start->peers_answered > 0 &&
+	    start->peers_answered >=
+	    MIN(INF_PEERS_REQUIRED, start->peers_known);
 }
 
 bool
-inf_may_begin(const struct inf_start *start)
+inf_may_serve(const struct inf_start *start)
 {
 	if (!start->api_read)
-		return start->api_failed && inf_peers_told(start);
-	return start->peers_known == 0 || inf_peers_told(start) ||
+		return start->api_failed && inf_enough_peers(start);
+	return start->peers_known == 0 || inf_enough_peers(start) ||
 	    start->waited_us >= PEERS_WAIT_US;
 }
--- a/lib/agree/mem.c
+++ b/lib/agree/mem.c
@@ -1,24 +1,27 @@
-/* Membership: the table of members and the rules by which it changes. */
+/* Membership: the member table and the rules by which it changes. */
 
 #include <string.h>
 
 #include "agree/mem_internal.h"
 
-/* The dead are remembered, or gossip that is still under way would bring
- * them back; and so that a region cut for hours is found again. */
+/*
+ * Dead members stay in the table for this time: otherwise gossip still in
+ * flight would revive them, and a region that was cut off for hours would not
+ * be found again.
+ */
 #define TOMBSTONE_US (INT64_C(6) * 3600 * G_USEC_PER_SEC)
-#define NOTES_MAX 256 /* branches and roles; more than either user has */
+#define NOTES_MAX 256 /* branches and roles; more than any present user has */
 
 uint64_t
 mem_key(const char *id)
 {
 	uint64_t key = hash64(0, id, strlen(id));
 
-	return key == 0 ? 1 : key; /* 0 means nobody */
+	return key == 0 ? 1 : key; /* key 0 stands for no member */
 }
 
 uint64_t
-mem_life(uint64_t incarnation)
+mem_start_ms(uint64_t incarnation)
 {
 	return incarnation >> MEM_REFUTES_BITS;
 }
@@ -40,7 +43,7 @@
 /* ------------------------------------------------------------------ */
 
 static guint
-place_of(const struct mem *mem, const char *id)
+index_of(const struct mem *mem, const char *id)
 {
 	guint low = 0, high = mem->by_id->len, middle;
 	const struct mem_entry *e;
@@ -61,7 +64,7 @@
 /* ------------------------------------------------------------------ */
 
 static uint64_t
-view_of(const struct mem_entry *e)
+member_digest(const struct mem_entry *e)
 {
 	uint64_t facts[2] = { e->member.node.incarnation,
 		e->member.state == MEM_LEAVING };
@@ -71,7 +74,10 @@
 	return hash64(e->key, facts, sizeof(facts));
 }
 
-/* A refutation is urgent: it must overtake the suspicion, which has a start. */
+/*
+ * A refutation is urgent: it must overtake the suspicion, which was sent
+ * earlier.
+ */
 static enum mem_class
 class_of(enum mem_state before, enum mem_state state)
 {
@@ -87,17 +93,23 @@
 	return before == MEM_SUSPECT ? MEM_CLASS_URGENT : MEM_CLASS_ALIVE;
 }
 
-/* The update replaces an older one of the same member: latest wins. */
+/*
+ * Queues an update of the member; it replaces an older one that was not sent
+ * yet.
+ */
 static void
-announce(struct mem *mem, struct mem_entry *e, enum mem_class class)
+queue_update(struct mem *mem, struct mem_entry *e, enum mem_class class)
 {
 	if (e->class != MEM_CLASSES)
 		TAILQ_REMOVE(&mem->updates[e->class], e, update_link);
 	e->class = MEM_CLASSES;
-	if (mem->many_news && class == MEM_CLASS_ALIVE)
+	if (mem->bulk_page && class == MEM_CLASS_ALIVE)
 		return;
 	e->class = class;
-	/* News of a new member may be late, a table sync fills the gaps. */
+	/*
+	 * An update about a new member may arrive late: a table sync fills the
+	 * gaps.
+	 */
 	e->sends_left = e->class == MEM_CLASS_ALIVE ? 2 + mem_log2(mem) / 2
 						    : 3 + mem_log2(mem);
 	TAILQ_INSERT_HEAD(&mem->updates[e->class], e, update_link);
@@ -106,29 +118,29 @@
 }
 
 static int64_t
-suspicion_us(const struct mem *mem)
+suspicion_timeout_us(const struct mem *mem)
 {
-	/* A refutation needs about log2(n) periods to come back. */
+	/* A refutation needs about log2(n) periods to arrive. */
 	int64_t spread_ms = (int64_t)mem->conf.gossip_ms * mem_log2(mem) / 2;
 
 	return (mem->conf.suspect_ms + spread_ms) * 1000;
 }
 
 static void
-change(struct mem *mem, struct mem_entry *e, int64_t now_us,
+set_state(struct mem *mem, struct mem_entry *e, int64_t now_us,
     uint64_t incarnation, enum mem_state state)
 {
 	enum mem_state before = e->member.state;
 
-	mem->view ^= view_of(e);
+	mem->table_digest ^= member_digest(e);
 	e->member.node.incarnation = incarnation;
 	e->member.state = state;
-	mem->view ^= view_of(e);
+	mem->table_digest ^= member_digest(e);
 	mem->changed_us = now_us;
 	mem->alive += (before == MEM_DEAD) - (state == MEM_DEAD);
 	e->suspect_until_us =
-	    state == MEM_SUSPECT ? now_us + suspicion_us(mem) : 0;
-	announce(mem, e, class_of(before, state));
+	    state == MEM_SUSPECT ? now_us + suspicion_timeout_us(mem) : 0;
+	queue_update(mem, e, class_of(before, state));
 	if (state == before)
 		return;
 	e->member.since_us = now_us;
@@ -136,25 +148,29 @@
 }
 
 /*
- * Others think that we are suspect or dead (a stalled link, a pause, an old
- * life): without an answer we would be dropped while we serve. A higher
- * incarnation beats what they have heard.
+ * Another node considers this one suspect or dead (because of a stalled link, a
+ * pause or an earlier start). Without a refutation this node would be dropped
+ * while it still serves. A higher incarnation overrides what the others have
+ * received.
  */
 static void
 refute(struct mem *mem, int64_t now_us, uint64_t incarnation)
 {
 	struct mem_entry *self = mem->self;
-	uint64_t life = mem_life(self->member.node.incarnation);
-
-	if (mem_life(incarnation) > life) {
-		/* An earlier life with a faster clock than ours: the static
-		 * facts must be seen as newer too. */
-		incarnation = (mem_life(incarnation) + 1) << MEM_REFUTES_BITS;
+	uint64_t start_ms = mem_start_ms(self->member.node.incarnation);
+
+	if (mem_start_ms(incarnation) > start_ms) {
+		/*
+		 * An earlier start of this node had a clock ahead of the
+		 * present one: the static facts must count as newer too.
+		 */
+		incarnation = (mem_start_ms(incarnation) + 1)
+		    << MEM_REFUTES_BITS;
 	} else {
 		incarnation++;
 	}
-	change(mem, self, now_us, incarnation, self->member.state);
-	announce(mem, self, MEM_CLASS_URGENT);
+	set_state(mem, self, now_us, incarnation, self->member.state);
+	queue_update(mem, self, MEM_CLASS_URGENT);
 }
 
 static bool
@@ -180,21 +196,25 @@
 		return;
 	}
 	if (e != NULL &&
-	    (mem_life(incarnation) == mem_life(e->member.node.incarnation) ||
+	    (mem_start_ms(incarnation) ==
+		    mem_start_ms(e->member.node.incarnation) ||
 		state == MEM_DEAD)) {
-		change(mem, e, now_us, incarnation, state);
+		set_state(mem, e, now_us, incarnation, state);
 		return;
 	}
-	/* A member or life whose address we lack: ask who told us. */
+	/*
+	 * A member, or a restart of one, whose address is not known here:
+	 * request its record from the sender of the update.
+	 */
 	if (state == MEM_DEAD || from == NULL)
 		return;
 	wanted = g_new(uint64_t, 1);
 	*wanted = key;
-	g_hash_table_replace(mem->wanted, wanted, g_strdup(from));
+	g_hash_table_replace(mem->missing_records, wanted, g_strdup(from));
 }
 
 static struct mem_entry *
-add(struct mem *mem, const struct mem_node *node, int64_t now_us)
+add_entry(struct mem *mem, const struct mem_node *node, int64_t now_us)
 {
 	struct mem_entry *e = g_new0(struct mem_entry, 1);
 
@@ -204,7 +224,7 @@
 	e->member.since_us = now_us;
 	e->class = MEM_CLASSES;
 	g_hash_table_insert(mem->by_key, &e->key, e);
-	g_ptr_array_insert(mem->by_id, (gint)place_of(mem, node->id), e);
+	g_ptr_array_insert(mem->by_id, (gint)index_of(mem, node->id), e);
 	return e;
 }
 
@@ -224,36 +244,39 @@
 	if (e == NULL) {
 		if (state == MEM_DEAD)
 			return;
-		e = add(mem, node, now_us);
-		g_hash_table_remove(mem->wanted, &key);
-		change(mem, e, now_us, incarnation, state);
+		e = add_entry(mem, node, now_us);
+		g_hash_table_remove(mem->missing_records, &key);
+		set_state(mem, e, now_us, incarnation, state);
 		return;
 	}
 	known = e->member.node.incarnation;
-	if (mem_life(incarnation) > mem_life(known)) {
-		mem->view ^= view_of(e);
+	if (mem_start_ms(incarnation) > mem_start_ms(known)) {
+		mem->table_digest ^= member_digest(e);
 		e->member.node = *node;
-		mem->view ^= view_of(e);
+		mem->table_digest ^= member_digest(e);
 		e->member.settings = 0;
-		g_hash_table_remove(mem->wanted, &key);
-		/* Another address is a change, whatever the state was. */
+		g_hash_table_remove(mem->missing_records, &key);
+		/* A new address is a change even if the state is the same. */
 		if (e->member.state == state && state != MEM_DEAD)
 			mem->ops->changed(&e->member, mem->ctx);
-		change(mem, e, now_us, incarnation, state);
+		set_state(mem, e, now_us, incarnation, state);
 		return;
 	}
 	if (is_newer(e, incarnation, state))
-		change(mem, e, now_us, incarnation, state);
+		set_state(mem, e, now_us, incarnation, state);
 }
 
 void
 mem_suspect(struct mem *mem, struct mem_entry *e, int64_t now_us)
 {
 	if (e->member.state == MEM_ALIVE) {
-		change(mem, e, now_us, e->member.node.incarnation, MEM_SUSPECT);
+		set_state(
+		    mem, e, now_us, e->member.node.incarnation, MEM_SUSPECT);
 	} else if (e->member.state == MEM_LEAVING && e->suspect_until_us == 0) {
-		/* It stays "leaving" for all until it is given up. */
-		e->suspect_until_us = now_us + suspicion_us(mem);
+		/*
+		 * It stays "leaving" for all nodes until it is declared dead.
+		 */
+		e->suspect_until_us = now_us + suspicion_timeout_us(mem);
 	}
 }
 
@@ -266,7 +289,7 @@
 	for (i = mem->by_id->len; i > 0; i--) {
 		e = g_ptr_array_index(mem->by_id, i - 1);
 		if (e->suspect_until_us != 0 && now_us > e->suspect_until_us) {
-			change(mem, e, now_us, e->member.node.incarnation,
+			set_state(mem, e, now_us, e->member.node.incarnation,
 			    MEM_DEAD);
 		}
 		if (e->member.state != MEM_DEAD || e == mem->self ||
@@ -279,9 +302,12 @@
 	}
 }
 
-/* A pause of ours must not count as silence of the others. */
+/*
+ * Extends the timeouts of suspicions by a pause of this node: other members
+ * could not refute them meanwhile.
+ */
 void
-mem_forgive(struct mem *mem, int64_t paused_us)
+mem_extend_suspicions(struct mem *mem, int64_t paused_us)
 {
 	struct mem_entry *e;
 	guint i;
@@ -309,10 +335,11 @@
 	return MAX(now_us - mem->fresh_us, 0) / 1000;
 }
 
-static struct mem_noted *
-noted(const struct mem *mem, enum mem_note_kind kind, const char *name)
+static struct mem_note_entry *
+find_note_entry(
+    const struct mem *mem, enum mem_note_kind kind, const char *name)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->note.kind == kind && strcmp(n->note.name, name) == 0)
@@ -321,7 +348,7 @@
 	return NULL;
 }
 
-/* A giving-up of a role comes under the number of its holder. */
+/* The release of a role carries the same number as its holder did. */
 static bool
 is_newer_note(const struct mem_note *note, const struct mem_note *known)
 {
@@ -333,9 +360,9 @@
 bool
 mem_note_merge(struct mem *mem, const struct mem_note *note)
 {
-	struct mem_noted *n = noted(mem, note->kind, note->name);
+	struct mem_note_entry *n = find_note_entry(mem, note->kind, note->name);
 	unsigned int known = 0;
-	const struct mem_noted *each;
+	const struct mem_note_entry *each;
 
 	if (n != NULL && !is_newer_note(note, &n->note))
 		return false;
@@ -344,11 +371,11 @@
 			known++;
 		if (known >= NOTES_MAX)
 			return false;
-		n = g_new0(struct mem_noted, 1);
+		n = g_new0(struct mem_note_entry, 1);
 		LIST_INSERT_HEAD(&mem->notes, n, link);
 	}
 	if (note->kind == MEM_NOTE_ROLE)
-		mem->self->member.fence += note->number - n->note.number;
+		mem->self->member.fence_sum += note->number - n->note.number;
 	n->note = *note;
 	n->sends_left = 3 + mem_log2(mem);
 	n->urgent = true;
@@ -357,9 +384,9 @@
 }
 
 void
-mem_renote(struct mem *mem)
+mem_resend_role_notes(struct mem *mem)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->note.kind == MEM_NOTE_ROLE && n->sends_left == 0)
@@ -380,13 +407,13 @@
 const struct mem_note *
 mem_find_note(const struct mem *mem, enum mem_note_kind kind, const char *name)
 {
-	struct mem_noted *n = noted(mem, kind, name);
+	struct mem_note_entry *n = find_note_entry(mem, kind, name);
 
 	return n == NULL ? NULL : &n->note;
 }
 
 /* ------------------------------------------------------------------ */
-/* Life                                                                */
+/* Creation and shutdown                                               */
 /* ------------------------------------------------------------------ */
 
 struct mem *
@@ -405,7 +432,7 @@
 	mem->by_key =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	mem->by_id = g_ptr_array_new();
-	mem->wanted =
+	mem->missing_records =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	mem->order = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (i = 0; i < MEM_CLASSES; i++)
@@ -413,16 +440,16 @@
 	LIST_INIT(&mem->notes);
 	LIST_INIT(&mem->relays);
 	self.incarnation <<= MEM_REFUTES_BITS;
-	mem->self = add(mem, &self, now_us);
+	mem->self = add_entry(mem, &self, now_us);
 	mem->self->member.state = MEM_ALIVE;
-	mem->view = view_of(mem->self);
+	mem->table_digest = member_digest(mem->self);
 	mem->alive = 1;
-	announce(mem, mem->self, MEM_CLASS_ALIVE);
+	queue_update(mem, mem->self, MEM_CLASS_ALIVE);
 	mem->last_tick_us = now_us;
-	mem->bytes_us = now_us;
+	mem->credit_us = now_us;
 	mem->fresh_us = now_us;
-	/* Nodes started together must not probe in the same instant. */
-	mem->period_us =
+	/* Nodes that start together must not all probe at the same instant. */
+	mem->next_probe_us =
 	    now_us + (int64_t)rng_below(&mem->rng, conf->gossip_ms * 250 + 1);
 	return mem;
 }
@@ -430,7 +457,7 @@
 void
 mem_free(struct mem *mem)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 	struct mem_relay *r;
 
 	if (mem == NULL)
@@ -444,7 +471,7 @@
 		g_free(r);
 	}
 	g_hash_table_unref(mem->by_key);
-	g_hash_table_unref(mem->wanted);
+	g_hash_table_unref(mem->missing_records);
 	g_ptr_array_unref(mem->by_id);
 	g_array_unref(mem->order);
 	g_strfreev(mem->seeds);
@@ -458,7 +485,8 @@
 
 	if (self->member.state == MEM_LEAVING)
 		return;
-	change(mem, self, now_us, self->member.node.incarnation, MEM_LEAVING);
+	set_state(
+	    mem, self, now_us, self->member.node.incarnation, MEM_LEAVING);
 	mem_flush(mem, now_us);
 }
 
@@ -469,7 +497,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Readers                                                             */
+/* Accessors                                                           */
 /* ------------------------------------------------------------------ */
 
 void
@@ -508,9 +536,9 @@
 }
 
 uint64_t
-mem_view(const struct mem *mem)
+mem_table_digest(const struct mem *mem)
 {
-	return mem->view;
+	return mem->table_digest;
 }
 
 const char *
--- a/lib/agree/mem_in_force.c
+++ b/lib/agree/mem_in_force.c
@@ -1,11 +1,12 @@
 /*
- * Membership: who has which settings in force.
+ * Membership: which members have which active settings.
  *
- * After a change every node has news for every other: single updates would
- * be n * n of them. Instead a datagram carries one bit a member, "has the
- * sender's settings or newer", and receivers take the union, so that log2(n)
- * rounds tell all of all. The bits follow the order of the ids, which is the
- * same where the tables are the same.
+ * After a change each node has an update for each other node; sent one by one
+ * these would be n * n updates. Instead a datagram carries one bit per member,
+ * "has the sender's settings or newer ones", and receivers merge the bits, so
+ * that after log2(n) rounds all nodes know the state of all. The bits are in
+ * the order of the ids, which is the same wherever the member tables are the
+ * same.
  */
 
 #include <msgpack.h>
@@ -16,27 +17,29 @@
 #define MAP_HEADER_BYTES (1 + 9 + 3)
 
 static void
-map_changed(struct mem *mem)
+resend_map(struct mem *mem)
 {
 	mem->map_sends_left = 3 + mem_log2(mem);
 }
 
 void
-mem_seen_settings(struct mem *mem, struct mem_entry *e, uint64_t settings)
+mem_record_settings(struct mem *mem, struct mem_entry *e, uint64_t settings)
 {
-	/* Digests grow with the versions, see inf_digest(); an older one
-	 * that comes late must not hide the newer. */
+	/*
+	 * Digests grow with the versions, see inf_digest(); a delayed older
+	 * digest must not overwrite a newer one.
+	 */
 	if (settings <= e->member.settings)
 		return;
 	e->member.settings = settings;
 	if (settings >= mem->self->member.settings)
-		map_changed(mem);
+		resend_map(mem);
 }
 
 void
 mem_set_settings(struct mem *mem, uint64_t settings)
 {
-	mem_seen_settings(mem, mem->self, settings);
+	mem_record_settings(mem, mem->self, settings);
 }
 
 static int
@@ -50,7 +53,7 @@
 mem_pack_map(struct mem *mem, GByteArray *out, size_t room)
 {
 	uint64_t settings = mem->self->member.settings;
-	size_t len = (mem->alive + 7) / 8, place = 0;
+	size_t len = (mem->alive + 7) / 8, bit = 0;
 	const struct mem_entry *e;
 	msgpack_packer pk;
 	uint8_t *bits;
@@ -66,8 +69,8 @@
 		if (e->member.state == MEM_DEAD)
 			continue;
 		if (e->member.settings >= settings)
-			bits[place / 8] |= 1u << place % 8;
-		place++;
+			bits[bit / 8] |= 1u << bit % 8;
+		bit++;
 	}
 	msgpack_packer_init(&pk, out, append);
 	msgpack_pack_array(&pk, 2);
@@ -78,10 +81,10 @@
 }
 
 void
-mem_take_map(struct mem *mem, uint64_t settings, struct slice map)
+mem_apply_map(struct mem *mem, uint64_t settings, struct slice map)
 {
 	struct mem_entry *e;
-	size_t place = 0;
+	size_t bit = 0;
 	guint i;
 
 	if (map.len != (mem->alive + 7) / 8)
@@ -90,9 +93,8 @@
 		e = g_ptr_array_index(mem->by_id, i);
 		if (e->member.state == MEM_DEAD)
 			continue;
-		if ((map.data[place / 8] >> place % 8 & 1) != 0 &&
-		    e != mem->self)
-			mem_seen_settings(mem, e, settings);
-		place++;
+		if ((map.data[bit / 8] >> bit % 8 & 1) != 0 && e != mem->self)
+			mem_record_settings(mem, e, settings);
+		bit++;
 	}
 }
--- a/lib/agree/mem_probe.c
+++ b/lib/agree/mem_probe.c
@@ -1,52 +1,58 @@
-/* Membership: probes, answers and the fan-out of urgent news. */
+/* Membership: probes, responses and the fan-out of urgent updates. */
 
 #include <string.h>
 
 #include "agree/mem_internal.h"
 
 /*
- * Credit for datagrams: with the answers of others, sent and received
- * together stay below 4 KB a second. Probes and acks are sent also without
- * credit (they are few and small); only the room for updates shrinks.
+ * Credit for datagrams: together with the responses of other nodes, the bytes
+ * sent and received stay below 4 KB per second. Probes and acks are sent even
+ * without credit (they are few and small); only the space for updates shrinks.
  */
 #define MEM_BYTES_S 1200
 #define MEM_BYTES_BURST 2000
-#define HEADER_BYTES 96 /* proof, type, stamp, numbers of a mem_msg */
+#define HEADER_BYTES 96 /* MAC, type, timestamp and numbers of a mem_msg */
 #define ROOM_MAX (DGRAM_MAX - HEADER_BYTES)
-#define ROOM_MIN 64 /* also without credit: the member it is about */
+#define ROOM_MIN 64 /* even without credit: for the update about the receiver */
 
 #define INDIRECT_PROBES 3
-/* Each hearer passes urgent news to so many: e^-5 are left out, and those
- * hear it by their own next probe. */
+/*
+ * Each receiver forwards urgent updates to this many members. A share of e^-5
+ * is not reached by that and gets the updates with its own next probe.
+ */
 #define URGENT_FANOUT 5
 #define URGENT_ROOM 400
 #define DEAD_PROBE_ONE_IN 5 /* periods */
 #define MAP_CREDIT 1500
-#define HOP_MS 50 /* no datagram is longer under way between regions */
-#define PAUSE_TICKS 5 /* a longer gap than by a busy host */
+#define HOP_MS 50 /* upper limit of a datagram's transit time between regions */
+/* a longer gap between ticks is a pause, not only a busy host */
+#define PAUSE_TICKS 5
 #define RELAYS_MAX 64
-#define WANTS_AT_ONCE 8 /* more are taken over by a sync */
+#define WANTS_MAX 8 /* a table sync is used for more records than this */
 #define WANT_PAUSE_US (G_USEC_PER_SEC / 2)
 
-/* A view differs while news is under way; so many peers in a row that
- * differ (less those that agree) mean that news was lost. */
-#define SYNC_DIFFER 8
+/*
+ * Table digests also differ while updates are in flight. This many mismatches
+ * (less the matches) mean that updates were lost.
+ */
+#define SYNC_MISMATCHES 8
 #define SYNC_PERIODS 5
-#define NEWS_PERIODS 3
-#define SYNC_BYTES_S 1000 /* a list is sent no faster than this on average */
-#define JOIN_BYTES_S 4000 /* ... while many are new, as after a cold start */
+#define SPREAD_PERIODS 3
+#define SYNC_BYTES_S 1000 /* average rate limit of the lists sent */
+/* ... while many members are new, as after a cold start */
+#define JOIN_BYTES_S 4000
 
 static void
 refill(struct mem *mem, int64_t now_us)
 {
-	int64_t gained = (now_us - mem->bytes_us) * MEM_BYTES_S;
+	int64_t gained = (now_us - mem->credit_us) * MEM_BYTES_S;
 
 	gained /= G_USEC_PER_SEC;
-	/* Whole bytes only, or frequent calls would gain nothing. */
+	/* Add whole bytes only; otherwise frequent calls would add nothing. */
 	if (gained <= 0)
 		return;
-	mem->bytes = MIN(mem->bytes + gained, MEM_BYTES_BURST);
-	mem->bytes_us = now_us;
+	mem->byte_credit = MIN(mem->byte_credit + gained, MEM_BYTES_BURST);
+	mem->credit_us = now_us;
 }
 
 static void
@@ -60,14 +66,14 @@
 		.seq = seq,
 		.target = target,
 		.settings = self->settings,
-		.fence = self->fence,
-		.view = mem->view,
+		.fence = self->fence_sum,
+		.table_digest = mem->table_digest,
 		.members = mem->alive,
-		.age_ms = (uint64_t)mem_age_ms(mem, mem->bytes_us),
+		.age_ms = (uint64_t)mem_age_ms(mem, mem->credit_us),
 		.updates = { blob->data, blob->len },
 	};
 
-	mem->bytes -= HEADER_BYTES + blob->len;
+	mem->byte_credit -= HEADER_BYTES + blob->len;
 	mem->ops->send(to, type, &message, mem->ctx);
 }
 
@@ -76,8 +82,8 @@
     uint64_t target, struct mem_entry *about)
 {
 	GByteArray *blob = g_byte_array_new();
-	/* Half of the credit each time, so that the next one has room too. */
-	int64_t room = CLAMP(mem->bytes / 2, ROOM_MIN, ROOM_MAX);
+	/* Use half of the credit, so that the next datagram has space too. */
+	int64_t room = CLAMP(mem->byte_credit / 2, ROOM_MIN, ROOM_MAX);
 
 	mem_pack_updates(mem, blob, (size_t)room, about, false);
 	send_blob(mem, to, type, seq, target, blob);
@@ -91,9 +97,9 @@
 }
 
 /*
- * A leaving host gets new work until everybody knows. One hop a period would
- * take log2(n) seconds; passed on at once it takes as many network delays.
- * The credit bounds it when many leave together.
+ * A leaving host gets new work until all members know. With one hop per period
+ * that would take log2(n) seconds; forwarded at once, it takes as many network
+ * delays. The credit limits the bytes when many nodes leave together.
  */
 void
 mem_flush(struct mem *mem, int64_t now_us)
@@ -104,7 +110,7 @@
 
 	refill(mem, now_us);
 	if (!mem->urgent ||
-	    mem->bytes < URGENT_FANOUT * (HEADER_BYTES + URGENT_ROOM) / 2)
+	    mem->byte_credit < URGENT_FANOUT * (HEADER_BYTES + URGENT_ROOM) / 2)
 		return;
 	while (n < URGENT_FANOUT && n + 1 < mem->alive) {
 		to[n] = mem_random_address(mem);
@@ -112,7 +118,10 @@
 			break;
 		for (i = 0; i < n && to[i] != to[n]; i++)
 			;
-		/* The same one again: enough of a small table is covered. */
+		/*
+		 * An address was drawn twice: enough of a small table is
+		 * covered.
+		 */
 		if (i < n && mem->alive <= 2 * URGENT_FANOUT)
 			break;
 		n++;
@@ -152,7 +161,7 @@
 	}
 }
 
-/* A shuffled round robin: every member is probed within n periods. */
+/* Shuffled round robin: every member is probed within n periods. */
 static struct mem_entry *
 next_probed(struct mem *mem)
 {
@@ -171,9 +180,12 @@
 	return NULL;
 }
 
-/* What a member must hear first: that it is suspected or given up. */
+/*
+ * Returns the update that the probed member must get first, so that it can
+ * refute it: that it is suspect or dead. NULL if it is neither.
+ */
 static struct mem_entry *
-to_be_refuted(struct mem_entry *e)
+refutable_update(struct mem_entry *e)
 {
 	if (e->member.state == MEM_SUSPECT || e->member.state == MEM_DEAD)
 		return e;
@@ -196,14 +208,14 @@
 		.end_us = now_us + period_us * 9 / 10,
 	};
 	mem_send(mem, e->member.node.address, MEM_PING, mem->probe.seq, 0,
-	    to_be_refuted(e));
+	    refutable_update(e));
 }
 
 /*
- * A region that was cut is dead to us and we to it: without a probe of the
- * dead now and then the two would never meet again. Each of the dead is
- * probed about once a period by all nodes together, or an address that was
- * given to another host would draw pings from everybody.
+ * After a network partition each side considers the other dead; without an
+ * occasional probe of dead members the two would never merge again. All nodes
+ * together probe each dead member about once per period; with more, an address
+ * that was reassigned to another host would get pings from every node.
  */
 static void
 probe_dead(struct mem *mem)
@@ -249,8 +261,9 @@
 }
 
 /*
- * Seeds matter when alone, and when everybody known was replaced. All nodes
- * together ping the seeds that are no members about once a period.
+ * Seeds are needed if this node knows no other member, or if all known members
+ * were replaced. All nodes together ping the seeds that are not members about
+ * once per period.
  */
 static void
 probe_seeds(struct mem *mem)
@@ -270,13 +283,13 @@
 }
 
 static void
-ask_others(struct mem *mem)
+request_indirect_probes(struct mem *mem)
 {
 	struct mem_entry *e = mem_entry(mem, mem->probe.key);
 	const char *to;
 	int i;
 
-	mem->probe.asked = true;
+	mem->probe.indirect_sent = true;
 	for (i = 0; i < INDIRECT_PROBES && e != NULL; i++) {
 		to = mem_random_address(mem);
 		if (to == NULL || strcmp(to, e->member.node.address) == 0)
@@ -297,7 +310,7 @@
 }
 
 static void
-drop_relays(struct mem *mem, int64_t now_us)
+expire_relays(struct mem *mem, int64_t now_us)
 {
 	struct mem_relay *r, *next;
 
@@ -311,41 +324,47 @@
 	}
 }
 
-/* Asks one teller for the full records of the members it told of. */
+/*
+ * Requests the full records of missing members from one of the nodes that sent
+ * updates about them.
+ */
 static void
-ask_wanted(struct mem *mem, int64_t now_us)
+request_missing(struct mem *mem, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer key, from;
 	GByteArray *blob;
-	char *teller = NULL;
+	char *sender = NULL;
 	uint64_t be;
 
-	if (g_hash_table_size(mem->wanted) == 0 || now_us < mem->want_us)
+	if (g_hash_table_size(mem->missing_records) == 0 ||
+	    now_us < mem->next_want_us)
 		return;
-	mem->want_us = now_us + WANT_PAUSE_US;
+	mem->next_want_us = now_us + WANT_PAUSE_US;
 	blob = g_byte_array_new();
-	g_hash_table_iter_init(&iter, mem->wanted);
+	g_hash_table_iter_init(&iter, mem->missing_records);
 	while (g_hash_table_iter_next(&iter, &key, &from)) {
-		if (teller == NULL)
-			teller = g_strdup(from);
-		if (strcmp(teller, from) != 0)
+		if (sender == NULL)
+			sender = g_strdup(from);
+		if (strcmp(sender, from) != 0)
 			continue;
 		be = GUINT64_TO_BE(*(uint64_t *)key);
 		g_byte_array_append(blob, (guint8 *)&be, sizeof(be));
 		g_hash_table_iter_remove(&iter);
-		if (blob->len >= WANTS_AT_ONCE * sizeof(be))
+		if (blob->len >= WANTS_MAX * sizeof(be))
 			break;
 	}
-	send_blob(mem, teller, MEM_WANT, 0, 0, blob);
+	send_blob(mem, sender, MEM_WANT, 0, 0, blob);
 	g_byte_array_unref(blob);
-	g_free(teller);
+	g_free(sender);
 }
 
-/* Beside the probes, so that an operator soon sees where a change is in
- * force; from credit that other news leaves. */
+/*
+ * Sends the settings map apart from the probes, so that an operator soon sees
+ * where a change is active; it uses only credit that other updates leave.
+ */
 static void
-pass_map(struct mem *mem)
+send_map(struct mem *mem)
 {
 	const char *to = mem_random_address(mem);
 
@@ -362,29 +381,32 @@
 	refill(mem, now_us);
 	mem->last_tick_us = now_us;
 	if (gap_us > MAX(period_us, PAUSE_TICKS * MEM_TICK_MS * 1000)) {
-		/* We were paused: answers lie unread, the others' silence is
-		 * ours. Blaming them would empty the table on waking. */
-		mem_forgive(mem, gap_us);
+		/*
+		 * This process was paused: acks are waiting unread, so missing
+		 * ones say nothing about the other nodes. Suspecting those
+		 * would empty the table.
+		 */
+		mem_extend_suspicions(mem, gap_us);
 		mem->probe.key = 0;
-		mem->period_us = now_us + period_us;
+		mem->next_probe_us = now_us + period_us;
 		return;
 	}
-	drop_relays(mem, now_us);
+	expire_relays(mem, now_us);
 	if (mem->probe.key != 0 && now_us >= mem->probe.end_us)
 		end_probe(mem, now_us);
-	if (mem->probe.key != 0 && !mem->probe.asked &&
+	if (mem->probe.key != 0 && !mem->probe.indirect_sent &&
 	    now_us >= mem->probe.indirect_us)
-		ask_others(mem);
-	if (now_us >= mem->period_us) {
-		mem->period_us += period_us;
+		request_indirect_probes(mem);
+	if (now_us >= mem->next_probe_us) {
+		mem->next_probe_us += period_us;
 		mem_expire(mem, now_us);
 		start_probe(mem, now_us);
 		probe_dead(mem);
 		probe_seeds(mem);
 	}
-	ask_wanted(mem, now_us);
-	if (mem->map_sends_left > 0 && mem->bytes >= MAP_CREDIT)
-		pass_map(mem);
+	request_missing(mem, now_us);
+	if (mem->map_sends_left > 0 && mem->byte_credit >= MAP_CREDIT)
+		send_map(mem);
 	mem_flush(mem, now_us);
 }
 
@@ -393,7 +415,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-take_ping_req(
+handle_ping_req(
     struct mem *mem, int64_t now_us, const char *from, const struct mem_msg *m)
 {
 	struct mem_entry *e = mem_entry(mem, m->target);
@@ -403,17 +425,17 @@
 		return;
 	r = g_new0(struct mem_relay, 1);
 	r->seq = ++mem->seq;
-	r->asker_seq = m->seq;
+	r->requester_seq = m->seq;
 	r->until_us = now_us + (int64_t)mem->conf.gossip_ms * 1000;
-	g_strlcpy(r->asker, from, sizeof(r->asker));
+	g_strlcpy(r->requester, from, sizeof(r->requester));
 	LIST_INSERT_HEAD(&mem->relays, r, link);
 	mem->nrelays++;
-	mem_send(
-	    mem, e->member.node.address, MEM_PING, r->seq, 0, to_be_refuted(e));
+	mem_send(mem, e->member.node.address, MEM_PING, r->seq, 0,
+	    refutable_update(e));
 }
 
 static void
-take_ack(struct mem *mem, const struct mem_msg *m)
+handle_ack(struct mem *mem, const struct mem_msg *m)
 {
 	struct mem_relay *r;
 
@@ -424,7 +446,8 @@
 	LIST_FOREACH (r, &mem->relays, link) {
 		if (r->seq != m->seq)
 			continue;
-		mem_send(mem, r->asker, MEM_ACK, r->asker_seq, m->from, NULL);
+		mem_send(mem, r->requester, MEM_ACK, r->requester_seq, m->from,
+		    NULL);
 		LIST_REMOVE(r, link);
 		g_free(r);
 		mem->nrelays--;
@@ -449,7 +472,7 @@
 		g_byte_array_set_size(one, 0);
 		mem_pack_full(one, e);
 		if (blob->len + one->len > ROOM_MAX)
-			break; /* the rest is asked for again */
+			break; /* the receiver requests the rest again */
 		g_byte_array_append(blob, one->data, one->len);
 	}
 	if (blob->len > 0)
@@ -464,9 +487,9 @@
 	return (int64_t)mem->by_id->len * 20; /* see mem_pack_state() */
 }
 
-/* `many`: the peer knows many members that we lack. */
+/* `many`: the peer knows many members that are missing here. */
 static void
-ask_for_sync(struct mem *mem, const char *address, int64_t now_us, bool many)
+request_sync(struct mem *mem, const char *address, int64_t now_us, bool many)
 {
 	int64_t period_us = (int64_t)mem->conf.gossip_ms * 1000;
 	int64_t list_us = list_bytes(mem) * G_USEC_PER_SEC;
@@ -479,106 +502,119 @@
 	else
 		pause_us =
 		    MAX(SYNC_PERIODS * period_us, list_us / SYNC_BYTES_S);
-	/* Spread by up to a quarter, so that not all ask in the same instant. */
+	/*
+	 * Spread by up to a quarter, so that nodes do not all sync at the same
+	 * instant.
+	 */
 	pause_us += pause_us * (int64_t)(mem->self->key % 256) / 1024;
-	if (mem->synced_us != 0 && now_us < mem->synced_us + pause_us)
+	if (mem->sync_started_us != 0 &&
+	    now_us < mem->sync_started_us + pause_us)
 		return;
-	mem->synced_us = now_us;
-	mem->differ = 0;
+	mem->sync_started_us = now_us;
+	mem->digest_mismatches = 0;
 	mem->ops->sync(address, mem->ctx);
 }
 
 static void
-compare_views(struct mem *mem, const struct mem_entry *e,
+compare_digests(struct mem *mem, const struct mem_entry *e,
     const struct mem_msg *m, int64_t now_us)
 {
 	bool many;
 
-	if (m->view == mem->view) {
-		mem->differ -= mem->differ > 0;
+	if (m->table_digest == mem->table_digest) {
+		mem->digest_mismatches -= mem->digest_mismatches > 0;
 		return;
 	}
-	/* News that is still going round makes tables differ by itself; a list
-	 * that is no larger than a datagram is not worth the wait. */
+	/*
+	 * Updates still in flight make the tables differ temporarily, so wait
+	 * for some periods; a list that fits into one datagram is too cheap to
+	 * be worth waiting.
+	 */
 	if (list_bytes(mem) <= DGRAM_MAX ||
 	    now_us - mem->changed_us >
-		NEWS_PERIODS * (int64_t)mem->conf.gossip_ms * 1000)
-		mem->differ++;
-	many = g_hash_table_size(mem->wanted) > WANTS_AT_ONCE ||
-	    m->members > mem->alive + WANTS_AT_ONCE;
-	if (!mem->joined || mem->differ >= SYNC_DIFFER || many)
-		ask_for_sync(mem, e->member.node.address, now_us, many);
+		SPREAD_PERIODS * (int64_t)mem->conf.gossip_ms * 1000)
+		mem->digest_mismatches++;
+	many = g_hash_table_size(mem->missing_records) > WANTS_MAX ||
+	    m->members > mem->alive + WANTS_MAX;
+	if (!mem->joined || mem->digest_mismatches >= SYNC_MISMATCHES || many)
+		request_sync(mem, e->member.node.address, now_us, many);
 }
 
-/* Facts of the sender that every datagram carries. */
+/* Applies the facts about the sender that every datagram carries. */
 static void
-take_header(struct mem *mem, struct mem_entry *e, const struct mem_msg *m,
+handle_header(struct mem *mem, struct mem_entry *e, const struct mem_msg *m,
     int64_t now_us)
 {
 	const struct mem_member *self = &mem->self->member;
 
 	if (m->incarnation < e->member.node.incarnation)
-		return; /* sent in an earlier life or before a refutation */
-	mem_seen_settings(mem, e, m->settings);
-	/* The way here counts too, or ages would creep down in a cut region as
-	 * its nodes tell one another; a datagram that lay here while we were
-	 * paused is of unknown age. */
+		return; /* sent before a restart or a refutation */
+	mem_record_settings(mem, e, m->settings);
+	/*
+	 * Add the transit time, otherwise the age would shrink step by step in
+	 * a region that is cut off while its nodes exchange it. A datagram that
+	 * was queued here while this process was paused has an unknown age.
+	 */
 	if (m->age_ms < INT32_MAX &&
 	    now_us - mem->last_tick_us <= 2 * MEM_TICK_MS * 1000) {
 		mem_set_fresh(
 		    mem, now_us - ((int64_t)m->age_ms + HOP_MS) * 1000);
 	}
-	e->member.fence = MAX(e->member.fence, m->fence);
-	if (m->fence < self->fence)
-		mem_renote(mem);
+	e->member.fence_sum = MAX(e->member.fence_sum, m->fence);
+	if (m->fence < self->fence_sum)
+		mem_resend_role_notes(mem);
 	if (m->settings > self->settings) {
 		mem->ops->settings_differ(
 		    e->member.node.address, m->settings, mem->ctx);
 	}
-	compare_views(mem, e, m, now_us);
+	compare_digests(mem, e, m, now_us);
 }
 
 static void
-take_from_unknown(
+handle_unknown_sender(
     struct mem *mem, const char *from, const struct mem_msg *m, int64_t now_us)
 {
 	uint64_t *wanted = g_new(uint64_t, 1);
 
 	*wanted = m->from;
-	g_hash_table_replace(mem->wanted, wanted, g_strdup(from));
+	g_hash_table_replace(mem->missing_records, wanted, g_strdup(from));
 	if (!mem->joined)
-		ask_for_sync(mem, from, now_us, true);
+		request_sync(mem, from, now_us, true);
 }
 
 void
-mem_take(struct mem *mem, int64_t now_us, const char *from, enum mem_type type,
-    const struct mem_msg *m)
+mem_receive(struct mem *mem, int64_t now_us, const char *from,
+    enum mem_type type, const struct mem_msg *m)
 {
 	struct mem_entry *e = mem_entry(mem, m->from);
 	struct mem_map map = { 0 };
 
 	if (e == mem->self)
-		return; /* our own, by a seed or hint that names us */
+		return; /* from this node itself, by a seed or hint */
 	refill(mem, now_us);
 	if (type == MEM_WANT)
 		answer_want(mem, from, m->updates);
 	else
-		mem_take_updates(mem, now_us, from, m->updates, &map);
+		mem_apply_updates(mem, now_us, from, m->updates, &map);
 	e = mem_entry(mem, m->from);
 	if (e == NULL ||
-	    mem_life(m->incarnation) > mem_life(e->member.node.incarnation))
-		take_from_unknown(mem, from, m, now_us);
+	    mem_start_ms(m->incarnation) >
+		mem_start_ms(e->member.node.incarnation))
+		handle_unknown_sender(mem, from, m, now_us);
 	else
-		take_header(mem, e, m, now_us);
-	/* The bits count members in order: only equal tables agree on it. */
-	if (map.bits.len > 0 && m->view == mem->view)
-		mem_take_map(mem, map.settings, map.bits);
+		handle_header(mem, e, m, now_us);
+	/*
+	 * The bits are in member order, which is the same only if the tables
+	 * are.
+	 */
+	if (map.bits.len > 0 && m->table_digest == mem->table_digest)
+		mem_apply_map(mem, map.settings, map.bits);
 	if (type == MEM_PING)
 		mem_send(mem, from, MEM_ACK, m->seq, 0,
-		    e == NULL ? NULL : to_be_refuted(e));
+		    e == NULL ? NULL : refutable_update(e));
 	else if (type == MEM_ACK)
-		take_ack(mem, m);
+		handle_ack(mem, m);
 	else if (type == MEM_PING_REQ)
-		take_ping_req(mem, now_us, from, m);
+		handle_ping_req(mem, now_us, from, m);
 	mem_flush(mem, now_us);
 }
--- a/lib/agree/mem_wire.c
+++ b/lib/agree/mem_wire.c
@@ -1,4 +1,4 @@
-/* Membership: updates as they travel in datagrams, and table syncs. */
+/* Membership: encoding of updates in datagrams, and table syncs. */
 
 #include <msgpack.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "agree/mem_internal.h"
 
 /*
- * A blob is a row of msgpack arrays, told apart by their length:
+ * A blob is a sequence of msgpack arrays, distinguished by their length:
  *   2  [settings digest, bits]: which members have it, see mem_in_force.c
  *   3  [key, incarnation, state]
  *   4  [note kind, name, number, text]
@@ -14,9 +14,11 @@
  */
 #define STATE_BYTES 20 /* largest encoding */
 #define NOTE_BYTES (2 + 9 + 2 + INF_BRANCH_MAX + 2 + MEM_ID_MAX)
-/* What comes in a larger page of a sync is no news to the others: passing it
- * on would fill all datagrams for minutes after a cold start. */
-#define NEWS_BYTES 1500
+/*
+ * The members in a larger page of a sync are known to the other nodes already:
+ * forwarding them would fill all datagrams for minutes after a cold start.
+ */
+#define BULK_PAGE_BYTES 1500
 
 static const struct msg_field mem_fields[] = {
 	MSG_FIELD(struct mem_msg, from, MSG_U64, 0),
@@ -25,7 +27,7 @@
 	MSG_FIELD(struct mem_msg, target, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, settings, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, fence, MSG_U64, 0),
-	MSG_FIELD(struct mem_msg, view, MSG_U64, 0),
+	MSG_FIELD(struct mem_msg, table_digest, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, members, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, age_ms, MSG_U64, 0),
 	MSG_FIELD(struct mem_msg, updates, MSG_BIN, DGRAM_MAX),
@@ -132,7 +134,7 @@
 static void
 pack_notes(struct mem *mem, GByteArray *out, size_t room)
 {
-	struct mem_noted *n;
+	struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->sends_left == 0 || out->len + NOTE_BYTES > room)
@@ -183,7 +185,7 @@
 }
 
 static void
-take_state(struct mem *mem, int64_t now_us, const char *from,
+apply_state(struct mem *mem, int64_t now_us, const char *from,
     const msgpack_object *field)
 {
 	uint64_t key, incarnation, state;
@@ -195,7 +197,7 @@
 }
 
 static void
-take_full(struct mem *mem, int64_t now_us, const msgpack_object *field)
+apply_full(struct mem *mem, int64_t now_us, const msgpack_object *field)
 {
 	struct mem_node node = { 0 };
 	uint64_t state, kind;
@@ -206,7 +208,7 @@
 	    !get_text(&field[3], MEM_ADDRESS_MAX, node.address) ||
 	    !get_text(&field[4], MEM_DOMAIN_MAX, node.domain) ||
 	    !get_text(&field[5], MEM_DOMAIN_MAX, node.region) ||
-	    !get_number(&field[6], MEM_SIDE, &kind) ||
+	    !get_number(&field[6], MEM_SIDECAR, &kind) ||
 	    !get_text(&field[7], MEM_INFO_MAX, node.info))
 		return;
 	node.kind = (enum mem_kind)kind;
@@ -214,7 +216,7 @@
 }
 
 static void
-take_map(const msgpack_object *field, struct mem_map *map)
+read_map(const msgpack_object *field, struct mem_map *map)
 {
 	if (map == NULL || field[1].type != MSGPACK_OBJECT_BIN ||
 	    !get_number(&field[0], UINT64_MAX, &map->settings))
@@ -224,7 +226,7 @@
 }
 
 static void
-take_note(struct mem *mem, const char *from, const msgpack_object *field)
+apply_note(struct mem *mem, const char *from, const msgpack_object *field)
 {
 	struct mem_note note = { 0 };
 	uint64_t kind;
@@ -235,16 +237,19 @@
 	    !get_text(&field[3], MEM_ID_MAX, note.text))
 		return;
 	note.kind = (enum mem_note_kind)kind;
-	/* A branch is passed on once it is here, or those who hear of it from
-	 * us would ask us in vain. */
+	/*
+	 * A note about a branch is forwarded only once the branch is stored
+	 * here; otherwise its receivers would request the branch from this node
+	 * in vain.
+	 */
 	if (note.kind == MEM_NOTE_BRANCH)
-		mem->ops->noted(&note, from, mem->ctx);
+		mem->ops->note_received(&note, from, mem->ctx);
 	else if (mem_note_merge(mem, &note))
-		mem->ops->noted(&note, from, mem->ctx);
+		mem->ops->note_received(&note, from, mem->ctx);
 }
 
 void
-mem_take_updates(struct mem *mem, int64_t now_us, const char *from,
+mem_apply_updates(struct mem *mem, int64_t now_us, const char *from,
     struct slice updates, struct mem_map *map)
 {
 	msgpack_unpacked got;
@@ -262,18 +267,18 @@
 		field = o->via.array.ptr;
 		switch (o->via.array.size) {
 		case 2:
-			take_map(field, map);
+			read_map(field, map);
 			break;
 		case 3:
-			take_state(mem, now_us, from, field);
+			apply_state(mem, now_us, from, field);
 			break;
 		case 4:
-			take_note(mem, from, field);
+			apply_note(mem, from, field);
 			break;
 		case 8:
-			take_full(mem, now_us, field);
+			apply_full(mem, now_us, field);
 			break;
-		default: /* from a newer release */
+		default: /* array of a newer release */
 			break;
 		}
 	}
@@ -281,13 +286,13 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Taking over a table                                                 */
+/* Table sync                                                          */
 /* ------------------------------------------------------------------ */
 
 static void
 pack_roles(const struct mem *mem, GByteArray *out)
 {
-	const struct mem_noted *n;
+	const struct mem_note_entry *n;
 
 	LIST_FOREACH (n, &mem->notes, link) {
 		if (n->note.kind == MEM_NOTE_ROLE)
@@ -296,7 +301,7 @@
 }
 
 GByteArray *
-mem_roles(const struct mem *mem)
+mem_pack_role_notes(const struct mem *mem)
 {
 	GByteArray *out = g_byte_array_new();
 
@@ -333,7 +338,7 @@
 }
 
 static void
-page_record(struct pages *p, const struct mem_entry *e)
+pack_record(struct pages *p, const struct mem_entry *e)
 {
 	mem_pack_full(p->bytes, e);
 	if (p->bytes->len >= MEM_PAGE_BYTES)
@@ -344,7 +349,7 @@
 	uint64_t key, incarnation, state;
 };
 
-/* Key -> struct listed, which holds the key. */
+/* Maps key -> struct listed, which holds the key. */
 static GHashTable *
 read_list(struct slice list)
 {
@@ -354,7 +359,7 @@
 	size_t at = 0;
 	const msgpack_object *field;
 	struct listed l;
-	struct listed *kept;
+	struct listed *stored;
 
 	if (!msg_bounded(list))
 		return known;
@@ -368,15 +373,15 @@
 		    !get_number(&field[1], UINT64_MAX, &l.incarnation) ||
 		    !get_number(&field[2], MEM_DEAD, &l.state))
 			continue;
-		kept = g_memdup2(&l, sizeof(l));
-		g_hash_table_replace(known, &kept->key, kept);
+		stored = g_memdup2(&l, sizeof(l));
+		g_hash_table_replace(known, &stored->key, stored);
 	}
 	msgpack_unpacked_destroy(&got);
 	return known;
 }
 
 static void
-page_missing(struct mem *mem, GHashTable *known, struct pages *p)
+pack_missing(struct mem *mem, GHashTable *known, struct pages *p)
 {
 	const struct mem_entry *e;
 	const struct listed *theirs;
@@ -390,8 +395,9 @@
 		if (e->member.state == MEM_DEAD && theirs == NULL)
 			continue;
 		if (theirs == NULL ||
-		    mem_life(theirs->incarnation) < mem_life(incarnation))
-			page_record(p, e);
+		    mem_start_ms(theirs->incarnation) <
+			mem_start_ms(incarnation))
+			pack_record(p, e);
 		else if (theirs->incarnation < incarnation ||
 		    (theirs->incarnation == incarnation &&
 			theirs->state < e->member.state))
@@ -404,7 +410,7 @@
 mem_sync_answer(struct mem *mem, int64_t now_us, struct slice list,
     mem_page_cb *page, void *ctx)
 {
-	GByteArray *lacking = g_byte_array_new();
+	GByteArray *missing = g_byte_array_new();
 	GHashTable *known = read_list(list);
 	struct pages p = { g_byte_array_new(), page, ctx };
 	GHashTableIter iter;
@@ -413,9 +419,12 @@
 	const struct mem_entry *e;
 	uint64_t be;
 
-	/* No teller: what we lack is asked for over this connection. */
-	mem_take_updates(mem, now_us, NULL, list, NULL);
-	page_missing(mem, known, &p);
+	/*
+	 * `from` is NULL, so that no record is requested from it: the missing
+	 * ones are requested over this connection.
+	 */
+	mem_apply_updates(mem, now_us, NULL, list, NULL);
+	pack_missing(mem, known, &p);
 	end_page(&p);
 	g_hash_table_iter_init(&iter, known);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -423,15 +432,15 @@
 		e = mem_entry(mem, theirs->key);
 		if (theirs->state == MEM_DEAD ||
 		    (e != NULL &&
-			mem_life(theirs->incarnation) <=
-			    mem_life(e->member.node.incarnation)))
+			mem_start_ms(theirs->incarnation) <=
+			    mem_start_ms(e->member.node.incarnation)))
 			continue;
 		be = GUINT64_TO_BE(theirs->key);
-		g_byte_array_append(lacking, (guint8 *)&be, sizeof(be));
+		g_byte_array_append(missing, (guint8 *)&be, sizeof(be));
 	}
 	g_hash_table_unref(known);
 	g_byte_array_unref(p.bytes);
-	return lacking;
+	return missing;
 }
 
 void
@@ -447,7 +456,7 @@
 		memcpy(&key, keys.data + i, sizeof(key));
 		e = mem_entry(mem, GUINT64_FROM_BE(key));
 		if (e != NULL && e->member.state != MEM_DEAD)
-			page_record(&p, e);
+			pack_record(&p, e);
 	}
 	end_page(&p);
 	g_byte_array_unref(p.bytes);
@@ -457,13 +466,13 @@
 mem_sync_page(struct mem *mem, int64_t now_us, struct slice page)
 {
 	mem->joined = true;
-	mem->many_news = page.len > NEWS_BYTES;
-	mem_take_updates(mem, now_us, NULL, page, NULL);
-	mem->many_news = false;
+	mem->bulk_page = page.len > BULK_PAGE_BYTES;
+	mem_apply_updates(mem, now_us, NULL, page, NULL);
+	mem->bulk_page = false;
 }
 
 void
 mem_sync_roles(struct mem *mem, int64_t now_us, struct slice roles)
 {
-	mem_take_updates(mem, now_us, NULL, roles, NULL);
+	mem_apply_updates(mem, now_us, NULL, roles, NULL);
 }
--- a/tests/agree/mem_net.h
+++ b/tests/agree/mem_net.h
@@ -2,8 +2,9 @@
 #define MEM_NET_H
 
 /*
- * A small lossy network in memory for tests of membership: it carries what
- * the shipped code sends, on a clock of its own. Include after cmocka.h.
+ * A small in-memory network with packet loss and a virtual clock for tests of
+ * membership; it carries what the code under test sends. Include after
+ * cmocka.h.
  */
 
 #include <stdio.h>
@@ -13,7 +14,7 @@
 
 #define NODES_MAX 300
 #define STEP_MS 10
-#define DELAY_STEPS 3 /* 10 to 30 ms on the way */
+#define DELAY_STEPS 3 /* transit time of 10 to 30 ms */
 #define PROOF_BYTES 16
 
 struct packet {
@@ -28,9 +29,9 @@
 	struct mem *mem;
 	struct net *net;
 	unsigned int number;
-	int64_t bytes; /* sent and received, with table syncs */
+	int64_t bytes; /* sent and received, including table syncs */
 	bool paused, pause_at_ping;
-	unsigned int deaths, suspicions; /* that it saw */
+	unsigned int deaths, suspicions; /* that this node observed */
 };
 
 struct net {
@@ -106,12 +107,12 @@
 }
 
 static inline void
-on_noted(const struct mem_note *note, const char *from, void *ctx)
+on_note(const struct mem_note *note, const char *from, void *ctx)
 {
 }
 
 static inline void
-on_differ(const char *address, uint64_t settings, void *ctx)
+on_settings_differ(const char *address, uint64_t settings, void *ctx)
 {
 }
 
@@ -120,7 +121,7 @@
 };
 
 static inline void
-give_page(struct slice page, void *ctx)
+deliver_page(struct slice page, void *ctx)
 {
 	struct page_to *p = ctx;
 
@@ -136,26 +137,27 @@
 	struct net *net = node->net;
 	struct node *peer = &net->nodes[number_of(address)];
 	struct page_to to_us = { peer, node }, to_peer = { node, peer };
-	GByteArray *list, *lacking;
+	GByteArray *list, *missing;
 
 	if (!passes(net, node->number, peer->number) || peer->paused)
 		return;
 	list = mem_sync_list(node->mem);
 	node->bytes += list->len;
 	peer->bytes += list->len;
-	lacking = mem_sync_answer(peer->mem, now_us(net),
-	    (struct slice){ list->data, list->len }, give_page, &to_us);
+	missing = mem_sync_answer(peer->mem, now_us(net),
+	    (struct slice){ list->data, list->len }, deliver_page, &to_us);
 	mem_sync_records(node->mem,
-	    (struct slice){ lacking->data, lacking->len }, give_page, &to_peer);
+	    (struct slice){ missing->data, missing->len }, deliver_page,
+	    &to_peer);
 	g_byte_array_unref(list);
-	g_byte_array_unref(lacking);
+	g_byte_array_unref(missing);
 }
 
 static const struct mem_ops ops = {
 	.send = on_send,
 	.changed = on_changed,
-	.noted = on_noted,
-	.settings_differ = on_differ,
+	.note_received = on_note,
+	.settings_differ = on_settings_differ,
 	.sync = on_sync,
 };
 
@@ -195,7 +197,7 @@
 		next = p->next;
 		snprintf(from, sizeof(from), "10.0.0.1:%u", 1000 + p->from);
 		if (net->nodes[p->to].mem != NULL && !net->nodes[p->to].paused)
-			mem_take(net->nodes[p->to].mem, now_us(net), from,
+			mem_receive(net->nodes[p->to].mem, now_us(net), from,
 			    p->type, &p->msg);
 		g_free(p->updates);
 		g_free(p);
@@ -220,7 +222,7 @@
 }
 
 static inline unsigned int
-seeing(struct net *net, unsigned int about, enum mem_state state)
+count_seeing(struct net *net, unsigned int about, enum mem_state state)
 {
 	const struct mem_member *m;
 	unsigned int i, count = 0;
@@ -249,7 +251,10 @@
 	return true;
 }
 
-/* Virtual seconds until all know all; fails the test after `limit_s`. */
+/*
+ * Runs until every node knows `count` members and returns the virtual seconds
+ * that this took; fails the test after `limit_s`.
+ */
 static inline int
 settle(struct net *net, unsigned int count, int limit_s)
 {
--- a/tests/agree/test_agr.c
+++ b/tests/agree/test_agr.c
@@ -1,4 +1,4 @@
-/* Whole nodes on loopback, with a small object API in memory. */
+/* Complete nodes on loopback, with a small in-memory object API. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -28,7 +28,7 @@
 	struct plat *plat;
 	struct agr *agr;
 	struct agr_role *role;
-	struct agr_gate *gate;
+	struct agr_fencing *fencing;
 	bool ready;
 	unsigned int changed, gained, lost;
 	uint64_t fence;
@@ -143,7 +143,7 @@
 		fail_msg("%s", err.message);
 }
 
-/* As a crash: nothing is said to anybody. */
+/* Stops a node as a crash would: it announces nothing. */
 static void
 stop_node(int i)
 {
@@ -152,7 +152,7 @@
 	if (n->agr == NULL)
 		return;
 	agr_free(n->agr);
-	agr_gate_free(n->gate);
+	agr_fencing_free(n->fencing);
 	n->agr = NULL;
 	conn_server_free(n->server);
 	run_for(20);
@@ -182,9 +182,9 @@
 	return 0;
 }
 
-/* Runs the loop until `holds(arg)`; a hang ends the test. */
+/* Runs the loop until `holds(arg)`; fails the test after PATIENCE_MS. */
 static void
-run_while_not(bool (*holds)(int arg), int arg)
+run_until_holds(bool (*holds)(int arg), int arg)
 {
 	int waited;
 
@@ -231,13 +231,13 @@
 }
 
 static bool
-counted_in_force(int n)
+all_active(int n)
 {
-	struct agr_in_force f;
+	struct agr_active_count f;
 	size_t overdue;
 
-	agr_in_force(nodes[0].agr, &f, NULL, 0, &overdue);
-	return f.nodes == (unsigned)n && f.in_force == (unsigned)n;
+	agr_active_count(nodes[0].agr, &f, NULL, 0, &overdue);
+	return f.nodes == (unsigned)n && f.active == (unsigned)n;
 }
 
 struct written {
@@ -274,62 +274,62 @@
 }
 
 /*
- * A change through one node is in force on all; a second one against the old
- * version loses and shows what is there; one that the parent forbids is
- * refused before it is written.
+ * A change made through one node becomes active on all. A second write against
+ * the old version fails and returns the present version. A write beyond the
+ * root branch's limits is rejected before it is sent.
  */
 static void
-test_change_is_in_force_everywhere(void **state)
+test_change_becomes_active_everywhere(void **state)
 {
 	struct written w;
 	unsigned int writes;
 	int i;
 
 	for (i = 0; i < NODES; i++)
-		start_node(i, i < 2 ? MEM_ENTRY : MEM_SIDE);
-	run_while_not(all_ready, NODES);
+		start_node(i, i < 2 ? MEM_GATEWAY : MEM_SIDECAR);
+	run_until_holds(all_ready, NODES);
 	w = set_konya(0, 100, 0);
 	assert_int_equal(w.code, ERR_NONE);
 	assert_int_equal(w.version, 1);
 	assert_int_equal(agr_branch(nodes[0].agr, "konya")->version, 1);
-	run_while_not(konya_everywhere, 1);
-	run_while_not(counted_in_force, NODES);
+	run_until_holds(konya_everywhere, 1);
+	run_until_holds(all_active, NODES);
 	w = set_konya(1, 200, 0);
 	assert_int_equal(w.code, ERR_CONFLICT);
 	assert_int_equal(w.now_version, 1);
 	writes = api.writes;
-	w = set_konya(1, 5000, 1); /* more than the root allows */
+	w = set_konya(1, 5000, 1); /* more than the root branch allows */
 	assert_int_equal(w.code, ERR_INVALID);
 	assert_int_equal(api.writes, writes);
 	w = set_konya(1, 200, 1);
 	assert_int_equal(w.code, ERR_NONE);
-	run_while_not(konya_everywhere, 2);
+	run_until_holds(konya_everywhere, 2);
 }
 
 /*
- * Somebody writes a broken text past us. It is counted, and the version in
- * force stays; the next good one is taken.
+ * A broken text is written without our validation. It is counted as refused,
+ * the active version stays, and the next valid one is accepted.
  */
 static void
-test_broken_branch_is_not_taken(void **state)
+test_invalid_branch_is_refused(void **state)
 {
-	start_node(0, MEM_ENTRY);
-	start_node(1, MEM_SIDE);
-	run_while_not(all_ready, 2);
+	start_node(0, MEM_GATEWAY);
+	start_node(1, MEM_SIDECAR);
+	run_until_holds(all_ready, 2);
 	set_konya(0, 100, 0);
-	run_while_not(konya_everywhere, 1);
+	run_until_holds(konya_everywhere, 1);
 	store(&api, "settings/konya", "x", "team: konya\nnonsense: 1\n");
 	run_for(500);
 	assert_true(konya_everywhere(1));
 	assert_true(
 	    ctr_read(nodes[0].node.counters, "agree_refused_branches") > 0);
 	set_konya(0, 300, 2);
-	run_while_not(konya_everywhere, 3);
+	run_until_holds(konya_everywhere, 3);
 }
 
 /*
- * The API is down when a node starts. With peers that have the settings it
- * begins to answer, alone it must not: it would know no team.
+ * The API is unavailable when a node starts. With peers that have the settings
+ * the node becomes ready. Without them it must not: it would know no workspace.
  */
 static void
 test_api_down_at_start(void **state)
@@ -337,25 +337,25 @@
 	int i;
 
 	for (i = 0; i < 3; i++)
-		start_node(i, MEM_ENTRY);
-	run_while_not(all_ready, 3);
+		start_node(i, MEM_GATEWAY);
+	run_until_holds(all_ready, 3);
 	set_konya(0, 100, 0);
-	run_while_not(konya_everywhere, 1);
+	run_until_holds(konya_everywhere, 1);
 	objects_down(&api, true);
-	start_node(3, MEM_SIDE);
-	run_while_not(all_ready, 4);
+	start_node(3, MEM_SIDECAR);
+	run_until_holds(all_ready, 4);
 	assert_int_equal(agr_branch(nodes[3].agr, "konya")->version, 1);
 	for (i = 0; i < NODES; i++)
 		stop_node(i);
 	seeds[0] = NULL;
-	start_node(0, MEM_ENTRY);
-	start_node(1, MEM_ENTRY);
-	run_for(3000); /* longer than the list's deadline */
+	start_node(0, MEM_GATEWAY);
+	start_node(1, MEM_GATEWAY);
+	run_for(3000); /* longer than the deadline of the list call */
 	assert_false(agr_is_ready(nodes[0].agr));
 	assert_false(agr_is_ready(nodes[1].agr));
 	objects_down(&api, false);
-	run_while_not(all_ready, 2);
-	run_while_not(konya_everywhere, 1);
+	run_until_holds(all_ready, 2);
+	run_until_holds(konya_everywhere, 1);
 }
 
 static int
@@ -379,67 +379,68 @@
 }
 
 static bool
-gate_passes(int fence)
+fencing_passes(int fence)
 {
-	return agr_gate_pass(nodes[3].gate, "rollout", (uint64_t)fence, NULL);
+	return agr_fencing_check(
+	    nodes[3].fencing, "rollout", (uint64_t)fence, NULL);
 }
 
 /*
- * One entry takes the role. It leaves, then its successor dies: each time
- * another takes it under a higher number, and the side refuses orders under
- * the old one, also after it restarted and knows nothing, also when the API
- * is away then and only the members can tell.
+ * A gateway holds the role. It leaves, then its successor crashes: each time
+ * another one takes over with a higher number, and the sidecar rejects orders
+ * with the old number. It must do so also after a restart without state, and
+ * also if only the members know the number because the API is unavailable.
  */
 static void
-test_role_moves_and_gate_holds(void **state)
+test_role_moves_and_stale_orders_are_rejected(void **state)
 {
 	struct err err = { 0 };
 	int i, first, second;
 	int64_t restarted_us;
 
 	for (i = 0; i < NODES; i++)
-		start_node(i, i < 3 ? MEM_ENTRY : MEM_SIDE);
-	run_while_not(all_ready, NODES);
+		start_node(i, i < 3 ? MEM_GATEWAY : MEM_SIDECAR);
+	run_until_holds(all_ready, NODES);
 	for (i = 0; i < 3; i++)
 		nodes[i].role = agr_role_join(
 		    nodes[i].agr, "rollout", &role_ops, &nodes[i]);
-	nodes[3].gate = agr_gate_new(nodes[3].agr);
-	run_while_not(other_holds, -1);
+	nodes[3].fencing = agr_fencing_new(nodes[3].agr);
+	run_until_holds(other_holds, -1);
 	first = holder();
 	assert_int_equal(nodes[first].fence, 1);
-	assert_false(agr_gate_pass(nodes[3].gate, "rollout", 1, &err));
+	assert_false(agr_fencing_check(nodes[3].fencing, "rollout", 1, &err));
 	assert_int_equal(err.code, ERR_UNAVAILABLE);
-	run_while_not(gate_passes, 1);
+	run_until_holds(fencing_passes, 1);
 
 	agr_role_leave(nodes[first].role);
 	nodes[first].role = NULL;
-	run_while_not(other_holds, first);
+	run_until_holds(other_holds, first);
 	second = holder();
 	assert_int_equal(nodes[second].fence, 2);
-	run_while_not(gate_passes, 2);
-	assert_false(agr_gate_pass(nodes[3].gate, "rollout", 1, &err));
+	run_until_holds(fencing_passes, 2);
+	assert_false(agr_fencing_check(nodes[3].fencing, "rollout", 1, &err));
 	assert_int_equal(err.code, ERR_STALE_FENCE);
 
 	nodes[second].role = NULL;
 	stop_node(second);
-	run_while_not(other_holds, second);
+	run_until_holds(other_holds, second);
 	assert_int_equal(nodes[holder()].fence, 3);
 	assert_int_equal(api.refused, 0);
 
-	/* An order may come before the news of its holder. */
-	assert_true(gate_passes(4));
-	assert_false(gate_passes(3));
+	/* An order may arrive before the note about its holder. */
+	assert_true(fencing_passes(4));
+	assert_false(fencing_passes(3));
 
 	stop_node(3);
 	objects_down(&api, true);
-	start_node(3, MEM_SIDE);
+	start_node(3, MEM_SIDECAR);
 	restarted_us = g_get_monotonic_time();
-	nodes[3].gate = agr_gate_new(nodes[3].agr);
-	run_while_not(gate_passes, 3);
-	/* Not before the members have surely heard of the last number. */
+	nodes[3].fencing = agr_fencing_new(nodes[3].agr);
+	run_until_holds(fencing_passes, 3);
+	/* Not before the members have certainly received the last number. */
 	assert_true(g_get_monotonic_time() - restarted_us >=
 	    LEASE_MS * G_USEC_PER_SEC / 1000);
-	assert_false(agr_gate_pass(nodes[3].gate, "rollout", 2, &err));
+	assert_false(agr_fencing_check(nodes[3].fencing, "rollout", 2, &err));
 	assert_int_equal(err.code, ERR_STALE_FENCE);
 }
 
@@ -448,13 +449,14 @@
 {
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-		    test_change_is_in_force_everywhere, set_up, tear_down),
+		    test_change_becomes_active_everywhere, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-		    test_broken_branch_is_not_taken, set_up, tear_down),
+		    test_invalid_branch_is_refused, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 		    test_api_down_at_start, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-		    test_role_moves_and_gate_holds, set_up, tear_down),
+		    test_role_moves_and_stale_orders_are_rejected, set_up,
+		    tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/agree/test_inf.c
+++ b/tests/agree/test_inf.c
@@ -1,4 +1,4 @@
-/* Which offered settings are taken, when a node may begin, who is first. */
+/* Which offered settings are accepted, when a node may serve, and ranks. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,15 +17,15 @@
 			   "  konya: {requests_s: 10, queue: 9000}\n";
 
 static int64_t
-in_force(struct inf *inf)
+active_limit(struct inf *inf)
 {
 	return cfg_int(inf_find(inf, "konya")->cfg, "limits.requests_s");
 }
 
 /*
- * A watcher that was paused wakes and offers what was in force long ago; a
- * peer from a cut region and a slow answer do the same. An accepted change
- * would revert for everybody who listens to them.
+ * A watcher that resumes after a pause, a peer from a region that was cut off
+ * or a delayed response offers a version that was active long ago. Accepting it
+ * would revert an accepted change on all nodes that get it from here.
  */
 static void
 test_versions_only_grow(void **state)
@@ -33,23 +33,25 @@
 	struct inf *inf = inf_new();
 	uint64_t digest, before = inf_digest(inf);
 
-	assert_int_equal(inf_offer(inf, "konya", 7, v2, NULL), INF_TAKEN);
+	assert_int_equal(inf_offer(inf, "konya", 7, v2, NULL), INF_ACCEPTED);
 	digest = inf_digest(inf);
 	assert_true(digest > before);
-	assert_int_equal(inf_offer(inf, "konya", 6, v1, NULL), INF_OLD);
-	assert_int_equal(inf_offer(inf, "konya", 7, v1, NULL), INF_OLD);
-	assert_int_equal(in_force(inf), 2);
+	assert_int_equal(inf_offer(inf, "konya", 6, v1, NULL), INF_STALE);
+	assert_int_equal(inf_offer(inf, "konya", 7, v1, NULL), INF_STALE);
+	assert_int_equal(active_limit(inf), 2);
 	assert_true(inf_digest(inf) == digest);
-	/* Going back is a new version. */
-	assert_int_equal(inf_offer(inf, "konya", 8, v1, NULL), INF_TAKEN);
-	assert_int_equal(in_force(inf), 1);
+	/* A rollback is a new version. */
+	assert_int_equal(inf_offer(inf, "konya", 8, v1, NULL), INF_ACCEPTED);
+	assert_int_equal(active_limit(inf), 1);
 	assert_true(inf_digest(inf) > digest);
 	inf_free(inf);
 }
 
-/* A text that fails its check is refused once, not pulled again for ever. */
+/*
+ * A text that fails validation is refused once and not pulled again and again.
+ */
 static void
-test_broken_text_leaves_the_old_in_force(void **state)
+test_invalid_text_keeps_active_version(void **state)
 {
 	struct inf *inf = inf_new();
 	struct err err = { 0 };
@@ -57,14 +59,14 @@
 	inf_offer(inf, "konya", 1, v1, NULL);
 	assert_int_equal(inf_offer(inf, "konya", 2, broken, &err), INF_REFUSED);
 	assert_non_null(strstr(err.message, "requests_s"));
-	assert_int_equal(in_force(inf), 1);
-	assert_false(inf_is_news(inf, "konya", 2));
+	assert_int_equal(active_limit(inf), 1);
+	assert_false(inf_is_newer(inf, "konya", 2));
 	assert_int_equal(inf_offer(inf, "a.b", 1, v1, &err), INF_REFUSED);
-	assert_int_equal(inf_offer(inf, "konya", 3, v2, NULL), INF_TAKEN);
+	assert_int_equal(inf_offer(inf, "konya", 3, v2, NULL), INF_ACCEPTED);
 	inf_free(inf);
 }
 
-/* The parent bounds its children, whichever of the two is written. */
+/* The root branch limits the others, whichever of the two is written. */
 static void
 test_writes_are_checked_against_the_tree(void **state)
 {
@@ -88,9 +90,9 @@
 	inf_offer(ctx, branch->name, branch->version, branch->yaml, NULL);
 }
 
-/* Two parts that took different changes while apart end with the same. */
+/* Two partitions that accepted different changes converge after a merge. */
 static void
-test_pulls_both_ways_end_equal(void **state)
+test_pulls_both_ways_converge(void **state)
 {
 	struct inf *a = inf_new(), *b = inf_new();
 	GByteArray *known;
@@ -99,44 +101,45 @@
 	inf_offer(a, "konya", 1, v1, NULL);
 	inf_offer(b, INF_ROOT_BRANCH, 2, root, NULL);
 	inf_offer(b, "konya", 2, v2, NULL);
-	known = inf_known(a);
+	known = inf_pack_versions(a);
 	inf_each_newer(
 	    b, (struct slice){ known->data, known->len }, offer_to, a);
 	g_byte_array_unref(known);
-	known = inf_known(b);
+	known = inf_pack_versions(b);
 	inf_each_newer(
 	    a, (struct slice){ known->data, known->len }, offer_to, b);
 	g_byte_array_unref(known);
 	assert_true(inf_digest(a) == inf_digest(b));
-	assert_int_equal(in_force(a), 2);
+	assert_int_equal(active_limit(a), 2);
 	assert_int_equal(inf_find(b, INF_ROOT_BRANCH)->version, 3);
 	inf_free(a);
 	inf_free(b);
 }
 
 /*
- * A node that answers before it knows what was accepted would serve a state
- * that was left behind: it waits for the API, or several who have begun.
+ * A node that serves before it knows what was accepted would serve an outdated
+ * state: it waits for the API or for several peers that are ready.
  */
 static void
-test_start_waits_for_enough(void **state)
+test_start_waits_for_api_or_peers(void **state)
 {
 	struct inf_start s = { 0 };
 
-	assert_false(inf_may_begin(&s));
+	assert_false(inf_may_serve(&s));
 	s.api_failed = true;
 	s.waited_us = G_USEC_PER_SEC * INT64_C(3600);
-	assert_false(inf_may_begin(&s)); /* alone: never without the API */
+	/* a node without peers needs the API's list */
+	assert_false(inf_may_serve(&s));
 	s.peers_known = 5;
-	assert_false(inf_may_begin(&s));
-	s.peers_told = INF_PEERS_WANTED;
-	assert_true(inf_may_begin(&s));
+	assert_false(inf_may_serve(&s));
+	s.peers_answered = INF_PEERS_REQUIRED;
+	assert_true(inf_may_serve(&s));
 	s = (struct inf_start){ .api_read = true };
-	assert_true(inf_may_begin(&s)); /* the first node of all */
+	assert_true(inf_may_serve(&s)); /* the first node of all */
 	s.peers_known = 5;
-	assert_false(inf_may_begin(&s));
+	assert_false(inf_may_serve(&s));
 	s.waited_us = G_USEC_PER_SEC;
-	assert_true(inf_may_begin(&s));
+	assert_true(inf_may_serve(&s));
 }
 
 static void
@@ -151,9 +154,12 @@
 
 static const struct mem_ops no_ops = { .send = no_send, .changed = no_change };
 
-/* Node `self` of `n`, all alive, in three domains; `entries` come first. */
+/*
+ * Builds the member table of node `self` of `n` live nodes in three domains;
+ * the first `gateways` nodes are gateways.
+ */
 static struct mem *
-view_of(unsigned int self, unsigned int n, unsigned int entries)
+build_table(unsigned int self, unsigned int n, unsigned int gateways)
 {
 	struct mem_conf conf = { .gossip_ms = 1000, .suspect_ms = 1000 };
 	struct mem *mem = NULL;
@@ -163,7 +169,7 @@
 	for (order = 0; order <= n; order++) {
 		i = order == 0 ? self : order - 1;
 		node = (struct mem_node){
-			.kind = i < entries ? MEM_ENTRY : MEM_SIDE,
+			.kind = i < gateways ? MEM_GATEWAY : MEM_SIDECAR,
 			.incarnation = UINT64_C(1) << MEM_REFUTES_BITS,
 		};
 		snprintf(node.id, sizeof(node.id), "host-%u", i);
@@ -178,43 +184,46 @@
 }
 
 /*
- * All nodes compute places for themselves. Each place must be one node's:
- * two firsts would write against one another, none would leave a role free.
+ * Each node computes its own rank, and each rank must belong to one node: two
+ * first ranks would write against each other, none would leave a role unheld.
  */
 static void
-test_each_rank_is_one_nodes(void **state)
+test_ranks_are_unique(void **state)
 {
-	const unsigned int n = 40, entries = 8;
+	const unsigned int n = 40, gateways = 8;
 	unsigned int ranks[8] = { 0 }, firsts[8] = { 0 };
 	unsigned int i, r, rank, watchers = 0;
 	struct mem *mem;
 	char id[16], role[16];
 
 	for (i = 0; i < n; i++) {
-		mem = view_of(i, n, entries);
+		mem = build_table(i, n, gateways);
 		snprintf(id, sizeof(id), "host-%u", i);
 		watchers += rank_is_watcher(mem, id);
-		if (i < entries) {
+		if (i < gateways) {
 			rank = rank_for_role(mem, "lead", "", id);
-			assert_true(rank < entries);
+			assert_true(rank < gateways);
 			ranks[rank]++;
 			assert_int_equal(rank_for_role(mem, "lead", id, id), 0);
 		}
-		for (r = 0; r < 64 && i < entries; r++) {
+		for (r = 0; r < 64 && i < gateways; r++) {
 			snprintf(role, sizeof(role), "claims-%u", r);
 			firsts[i] += rank_for_role(mem, role, "", id) == 0;
 		}
 		mem_free(mem);
 	}
-	for (i = 0; i < entries; i++) {
+	for (i = 0; i < gateways; i++) {
 		assert_int_equal(ranks[i], 1);
-		assert_in_range(firsts[i], 1, 24); /* spread, if not evenly */
+		/* spread over the nodes, though not evenly */
+		assert_in_range(firsts[i], 1, 24);
 	}
-	assert_int_equal(watchers, 3); /* one a domain */
+	assert_int_equal(watchers, 3); /* one per domain */
 }
 
-/* A domain without entries has a side as watcher; a single domain has three
- * watchers, so that one that is paused does not hold back news. */
+/*
+ * A domain without gateways has a sidecar as watcher; a single domain has three
+ * watchers, so that one that is paused does not delay updates.
+ */
 static void
 test_watchers_in_every_domain(void **state)
 {
@@ -223,7 +232,7 @@
 	char id[16];
 
 	for (i = 0; i < 30; i++) {
-		mem = view_of(i, 30, 2); /* entries in d0 and d1 only */
+		mem = build_table(i, 30, 2); /* gateways in d0 and d1 only */
 		snprintf(id, sizeof(id), "host-%u", i);
 		watchers += rank_is_watcher(mem, id);
 		alone += rank_is_watcher(mem, id) && i % 3 == 2;
@@ -238,11 +247,11 @@
 {
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_versions_only_grow),
-		cmocka_unit_test(test_broken_text_leaves_the_old_in_force),
+		cmocka_unit_test(test_invalid_text_keeps_active_version),
 		cmocka_unit_test(test_writes_are_checked_against_the_tree),
-		cmocka_unit_test(test_pulls_both_ways_end_equal),
-		cmocka_unit_test(test_start_waits_for_enough),
-		cmocka_unit_test(test_each_rank_is_one_nodes),
+		cmocka_unit_test(test_pulls_both_ways_converge),
+		cmocka_unit_test(test_start_waits_for_api_or_peers),
+		cmocka_unit_test(test_ranks_are_unique),
 		cmocka_unit_test(test_watchers_in_every_domain),
 	};
 
--- a/tests/agree/test_lse.c
+++ b/tests/agree/test_lse.c
@@ -1,6 +1,6 @@
 /*
- * Lease decisions of three candidates on a fake clock, against an object in
- * memory whose calls take time, fail, or lose their answers.
+ * Lease decisions of three candidates on a virtual clock, against an in-memory
+ * object whose calls take time, fail, or lose their responses.
  */
 
 #include <setjmp.h>
@@ -29,20 +29,21 @@
 };
 
 struct candidate {
-	struct world *world;
+	struct sim *sim;
 	struct lse *lse;
 	char id[8];
-	struct call calls[2]; /* one read, one write at most */
+	struct call calls[2]; /* at most one read and one write */
 	int64_t paused_until_ms;
-	bool cut; /* from the object API */
+	bool cut; /* cut off from the object API */
 	int64_t apply_ms, answer_ms; /* of its calls; 0: at random */
-	unsigned int lose_writes; /* answers of its next writes */
+	/* number of next writes whose responses are lost */
+	unsigned int lose_writes;
 	unsigned int gained, lost;
 	uint64_t last_fence;
 	bool left;
 };
 
-struct world {
+struct sim {
 	struct chart *chart;
 	struct candidate nodes[NODES];
 	int64_t now_ms;
@@ -50,15 +51,15 @@
 	char *value;
 	bool down;
 	unsigned int lose_permille;
-	unsigned int delay_ms; /* largest */
+	unsigned int delay_ms; /* upper limit */
 	struct rng rng;
-	uint64_t highest; /* fence ever given */
+	uint64_t highest; /* highest fencing number assigned */
 	unsigned int reads, writes, refused;
 };
 
 /* Most calls are quick, one in eight may take up to `delay_ms`. */
 static int64_t
-delay_ms(struct world *w)
+delay_ms(struct sim *w)
 {
 	uint64_t bound = rng_below(&w->rng, 8) == 0 ? w->delay_ms : 20;
 
@@ -68,7 +69,7 @@
 static void
 begin(struct candidate *c, struct call *call)
 {
-	struct world *w = c->world;
+	struct sim *w = c->sim;
 
 	assert_false(call->running);
 	call->running = true;
@@ -105,8 +106,8 @@
 {
 	struct candidate *c = ctx;
 
-	assert_true(fence > c->world->highest);
-	c->world->highest = fence;
+	assert_true(fence > c->sim->highest);
+	c->sim->highest = fence;
 	c->last_fence = fence;
 	c->gained++;
 }
@@ -120,10 +121,10 @@
 }
 
 static void
-on_tell(uint64_t fence, const char *holder, void *ctx)
+on_publish(uint64_t fence, const char *holder, void *ctx)
 {
 	struct candidate *c = ctx, *other;
-	struct world *w = c->world;
+	struct sim *w = c->sim;
 	int i;
 
 	for (i = 0; i < NODES; i++) {
@@ -146,14 +147,14 @@
 	.write = on_write,
 	.gained = on_gained,
 	.lost = on_lost,
-	.tell = on_tell,
+	.publish = on_publish,
 	.left = on_left,
 };
 
 static void
 apply(struct candidate *c, struct call *call)
 {
-	struct world *w = c->world;
+	struct sim *w = c->sim;
 
 	call->apply_ms = INT64_MAX;
 	call->read_ok = !w->down && !c->cut;
@@ -184,7 +185,7 @@
 static void
 answer(struct candidate *c, struct call *call)
 {
-	int64_t now_us = c->world->now_ms * 1000;
+	int64_t now_us = c->sim->now_ms * 1000;
 	char *found = call->found, *value = call->value;
 
 	call->running = false;
@@ -200,7 +201,7 @@
 }
 
 static unsigned int
-holders(struct world *w)
+holders(struct sim *w)
 {
 	unsigned int i, n = 0;
 
@@ -210,7 +211,7 @@
 }
 
 static void
-run_ms(struct world *w, int64_t ms)
+run_ms(struct sim *w, int64_t ms)
 {
 	int64_t end = w->now_ms + ms;
 	struct candidate *c;
@@ -237,10 +238,10 @@
 	}
 }
 
-static struct world *
-world_new(uint64_t seed)
+static struct sim *
+sim_new(uint64_t seed)
 {
-	struct world *w = g_new0(struct world, 1);
+	struct sim *w = g_new0(struct sim, 1);
 	struct err err = { 0 };
 	struct lse_conf conf;
 	int i;
@@ -252,11 +253,11 @@
 	w->now_ms = 100000;
 	rng_seed(&w->rng, seed);
 	for (i = 0; i < NODES; i++) {
-		w->nodes[i].world = w;
+		w->nodes[i].sim = w;
 		snprintf(w->nodes[i].id, sizeof(w->nodes[i].id), "e%d", i);
 		conf = (struct lse_conf){
 			.self = w->nodes[i].id,
-			.life = 7,
+			.incarnation = 7,
 			.lease_ms = LEASE_MS,
 		};
 		w->nodes[i].lse = lse_new(w->chart, &conf, &ops, &w->nodes[i]);
@@ -266,7 +267,7 @@
 }
 
 static void
-world_free(struct world *w)
+sim_free(struct sim *w)
 {
 	int i, j;
 
@@ -282,9 +283,9 @@
 	g_free(w);
 }
 
-/* What the members' view does when the holder is `holder`. */
+/* Sets the ranks as the member tables do when node `holder` is the holder. */
 static void
-rank_without(struct world *w, int holder)
+set_ranks_for_holder(struct sim *w, int holder)
 {
 	int i;
 	unsigned int rank = 0;
@@ -295,55 +296,56 @@
 	}
 }
 
-/* First in rank claims, and no write is refused as long as nothing fails. */
+/* The first in rank claims, and no write is refused while nothing fails. */
 static void
 test_steady_state_refuses_nothing(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
 	assert_int_equal(w->nodes[0].gained, 1);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	run_ms(w, 60000);
 	assert_int_equal(w->nodes[0].gained, 1);
 	assert_int_equal(w->nodes[0].lost, 0);
 	assert_int_equal(w->refused, 0);
 	print_message("steady 60 s: reads=%u writes=%u\n", w->reads, w->writes);
 	assert_true(w->writes < 70);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * The holder dies. Orders stop; the next in rank must wait until the holder
- * surely knows that it has lapsed, and take over within a second of that.
+ * The holder crashes, and its orders stop. The next in rank must wait until the
+ * holder would certainly know that the lease has expired, and take over within
+ * a second after that.
  */
 static void
 test_crash_costs_one_lease_and_a_second(void **state)
 {
-	struct world *w;
+	struct sim *w;
 	uint64_t seed;
 
 	for (seed = 1; seed <= 50; seed++) {
-		w = world_new(seed);
+		w = sim_new(seed);
 		run_ms(w, 3000);
-		rank_without(w, 0);
+		set_ranks_for_holder(w, 0);
 		run_ms(w, 2000 + (int64_t)seed * 37);
 		w->nodes[0].paused_until_ms = INT64_MAX;
 		run_ms(w, LEASE_MS + 1000);
 		assert_int_equal(w->nodes[1].gained, 1);
 		assert_int_equal(w->refused, 0);
-		world_free(w);
+		sim_free(w);
 	}
 }
 
-/* The holder leaves: the next in rank has the role a moment later. */
+/* The holder leaves: the next in rank has the role within 300 ms. */
 static void
-test_planned_handover_is_at_once(void **state)
+test_planned_handover_is_immediate(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	run_ms(w, 5000);
 	lse_leave(w->nodes[0].lse, w->now_ms * 1000);
 	assert_int_equal(lse_fence(w->nodes[0].lse, w->now_ms * 1000), 0);
@@ -351,21 +353,22 @@
 	assert_true(w->nodes[0].left);
 	assert_int_equal(w->nodes[1].gained, 1);
 	assert_int_equal(w->refused, 0);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * The holder pauses past its lease and believes, on waking, that it leads.
- * Asked before an order, it must say no, though nothing told it yet.
+ * The holder is paused until after its lease has expired and still has the
+ * state of a holder when it resumes. lse_fence() must return 0 even before the
+ * first event.
  */
 static void
-test_paused_holder_finds_out_before_it_acts(void **state)
+test_paused_holder_has_no_fence(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 	uint64_t fence;
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	fence = lse_fence(w->nodes[0].lse, w->now_ms * 1000);
 	assert_int_equal(fence, 1);
 	w->nodes[0].paused_until_ms = w->now_ms + 10000;
@@ -375,22 +378,22 @@
 	run_ms(w, 5000);
 	assert_int_equal(w->nodes[0].lost, 1);
 	assert_int_equal(w->nodes[0].gained, 1);
-	assert_int_equal(w->refused, 0); /* it looks before it writes */
-	world_free(w);
+	assert_int_equal(w->refused, 0); /* it reads before it writes */
+	sim_free(w);
 }
 
 /*
- * A renewal takes effect at once but its answer comes late, then the holder
- * is cut from the API. Counted from the answer, its lease would outlast what
- * the others wait (asserted in run_ms).
+ * A renewal takes effect at once but its response is late; then the holder is
+ * cut off from the API. Counted from the response, its lease would outlast the
+ * time that the others wait (asserted in run_ms).
  */
 static void
 test_late_answer_does_not_lengthen_the_lease(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->nodes[0].apply_ms = 1;
 	w->nodes[0].answer_ms = 1500;
 	run_ms(w, 1200);
@@ -398,55 +401,56 @@
 	w->nodes[0].answer_ms = 1;
 	run_ms(w, 10000);
 	assert_int_equal(w->nodes[1].gained, 1);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * Claims fail at once, as when nobody listens at the API's address. The
- * candidate must pace itself, or it would keep the loop and the API busy.
+ * Claims fail at once, as if nothing listened at the API's address. The
+ * candidate must limit its rate, or it would keep the event loop and the API
+ * busy.
  */
 static void
 test_failed_claims_are_paced(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
 	w->nodes[0].lose_writes = 1000;
 	w->nodes[0].paused_until_ms = w->now_ms + LEASE_MS;
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->nodes[1].cut = w->nodes[2].cut = true;
 	run_ms(w, 13000);
 	assert_true(1000 - w->nodes[0].lose_writes < 30);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * The answer of a renewal is lost. The next one is refused, as the version
- * has moved on, by our own write: no reason to give the role up.
+ * The response of a renewal is lost. The next renewal is refused, as this
+ * node's own write has changed the version: no reason to give the role up.
  */
 static void
 test_lost_renewal_answer_keeps_the_role(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->nodes[0].lose_writes = 1;
 	run_ms(w, 10000);
 	assert_int_equal(w->nodes[0].lose_writes, 0);
 	assert_int_equal(w->nodes[0].lost, 0);
 	assert_int_equal(w->nodes[0].gained, 1);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * Entries that have just met see different members: for a moment each
- * believes that it is first. Claims wait until the rank has lasted.
+ * Gateways that have just joined have different member tables: for a moment
+ * each one considers itself first. Claims wait until the rank is stable.
  */
 static void
 test_claims_wait_until_ranks_settle(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 	int i;
 
 	for (i = 0; i < NODES; i++)
@@ -457,39 +461,40 @@
 	run_ms(w, 5000);
 	assert_int_equal(w->nodes[0].gained, 1);
 	assert_int_equal(w->refused, 0);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * A candidate pauses while the holder renews. On waking, the version that it
- * remembers has long lapsed by its clock: it must look before it claims.
+ * A candidate is paused while the holder renews. When it resumes, the version
+ * that it last read has long expired by its clock: it must read before it
+ * claims.
  */
 static void
-test_woken_candidate_looks_first(void **state)
+test_resumed_candidate_reads_first(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	run_ms(w, 2000);
 	w->nodes[1].paused_until_ms = w->now_ms + 10000;
 	run_ms(w, 15000);
 	assert_int_equal(w->nodes[0].lost, 0);
 	assert_int_equal(w->refused, 0);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * The object API is away for longer than the lease. The holder stops in
- * time, nobody takes over meanwhile, and one of them does when it is back.
+ * The object API is unavailable for longer than the lease. The holder stops in
+ * time, nobody takes over meanwhile, and one node does after the outage.
  */
 static void
-test_api_outage_lapses_and_recovers(void **state)
+test_api_outage_expires_lease_and_recovers(void **state)
 {
-	struct world *w = world_new(1);
+	struct sim *w = sim_new(1);
 
 	run_ms(w, 3000);
-	rank_without(w, 0);
+	set_ranks_for_holder(w, 0);
 	w->down = true;
 	run_ms(w, 20000);
 	assert_int_equal(holders(w), 0);
@@ -497,23 +502,23 @@
 	run_ms(w, 3000);
 	assert_int_equal(holders(w), 1);
 	assert_true(w->refused <= 1);
-	world_free(w);
+	sim_free(w);
 }
 
 /*
- * Pauses, slow calls, lost answers, an API that comes and goes, changing
- * ranks, all at random: never two holders (asserted at each step in run_ms)
- * and never a fencing number given twice (asserted in on_gained).
+ * Random pauses, slow calls, lost responses, API outages and rank changes:
+ * never two holders (asserted at each step in run_ms), and never a fencing
+ * number assigned twice (asserted in on_gained).
  */
 static void
 test_never_two_holders(void **state)
 {
-	struct world *w;
+	struct sim *w;
 	uint64_t seed;
 	int round, i;
 
 	for (seed = 1; seed <= 60; seed++) {
-		w = world_new(seed);
+		w = sim_new(seed);
 		w->delay_ms = 1 + (unsigned)rng_below(&w->rng, 3000);
 		w->lose_permille = 200;
 		for (round = 0; round < 60; round++) {
@@ -522,7 +527,7 @@
 				w->nodes[i].paused_until_ms = w->now_ms +
 				    (int64_t)rng_below(&w->rng, 8000);
 			w->down = rng_below(&w->rng, 8) == 0;
-			rank_without(w, (int)rng_below(&w->rng, NODES));
+			set_ranks_for_holder(w, (int)rng_below(&w->rng, NODES));
 			run_ms(w, (int64_t)rng_below(&w->rng, 6000));
 		}
 		w->down = false;
@@ -530,7 +535,7 @@
 		w->delay_ms = 20;
 		run_ms(w, 30000);
 		assert_int_equal(holders(w), 1);
-		world_free(w);
+		sim_free(w);
 	}
 }
 
@@ -540,14 +545,14 @@
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_steady_state_refuses_nothing),
 		cmocka_unit_test(test_crash_costs_one_lease_and_a_second),
-		cmocka_unit_test(test_planned_handover_is_at_once),
-		cmocka_unit_test(test_paused_holder_finds_out_before_it_acts),
+		cmocka_unit_test(test_planned_handover_is_immediate),
+		cmocka_unit_test(test_paused_holder_has_no_fence),
 		cmocka_unit_test(test_late_answer_does_not_lengthen_the_lease),
 		cmocka_unit_test(test_failed_claims_are_paced),
 		cmocka_unit_test(test_lost_renewal_answer_keeps_the_role),
 		cmocka_unit_test(test_claims_wait_until_ranks_settle),
-		cmocka_unit_test(test_woken_candidate_looks_first),
-		cmocka_unit_test(test_api_outage_lapses_and_recovers),
+		cmocka_unit_test(test_resumed_candidate_reads_first),
+		cmocka_unit_test(test_api_outage_expires_lease_and_recovers),
 		cmocka_unit_test(test_never_two_holders),
 	};
 
--- a/tests/agree/test_mem.c
+++ b/tests/agree/test_mem.c
@@ -1,6 +1,7 @@
 /*
- * Membership decisions on a fake clock, over a small lossy network in memory
- * that delivers what the shipped code sends. All runs repeat from a seed.
+ * Membership decisions on a virtual clock, over a small in-memory network with
+ * packet loss that delivers what the code under test sends. All runs are
+ * reproducible from a seed.
  */
 
 #include <setjmp.h>
@@ -11,9 +12,10 @@
 #include "mem_net.h"
 
 /*
- * All start at once, later one says that it leaves. Its requests stop only
- * where this is known, so all must know within two seconds, with one datagram
- * in fifty lost, and no node may send more because there are many.
+ * All nodes start at once; later one announces that it leaves. It gets new
+ * requests from every node that does not know yet, so all nodes must know
+ * within two seconds, with one datagram in fifty lost, and the bytes that a
+ * node sends must not grow with the number of nodes.
  */
 static void
 test_leaving_is_known_within_two_seconds(void **state)
@@ -40,7 +42,7 @@
 		assert_int_equal(total_deaths(net), 0);
 		mem_leave(net->nodes[n / 2].mem, now_us(net));
 		run_ms(net, 2000);
-		assert_int_equal(seeing(net, n / 2, MEM_LEAVING), n - 1);
+		assert_int_equal(count_seeing(net, n / 2, MEM_LEAVING), n - 1);
 		end_net(net);
 	}
 }
@@ -52,8 +54,9 @@
 }
 
 /*
- * The link between two hosts stalls. Each probes the other in vain, asks
- * others, and hears from them that the other lives: nobody is given up.
+ * The link between two hosts stalls. Each probes the other without success,
+ * asks other members, and learns from them that the other is alive: no host is
+ * declared dead.
  */
 static void
 test_stalled_link_is_not_a_dead_host(void **state)
@@ -66,32 +69,32 @@
 	assert_int_equal(total_deaths(net), 0);
 	assert_int_equal(net->nodes[3].suspicions, 0);
 	assert_int_equal(net->nodes[4].suspicions, 0);
-	assert_int_equal(seeing(net, 3, MEM_ALIVE), 11);
+	assert_int_equal(count_seeing(net, 3, MEM_ALIVE), 11);
 	end_net(net);
 }
 
 /*
- * A host dies without a word. It is suspected first, and given up by all
- * some seconds later.
+ * A host crashes. It is first suspected, and declared dead by all nodes some
+ * seconds later.
  */
 static void
-test_dead_host_is_given_up(void **state)
+test_crashed_host_is_declared_dead(void **state)
 {
 	struct net *net = start_net(40, 20);
 
 	settle(net, 40, 60);
 	stop_node(net, 5);
 	run_ms(net, 3000);
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 0);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 0);
 	run_ms(net, 40000);
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 39);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 39);
 	end_net(net);
 }
 
 /*
- * A host pauses right after a probe, for less than the suspicion. It is
- * suspected, wakes, hears of it and refutes; and does not itself blame the
- * one whose answer it did not read.
+ * A host is paused right after a probe, for less than the suspicion timeout. It
+ * is suspected, resumes, receives the suspicion and refutes it; it must not
+ * suspect the member whose ack it did not read.
  */
 static void
 test_paused_host_refutes(void **state)
@@ -101,11 +104,11 @@
 	settle(net, 12, 60);
 	net->nodes[2].pause_at_ping = true;
 	run_ms(net, 5000);
-	assert_true(seeing(net, 2, MEM_SUSPECT) > 0);
+	assert_true(count_seeing(net, 2, MEM_SUSPECT) > 0);
 	net->nodes[2].pause_at_ping = net->nodes[2].paused = false;
 	run_ms(net, 10000);
 	assert_int_equal(net->nodes[2].suspicions, 0);
-	assert_int_equal(seeing(net, 2, MEM_ALIVE), 11);
+	assert_int_equal(count_seeing(net, 2, MEM_ALIVE), 11);
 	assert_int_equal(total_deaths(net), 0);
 	end_net(net);
 }
@@ -117,12 +120,12 @@
 }
 
 /*
- * A region is cut off for an hour: each part gives the other up and goes on
- * by itself, and the seeds die meanwhile. When the cut heals both parts must
- * find each other without a restart.
+ * A region is cut off for an hour: each partition declares the other dead and
+ * continues, and the seeds die meanwhile. When the partition heals the two must
+ * merge without a restart.
  */
 static void
-test_cut_region_is_found_again(void **state)
+test_partitions_merge(void **state)
 {
 	struct net *net = start_net(40, 0);
 	int healed;
@@ -142,11 +145,11 @@
 }
 
 /*
- * A host restarts under its old name while its old life is still believed
+ * A host restarts under the same id while its earlier start is still considered
  * alive, or already dead. Old gossip must neither kill nor revive it.
  */
 static void
-test_restart_is_a_new_life(void **state)
+test_restart_overrides_old_state(void **state)
 {
 	struct net *net = start_net(20, 20);
 
@@ -155,10 +158,10 @@
 	start_node(net, 7);
 	settle(net, 20, 60);
 	run_ms(net, 30000);
-	assert_int_equal(seeing(net, 7, MEM_ALIVE), 19);
+	assert_int_equal(count_seeing(net, 7, MEM_ALIVE), 19);
 	stop_node(net, 7);
 	run_ms(net, 40000);
-	assert_int_equal(seeing(net, 7, MEM_DEAD), 19);
+	assert_int_equal(count_seeing(net, 7, MEM_DEAD), 19);
 	start_node(net, 7);
 	settle(net, 20, 60);
 	end_net(net);
@@ -171,11 +174,11 @@
 }
 
 /*
- * A change is in force on all within a moment. Whichever entry the operator
- * asks must soon say so, of all nodes and at no great cost.
+ * A change becomes active on all nodes almost at once. Any gateway that an
+ * operator asks must soon report so for all nodes, within the byte limit.
  */
 static void
-test_all_learn_where_settings_are_in_force(void **state)
+test_all_learn_where_settings_are_active(void **state)
 {
 	struct net *net = start_net(150, 20);
 	unsigned int i, seen;
@@ -200,9 +203,9 @@
 }
 
 /*
- * Only node 0 watches the settings. A region that is cut off cannot hear of
- * changes; it goes on serving, and must know by the growing age that it may
- * be behind, while nobody else raises a false alarm.
+ * Only node 0 watches the settings. A region that is cut off gets no changes;
+ * it continues to serve and must see by the growing age that its settings may
+ * be outdated, while no other node raises a false alarm.
  */
 static void
 test_cut_off_nodes_know_their_age(void **state)
@@ -230,11 +233,11 @@
 }
 
 /*
- * A host has died. A table taken over from a node that was away still calls
- * it alive: it must stay dead, or work would be sent to it.
+ * A host has died. A table from a node that was away still lists it as alive:
+ * it must stay dead, or work would be sent to it.
  */
 static void
-test_old_news_does_not_revive(void **state)
+test_old_table_does_not_revive(void **state)
 {
 	struct net *net = start_net(6, 0);
 	GByteArray *old;
@@ -243,17 +246,17 @@
 	old = mem_sync_list(net->nodes[1].mem);
 	stop_node(net, 5);
 	run_ms(net, 40000);
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 5);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 5);
 	mem_sync_page(net->nodes[0].mem, now_us(net),
 	    (struct slice){ old->data, old->len });
-	assert_int_equal(seeing(net, 5, MEM_DEAD), 5);
+	assert_int_equal(count_seeing(net, 5, MEM_DEAD), 5);
 	g_byte_array_unref(old);
 	end_net(net);
 }
 
 /*
- * Many leave at once, as when a domain is drained. Their news is urgent, and
- * still no node may use more than its share of the network for it.
+ * Many nodes leave at once, as when a domain is drained. Their updates are
+ * urgent, but no node may exceed its byte limit for them.
  */
 static void
 test_many_leaving_stay_within_the_budget(void **state)
@@ -272,13 +275,13 @@
 	print_message("50 leave: bytes_s mean=%" PRId64 " worst=%" PRId64 "\n",
 	    mean, worst);
 	assert_true(worst < 4096);
-	assert_int_equal(seeing(net, 70, MEM_LEAVING), 149);
+	assert_int_equal(count_seeing(net, 70, MEM_LEAVING), 149);
 	end_net(net);
 }
 
 /*
- * The map of settings counts members in order. Taken from a node with another
- * table it would call a node in force that is not.
+ * The bits of the settings map are in member order. Applied from a node with
+ * another table, the map would mark a node as up to date that is not.
  */
 static void
 test_map_of_another_table_is_ignored(void **state)
@@ -293,24 +296,24 @@
 	a = net->nodes[0].mem;
 	b = net->nodes[1].mem;
 	mem_set_settings(b, 42);
-	mem_seen_settings(b, mem_entry(b, mem_key("host-002")), 42);
+	mem_record_settings(b, mem_entry(b, mem_key("host-002")), 42);
 	mem_pack_map(b, blob, 200);
 	m = (struct mem_msg){
 		.from = mem_key("host-001"),
 		.incarnation = mem_self(b)->node.incarnation,
-		.view = mem_view(a) ^ 1,
+		.table_digest = mem_table_digest(a) ^ 1,
 		.updates = { blob->data, blob->len },
 	};
-	mem_take(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
+	mem_receive(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
 	assert_int_equal(mem_find(a, "host-002")->settings, 0);
-	m.view = mem_view(a);
-	mem_take(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
+	m.table_digest = mem_table_digest(a);
+	mem_receive(a, now_us(net), "10.0.0.1:1001", MEM_GOSSIP, &m);
 	assert_int_equal(mem_find(a, "host-002")->settings, 42);
 	g_byte_array_unref(blob);
 	end_net(net);
 }
 
-/* A node takes any bytes as updates without harm. */
+/* Arbitrary bytes as updates do no harm to a node. */
 static void
 test_malformed_updates_are_ignored(void **state)
 {
@@ -328,7 +331,7 @@
 			junk[i] = (uint8_t)rng_next(&rng);
 		junk[0] = 0x90 | rng_below(&rng, 10);
 		m.updates = (struct slice){ junk, rng_below(&rng, 200) };
-		mem_take(net->nodes[0].mem, now_us(net), "10.0.0.1:1250",
+		mem_receive(net->nodes[0].mem, now_us(net), "10.0.0.1:1250",
 		    MEM_GOSSIP, &m);
 	}
 	assert_int_equal(mem_count(net->nodes[0].mem), 2);
@@ -341,13 +344,13 @@
 	static const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_leaving_is_known_within_two_seconds),
 		cmocka_unit_test(test_stalled_link_is_not_a_dead_host),
-		cmocka_unit_test(test_dead_host_is_given_up),
+		cmocka_unit_test(test_crashed_host_is_declared_dead),
 		cmocka_unit_test(test_paused_host_refutes),
-		cmocka_unit_test(test_cut_region_is_found_again),
-		cmocka_unit_test(test_restart_is_a_new_life),
-		cmocka_unit_test(test_all_learn_where_settings_are_in_force),
+		cmocka_unit_test(test_partitions_merge),
+		cmocka_unit_test(test_restart_overrides_old_state),
+		cmocka_unit_test(test_all_learn_where_settings_are_active),
 		cmocka_unit_test(test_cut_off_nodes_know_their_age),
-		cmocka_unit_test(test_old_news_does_not_revive),
+		cmocka_unit_test(test_old_table_does_not_revive),
 		cmocka_unit_test(test_many_leaving_stay_within_the_budget),
 		cmocka_unit_test(test_map_of_another_table_is_ignored),
 		cmocka_unit_test(test_malformed_updates_are_ignored),
