--- a/lib/serve/tgt.c
+++ b/lib/serve/tgt.c
@@ -1,20 +1,21 @@
-/* Beliefs about targets. */
+/* Local state of the targets. */
 
 #include <string.h>
 
 #include "serve/tgt_internal.h"
 
-/* Targets whose entries ran out while the store was away write again within
- * about two seconds of its return. */
-#define LAPSED_KEEP_US 1900000
-/* After a failure without an answer a target rests; each further one doubles
- * it. The first is short: one lost connection is not a dead host. */
-#define REST_FIRST_US 250000
-#define REST_MAX_US 4000000
-/* Weight of one answer in the moving share of failures. */
+/* Targets whose records expired during a store outage publish them again
+ * within about two seconds of its end. */
+#define EXPIRED_RETAIN_US 1900000
+/* A target is in backoff after a failure without an answer; each further
+ * failure doubles the time. The first is short, as one lost connection does
+ * not mean a dead host. */
+#define BACKOFF_FIRST_US 250000
+#define BACKOFF_MAX_US 4000000
+/* Weight of one answer in the moving average of failures. */
 #define ERROR_WEIGHT 0.1
 /* ------------------------------------------------------------------ */
-/* Making                                                              */
+/* Set and services                                                    */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -103,7 +104,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Who there is                                                        */
+/* Membership                                                          */
 /* ------------------------------------------------------------------ */
 
 struct tgt *
@@ -137,7 +138,7 @@
 }
 
 static bool
-is_near(struct tgt_set *s, const char *domain)
+is_local(struct tgt_set *s, const char *domain)
 {
 	const char *region = g_hash_table_lookup(s->regions, domain);
 
@@ -159,31 +160,31 @@
 	    !tgt_side_is_heard(t, now_us);
 }
 
-/* A target at an address that another had: the other one is no more. But an
- * entry of a service that the settings don't have names no target, and takes
- * nobody's place. */
+/* Assigns an address to its new target and drops the one that had it before.
+ * A record of a service that is not in the settings does not describe a
+ * valid target and takes over no address. */
 static void
 take_address(struct tgt_set *s, struct tgt *t)
 {
-	struct tgt *before =
+	struct tgt *previous =
 	    g_hash_table_lookup(s->by_address, t->says.address);
 
-	if (before != NULL && before != t) {
-		if (before->service->configured && !t->service->configured)
+	if (previous != NULL && previous != t) {
+		if (previous->service->configured && !t->service->configured)
 			return;
-		drop(s, before);
+		drop(s, previous);
 	}
 	g_hash_table_insert(s->by_address, t->says.address, t);
 }
 
 static struct tgt *
-add(struct tgt_set *s, const struct sv_target *says)
+add(struct tgt_set *s, const struct sv_target *record)
 {
 	struct tgt *t = g_new0(struct tgt, 1);
 
-	t->says = *says;
-	t->service = tgt_service(s, says->service);
-	t->near = is_near(s, says->domain);
+	t->says = *record;
+	t->service = tgt_service(s, record->service);
+	t->near = is_local(s, record->domain);
 	t->pace = 1;
 	TAILQ_INSERT_TAIL(&t->service->targets, t, link);
 	t->service->ntargets++;
@@ -193,56 +194,58 @@
 }
 
 /*
- * Whether an entry is of the same start of the target. The side's word on the
- * start is newer while it is heard: an entry of the start before may be written
- * late. Where either does not tell, nothing else can.
+ * Whether a record describes the same start of the target. A live sidecar's
+ * start time is newer than the store's, as a record of the previous start may
+ * be written late. If either start time is unknown, both are taken for the
+ * same.
  */
 static bool
-same_start(const struct tgt *t, const struct sv_target *says, int64_t now_us)
+same_start(const struct tgt *t, const struct sv_target *record, int64_t now_us)
 {
-	if (says->born_ms == 0 || t->says.born_ms == 0 ||
-	    says->born_ms == t->says.born_ms)
+	if (record->born_ms == 0 || t->says.born_ms == 0 ||
+	    record->born_ms == t->says.born_ms)
 		return true;
-	return says->born_ms < t->says.born_ms && tgt_side_is_heard(t, now_us);
+	return record->born_ms < t->says.born_ms &&
+	    tgt_side_is_heard(t, now_us);
 }
 
 struct tgt *
-tgt_put(struct tgt_set *s, const struct sv_target *says, int64_t now_us)
+tgt_put(struct tgt_set *s, const struct sv_target *record, int64_t now_us)
 {
-	struct tgt *t = g_hash_table_lookup(s->by_id, says->id);
+	struct tgt *t = g_hash_table_lookup(s->by_id, record->id);
 	int64_t born_ms;
 
 	if (t != NULL &&
-	    (strcmp(t->says.service, says->service) != 0 ||
-		strcmp(t->says.address, says->address) != 0 ||
-		!same_start(t, says, now_us))) {
+	    (strcmp(t->says.service, record->service) != 0 ||
+		strcmp(t->says.address, record->address) != 0 ||
+		!same_start(t, record, now_us))) {
 		drop(s, t);
 		t = NULL;
 	}
 	if (t == NULL)
-		t = add(s, says);
-	born_ms = MAX(t->says.born_ms, says->born_ms);
-	t->says = *says;
+		t = add(s, record);
+	born_ms = MAX(t->says.born_ms, record->born_ms);
+	t->says = *record;
 	t->says.born_ms = born_ms;
 	t->gone_us = 0;
-	t->leaving = says->leaving;
-	/* The side's word is newer while it is heard. */
+	t->leaving = record->leaving;
+	/* A live sidecar's report is newer. */
 	if (!tgt_side_is_heard(t, now_us)) {
-		g_strlcpy(t->model, says->model, sizeof(t->model));
-		t->version = says->model_version;
+		g_strlcpy(t->model, record->model, sizeof(t->model));
+		t->version = record->model_version;
 	}
 	return t;
 }
 
 void
-tgt_removed(struct tgt_set *s, const char *id, bool lapsed, int64_t now_us)
+tgt_removed(struct tgt_set *s, const char *id, bool expired, int64_t now_us)
 {
 	struct tgt *t = g_hash_table_lookup(s->by_id, id);
 
 	if (t == NULL)
 		return;
-	if (lapsed && !t->leaving) {
-		t->gone_us = now_us + LAPSED_KEEP_US;
+	if (expired && !t->leaving) {
+		t->gone_us = now_us + EXPIRED_RETAIN_US;
 		return;
 	}
 	drop(s, t);
@@ -330,13 +333,13 @@
 /* ------------------------------------------------------------------ */
 
 static void
-failed(struct tgt *t, int64_t now_us)
+record_failure(struct tgt *t, int64_t now_us)
 {
-	int64_t rest = REST_FIRST_US << MIN(t->failures, 6);
+	int64_t backoff_us = BACKOFF_FIRST_US << MIN(t->failures, 6);
 
 	t->failures++;
 	t->probing = false;
-	t->rest_until_us = now_us + MIN(rest, REST_MAX_US);
+	t->rest_until_us = now_us + MIN(backoff_us, BACKOFF_MAX_US);
 }
 
 void
@@ -344,8 +347,8 @@
 {
 	double error = o == TGT_ANSWERED ? 0 : 1;
 
-	/* An engine that loads cuts what it had: its side has said so, and it
-	 * is no sign of illness. */
+	/* An engine cuts its requests when it loads weights. Its sidecar
+	 * announced the load, so the cut is not a failure. */
 	if (o == TGT_REFUSED || (o == TGT_ERROR && t->side_down)) {
 		t->probing = false;
 		return;
@@ -353,9 +356,9 @@
 	t->error_share += (error - t->error_share) * ERROR_WEIGHT;
 	t->answers++;
 	if (o == TGT_SILENT || o == TGT_LOST) {
-		/* Several requests that fail together are one failure. */
+		/* Requests that fail at the same time count as one failure. */
 		if (now_us >= t->rest_until_us)
-			failed(t, now_us);
+			record_failure(t, now_us);
 		return;
 	}
 	t->failures = 0;
@@ -386,31 +389,31 @@
 }
 
 bool
-tgt_relayed(struct tgt *t, const struct side_relayed *word, int64_t now_us)
+tgt_relayed(struct tgt *t, const struct side_relayed *report, int64_t now_us)
 {
-	if (t->side_us == 0 || !side_seq_after(word->seq, t->side_seq))
+	if (t->side_us == 0 || !side_seq_after(report->seq, t->side_seq))
 		return false;
-	tgt_side_heard(t, word->seq, now_us);
-	tgt_set_pace(t, word->pace_permille);
-	t->slow_link = word->slow_link;
-	tgt_load(t, word->total, now_us);
+	tgt_side_heard(t, report->seq, now_us);
+	tgt_set_pace(t, report->pace_permille);
+	t->slow_link = report->slow_link;
+	tgt_load(t, report->total, now_us);
 	return true;
 }
 
 struct tgt *
 tgt_side_born(struct tgt_set *s, struct tgt *t, int64_t born_ms)
 {
-	struct sv_target says = t->says;
+	struct sv_target record = t->says;
 
 	if (born_ms == 0 || born_ms == t->says.born_ms)
 		return t;
-	says.born_ms = born_ms;
-	if (t->says.born_ms == 0) { /* it had not told before */
+	record.born_ms = born_ms;
+	if (t->says.born_ms == 0) { /* the start time was unknown so far */
 		t->says.born_ms = born_ms;
 		return t;
 	}
 	drop(s, t);
-	return add(s, &says);
+	return add(s, &record);
 }
 
 void
--- a/lib/serve/tgt.h
+++ b/lib/serve/tgt.h
@@ -2,10 +2,10 @@
 #define SERVE_TGT_H
 
 /*
- * tgt: what an entry believes of the targets: who there is (from the store),
- * how full each is (from its side, from its answers, from this entry's own
- * requests), whether it can be reached and answers. And the choice of one for
- * a request. Pure: driven by events and a clock.
+ * tgt: a gateway's local state of the targets: which exist (from the store),
+ * how loaded each is (from its sidecar, its answers and this gateway's own
+ * requests), and whether it can be reached and answers; and the selection of a
+ * target for a request. Pure: driven by events and a clock.
  */
 
 #include <sys/queue.h>
@@ -19,47 +19,58 @@
 struct tgt {
 	TAILQ_ENTRY(tgt) link; /* in its service */
 	struct tgt_service *service;
-	struct sv_target says; /* as in the store */
-	bool near; /* in this entry's region */
-	bool leaving; /* announced, or its side said so */
-	int64_t gone_us; /* dropped then (missing from the store); 0: not */
-	/* Load: `seen` of all entries at `seen_us`, when this entry had
-	 * `seen_mine` of them under way. */
+	struct sv_target says; /* as published in the store */
+	bool near; /* in this gateway's region */
+	/* A planned stop was announced, or the sidecar reported it. */
+	bool leaving;
+	/* Time at which to drop it, as it is missing from the store; 0: no. */
+	int64_t gone_us;
+	/* Load: the total over all gateways as last reported, when that
+	 * report came in, and this gateway's requests in flight at that
+	 * moment. */
 	unsigned int mine;
 	unsigned int seen, seen_mine;
 	int64_t seen_us;
-	unsigned int sent_since; /* by this entry, since that word */
-	uint64_t reading; /* prompt tokens of this entry's, before any answer */
-	int64_t side_us; /* last word of its side; 0: never */
-	uint32_t side_seq; /* of that word */
-	bool greeted; /* its side was told of this entry */
-	unsigned int entries_near; /* in its region, by its side; 0: not told */
-	int64_t up_us; /* it came up then, by its side; 0: not known */
-	bool side_down; /* its side cannot reach it, or it loads weights */
-	bool ended; /* of these, the former: its process has ended */
-	char model[SV_ID_MAX]; /* loaded; newer of store and side */
+	unsigned int sent_since; /* by this gateway, since that report */
+	/* Prompt tokens of this gateway's requests without an answer yet. */
+	uint64_t reading;
+	int64_t side_us; /* last report of its sidecar; 0: none */
+	uint32_t side_seq; /* of that report */
+	bool greeted; /* its sidecar was sent this gateway's address */
+	/* Gateways in its region, as its sidecar reported; 0: not known. */
+	unsigned int entries_near;
+	/* Last time its sidecar reported it up again; 0: not known. */
+	int64_t up_us;
+	bool side_down; /* the sidecar cannot reach it, or it loads weights */
+	bool ended; /* with `side_down`: its process has terminated */
+	/* Loaded; from the store or the sidecar, whichever is newer. */
+	char model[SV_ID_MAX];
 	int64_t version;
-	/* Root digest that its keeper read of a version's digests. */
+	/* Root digest that its sidecar read for `root_version`. */
 	struct digest root;
 	int64_t root_version;
 	struct rate rate;
-	bool slow_link; /* what comes to its host comes slowly, by its side */
-	double pace; /* of its steps against the stated; 1: as stated */
+	/* Inbound traffic of its host is slow, as its sidecar reported. */
+	bool slow_link;
+	/* Step time relative to the configured one; 1: as configured. */
+	double pace;
 	/* Failures without an answer. */
-	unsigned int failures; /* in a row */
+	unsigned int failures; /* consecutive */
 	int64_t rest_until_us;
-	bool probing; /* one request finds out whether it is back */
-	/* Answers that were failures, of the last ones: moving averages. */
+	/* One request in flight probes whether it has recovered. */
+	bool probing;
+	/* Moving average of the share of answers that were failures. */
 	double error_share;
 	unsigned int answers;
-	/* Requests that wait for it to go, freed with the last of them. */
+	/* Number of requests that hold a reference; the last one frees a
+	 * dropped target. */
 	unsigned int refs;
 	bool dropped;
 };
 
 TAILQ_HEAD(tgt_list, tgt);
 
-/* Root digest of a version's digests that enough keepers agreed on. */
+/* Root digest of a version on which enough sidecars agreed. */
 struct tgt_root {
 	int64_t version; /* 0: none */
 	struct digest root;
@@ -70,9 +81,9 @@
 	struct tgt_root roots[2]; /* of the last two versions, newest first */
 	struct tgt_list targets;
 	unsigned int ntargets;
-	int64_t side_us; /* last word of any of their sides; 0: never */
-	/* From the settings; 0 slots: as each target says. */
-	bool configured; /* they have this service */
+	int64_t side_us; /* last report of any of their sidecars; 0: none */
+	/* From the settings; 0 slots: as published by each target. */
+	bool configured; /* the settings contain this service */
 	bool has_engine;
 	struct sv_engine engine;
 	unsigned int connections_max;
@@ -80,22 +91,24 @@
 
 struct tgt_set;
 
-/* What decides how many requests a target gets. */
+/* Parameters of how many requests a target gets. */
 struct tgt_policy {
-	/* Requests beyond its slots that a target holds, so that a slot that
-	 * becomes free is taken at once. */
+	/* Requests that a target may hold beyond its slots, so that a freed
+	 * slot is filled at once. */
 	double beyond_slots;
-	/* Load (in requests) that a target in another region must be below a
-	 * near one to be chosen: its bytes and round trips cost more. */
+	/* Penalty, in requests, for a target in a remote region: its
+	 * transfers and round trips cost more. */
 	double far_cost;
-	/* Longest time that a target may need to read the prompts that it has
-	 * before another is sent; 0: no limit. */
+	/* Longest time that a target may need to read its queued prompts
+	 * before it gets another; 0: no limit. */
 	int64_t read_us;
-	/* Entries that share a target. */
+	/* Gateways that share a target. */
 	unsigned int entries;
-	uint64_t seed; /* this entry's own, for its part of a single place */
-	/* The side of `at` is to be told of the rate limit of `t`, and asked
-	 * for a permit. NULL: there are no sides. */
+	/* Differs between gateways; decides which one takes a single free
+	 * slot. */
+	uint64_t seed;
+	/* Reports the rate limit of `t` to the sidecar of `at`, and requests
+	 * a permit if `ask` is set. NULL: there are no sidecars. */
 	void (*tell_rate)(
 	    const struct tgt *t, const struct tgt *at, bool ask, void *ctx);
 	void *rate_ctx;
@@ -104,26 +117,27 @@
 struct tgt_set *tgt_set_new(const char *region, const struct tgt_policy *p);
 void tgt_set_free(struct tgt_set *s);
 struct tgt_policy *tgt_set_policy(struct tgt_set *s);
-/* Region of a failure domain, for `near`. */
+/* Maps a failure domain to its region. */
 void tgt_set_domain(struct tgt_set *s, const char *domain, const char *region);
 struct tgt_service *tgt_service(struct tgt_set *s, const char *name);
-/* Takes over engines' figures from the settings. */
+/* Applies the engines' parameters from the settings. */
 void tgt_configure(struct tgt_set *s, const struct sv_config *config);
 
 /*
- * Events from the store. A target that started again under its id is a new one:
- * it holds and knows nothing of before, so neither does this entry of it.
- * Requests that went to the one before keep that one, by their reference.
+ * Events from the store. A target that restarted under its id counts as a new
+ * one, as it has lost all state. Requests that were sent to the previous start
+ * retain it by their reference.
  */
 struct tgt *tgt_put(
-    struct tgt_set *s, const struct sv_target *says, int64_t now_us);
-/* `lapsed`: missing after a time without news; it may only be late to write
- * again, so it is kept for a moment. */
+    struct tgt_set *s, const struct sv_target *record, int64_t now_us);
+/* `expired`: found missing after an interruption of the updates. The target
+ * may only be late to publish its record again, so it is retained for a
+ * moment. */
 void tgt_removed(
-    struct tgt_set *s, const char *id, bool lapsed, int64_t now_us);
-/* Drops what was kept for long enough. */
+    struct tgt_set *s, const char *id, bool expired, int64_t now_us);
+/* Drops expired targets whose retention time has passed. */
 void tgt_sweep(struct tgt_set *s, int64_t now_us);
-/* Targets that name a rate limit. */
+/* Number of targets with a rate limit. */
 unsigned int tgt_limited(struct tgt_set *s);
 struct tgt *tgt_find(struct tgt_set *s, const char *id);
 struct tgt *tgt_at(struct tgt_set *s, const char *address);
@@ -133,84 +147,86 @@
 
 /* Events of requests. */
 void tgt_sent(struct tgt *t, int64_t now_us);
-/* A prompt was sent, or its answer has begun or ended (`sent` false). */
+/* A prompt was sent; or its answer began or ended (`sent` false). */
 void tgt_reading(struct tgt *t, uint64_t tokens, bool sent);
 void tgt_ended(struct tgt *t, int64_t now_us);
-/* An answer's or a side's word about the load over all entries. */
+/* Total load over all gateways, as reported by an answer or a sidecar. */
 void tgt_load(struct tgt *t, unsigned int total, int64_t now_us);
 enum tgt_outcome {
-	TGT_ANSWERED, /* well */
-	TGT_ERROR, /* an answer, but a failure */
-	TGT_REFUSED, /* full or leaving: not run */
-	TGT_SILENT, /* no answer in time */
-	TGT_LOST, /* unreachable, reset, broken bytes */
+	TGT_ANSWERED, /* successful */
+	TGT_ERROR, /* answered with a failure */
+	TGT_REFUSED, /* full or leaving; the request was not run */
+	TGT_SILENT, /* timed out without an answer */
+	TGT_LOST, /* unreachable, connection reset, or malformed answer */
 };
 void tgt_outcome(struct tgt *t, enum tgt_outcome o, int64_t now_us);
-/* Its side says whether it takes requests. */
+/* The sidecar reported whether the target takes requests. */
 void tgt_side(struct tgt *t, bool down, int64_t now_us);
-/* An answer to a request that was sent at `asked_us` names a rate limit, or
- * none (0). True when what this entry holds to has changed. */
+/* An answer to a request sent at `asked_us` carries a rate limit, or none
+ * (0). True if the limit applied here changed. */
 bool tgt_answered_rate(struct tgt_set *s, struct tgt *t, double limit,
     int64_t asked_us, int64_t now_us);
-/* Asks for a permit, if it has a rate limit. */
+/* Requests a permit if the target has a rate limit. */
 void tgt_ask_permit(struct tgt_set *s, struct tgt *t, int64_t now_us);
-/* Its side says how slow its steps are; 0: not told. */
+/* Step time in thousandths of the configured one, as reported by the
+ * sidecar; 0: not known. */
 void tgt_set_pace(struct tgt *t, uint64_t permille);
-/* Its side spoke itself: `seq` counts its words. */
+/* A report came directly from the sidecar; `seq` is its sequence number. */
 void tgt_side_heard(struct tgt *t, uint32_t seq, int64_t now_us);
 /*
- * Its side's word about the load came by an entry of its region. False, and
- * nothing changes, when it is not newer than what is known here: an entry that
- * stood still passes on what it heard before. What never spoke itself is not
- * believed: the word does not say whether the target takes requests.
+ * A load report of the sidecar was relayed by a gateway of the target's region.
+ * Ignored (false) unless newer than the last known report, as a gateway that
+ * stalled relays old reports; and ignored while no direct report has come in,
+ * as a relayed one does not tell whether the target takes requests.
  */
 bool tgt_relayed(
-    struct tgt *t, const struct side_relayed *word, int64_t now_us);
-/* Its side says when it started; 0: not told. A new start makes a new target,
- * which is returned; otherwise `t`. */
+    struct tgt *t, const struct side_relayed *report, int64_t now_us);
+/* Start time of the target as reported by its sidecar; 0: not known. Returns
+ * `t`, or a new target if the start time changed. */
 struct tgt *tgt_side_born(struct tgt_set *s, struct tgt *t, int64_t born_ms);
 /*
- * Up to `most` targets whose sides are heard, by rendezvous hashing: all
- * entries find mostly the same for a seed. Best first; returns how many.
+ * Selects up to `most` targets with a live sidecar by rendezvous hashing, best
+ * first, so that all gateways select mostly the same for a seed. Returns their
+ * number.
  */
 size_t tgt_sides(struct tgt_set *s, uint64_t seed, int64_t now_us,
     const struct tgt *out[], size_t most);
-/* Its address answers as another instance. */
+/* Another instance answers at its address. */
 void tgt_mistaken(struct tgt *t);
 
-/* What is sent there, and what takes it back, may be long on its way: its side
- * says so; or its side's words don't come here, while those of others of its
- * service do: lost on a full link, or not yet heard of one that is back. */
+/* Whether requests, and messages that cancel them, may be delayed on the way
+ * to the target: its sidecar reported a slow link; or the sidecar's reports
+ * do not arrive while those of others of its service do, as they are lost on
+ * a full link or the host has only just become reachable again. */
 bool tgt_way_is_slow(const struct tgt *t, int64_t now_us);
 
-/* Requests under way there, as well as is known. */
+/* Estimated number of requests in flight at the target. */
 double tgt_estimate(
     const struct tgt *t, const struct tgt_policy *p, int64_t now_us);
 double tgt_limit(const struct tgt *t, const struct tgt_policy *p);
 
-/*
- * All entries find a target empty that has just come up, and each sends it
- * something, so requests wait there longer than elsewhere.
- */
+/* All gateways see a target that has just come up as empty and send to it at
+ * once, so requests queue there for longer than elsewhere. */
 #define TGT_FRESH_US 1000000
 
 struct tgt_wish {
-	const char *model; /* NULL: any */
-	int64_t version; /* at least; 0: any that is loaded */
-	int64_t version_fresh; /* the same, of one up since TGT_FRESH_US */
-	int64_t version_far; /* the same, of one in another region */
-	int64_t version_slow; /* the same, of one behind a slow link */
-	const struct tgt *const * not ; /* tried before */
+	const char *model; /* NULL: any model */
+	int64_t version; /* minimum; 0: any loaded version */
+	/* Minimum for a target up for less than TGT_FRESH_US. */
+	int64_t version_fresh;
+	int64_t version_far; /* minimum for a target in a remote region */
+	int64_t version_slow; /* minimum for a target behind a slow link */
+	const struct tgt *const * not ; /* targets tried before */
 	size_t nnot;
-	bool repeatable; /* may be the one that finds out */
-	double spare_share; /* part of its places that must stay free */
+	bool repeatable; /* may probe a target that failed */
+	double spare_share; /* share of the slots that must stay free */
 	uint64_t random;
 };
 
-enum tgt_why { /* why no target was chosen */
+enum tgt_why { /* outcome of a choice */
 	TGT_CHOSEN,
-	TGT_FULL, /* those that could are full */
-	TGT_NONE, /* none there can serve it now */
+	TGT_FULL, /* all eligible targets are full */
+	TGT_NONE, /* no target is eligible now */
 };
 
 struct tgt *tgt_choose(struct tgt_set *s, struct tgt_service *service,
--- a/lib/serve/tgt_choose.c
+++ b/lib/serve/tgt_choose.c
@@ -1,50 +1,52 @@
-/* How full targets are, and the choice of one. */
+/* Load estimate of the targets, and the selection of one. */
 
 #include <math.h>
 #include <string.h>
 
 #include "serve/tgt_internal.h"
 
-/* Word about the load that is older than this says nothing: a request on an
- * engine takes one to two seconds. */
+/* A load report older than this is ignored: a request on an engine takes one
+ * to two seconds. */
 #define LOAD_FRESH_US 600000
-/* Longer rest before a request that may not be repeated is risked on it. */
+/* Additional backoff before a request that must not be repeated may probe a
+ * target. */
 #define PROBE_UNSAFE_US 1000000
-/* Answers before the share of failures is believed. */
+/* Number of answers from which the error rate is used. */
 #define ERROR_ANSWERS 8
 /*
- * Entries send to targets of their own region while these have places, so a
- * target's places are shared by its region's entries. This part of its free
- * places is drawn for by these; the rest is left to all others, whose own
- * targets are taken.
+ * Gateways prefer targets of their own region while these have free slots. This
+ * share of a target's free slots is drawn for by its region's gateways; the
+ * rest is left to all others, whose local targets are full.
  */
-#define NEAR_PART 0.8
-/* Part of the entries that send to one target, where its region's are not
- * told. */
+#define LOCAL_SHARE 0.8
+/* Share of the gateways that send to one target while the number in its
+ * region is not known. */
 #define READ_SHARERS 0.4
-/* A target at its limit of reading costs as much as so many requests. */
+/* A target at its prompt reading limit costs as much as this many requests. */
 #define READ_COST 4.0
-/* Targets this close, in requests, take turns by chance. */
+/* Targets whose costs differ by less than this, in requests, are chosen at
+ * random. */
 #define TIE_COST 0.5
-/* Failures beyond the service's usual share cost so many places. */
+/* Cost, in slots, of an error rate above the service's baseline. */
 #define ERROR_COST 12.0
 
 /* ------------------------------------------------------------------ */
-/* How full                                                            */
+/* Load estimate                                                       */
 /* ------------------------------------------------------------------ */
 
-/* Entries that draw for the target's places, as this one must count them. */
+/* Number of gateways that draw for the target's slots, from the point of
+ * view of this one. */
 static double
 sharers(const struct tgt *t, const struct tgt_policy *p)
 {
-	unsigned int far;
+	unsigned int remote;
 
 	if (t->entries_near == 0)
 		return MAX(1, p->entries);
 	if (t->near)
-		return MAX(1, t->entries_near / NEAR_PART);
-	far = p->entries - MIN(p->entries, t->entries_near);
-	return MAX(1, far / (1 - NEAR_PART));
+		return MAX(1, t->entries_near / LOCAL_SHARE);
+	remote = p->entries - MIN(p->entries, t->entries_near);
+	return MAX(1, remote / (1 - LOCAL_SHARE));
 }
 
 double
@@ -54,13 +56,14 @@
 
 	if (t->seen_us == 0 || now_us - t->seen_us > LOAD_FRESH_US)
 		return (double)t->mine * sharers(t, p);
-	/* What the others had then, and what this entry has now. */
+	/* The others' requests at the time of the report, plus the current
+	 * local ones. */
 	others = (double)t->seen - (double)t->seen_mine;
 	return MAX(0, others) + t->mine;
 }
 
 static unsigned int
-slots_of(const struct tgt *t)
+slot_count(const struct tgt *t)
 {
 	if (t->says.slots > 0)
 		return t->says.slots;
@@ -70,15 +73,15 @@
 double
 tgt_limit(const struct tgt *t, const struct tgt_policy *p)
 {
-	return slots_of(t) + p->beyond_slots;
+	return slot_count(t) + p->beyond_slots;
 }
 
 /* ------------------------------------------------------------------ */
-/* Choice                                                              */
+/* Selection                                                           */
 /* ------------------------------------------------------------------ */
 
 static bool
-was_tried(const struct tgt *t, const struct tgt_wish *wish)
+is_excluded(const struct tgt *t, const struct tgt_wish *wish)
 {
 	size_t i;
 
@@ -106,10 +109,10 @@
 	    strcmp(t->model, wish->model) == 0;
 }
 
-/* A number from 0 up to 1, the same until the next word about the load, and
- * another one at each entry. */
+/* A number in [0, 1) that stays the same until the next load report and
+ * differs between gateways. */
 static double
-draw_of(const struct tgt *t, const struct tgt_policy *p)
+draw_for(const struct tgt *t, const struct tgt_policy *p)
 {
 	uint64_t bits = hash64(p->seed, &t->seen_us, sizeof(t->seen_us));
 
@@ -118,29 +121,30 @@
 }
 
 /*
- * Places that a word about the load shows free are seen by all entries at
- * once. Were each to take them all, a target that has just come up would get
- * as many requests as there are entries times its places, and most would wait
- * there for seconds. Until the next word each takes its part. Where that is less
- * than one request and a side gives words often, it is drawn who sends: with
- * one each, nineteen entries kept some six requests waiting at every engine
- * where two were meant to, and six in ten first tokens came late.
+ * All gateways see the free slots of a load report at once. If each took them
+ * all, a target that has just come up would get its free slots times the number
+ * of gateways, and most requests would queue there for seconds. So until the
+ * next report each gateway takes only its share. A share below one request is
+ * drawn for if the sidecar reports often: with one request each, nineteen
+ * gateways kept some six requests waiting at every engine where two were
+ * intended, and six in ten first tokens were late.
  */
 static bool
-took_its_part(const struct tgt *t, const struct tgt_policy *p, int64_t now_us)
+took_its_share(const struct tgt *t, const struct tgt_policy *p, int64_t now_us)
 {
-	double free_then = tgt_limit(t, p) - t->seen;
-	double part = free_then / sharers(t, p);
+	double free_slots = tgt_limit(t, p) - t->seen;
+	double share = free_slots / sharers(t, p);
 
 	if (t->seen_us == 0 || now_us - t->seen_us > LOAD_FRESH_US)
-		return false; /* the estimate has the others' parts in it */
+		/* The estimate already includes the others' shares. */
+		return false;
 	if (!tgt_side_is_heard(t, now_us))
-		return t->sent_since >= MAX(1, ceil(part));
-	return t->sent_since >= floor(part + draw_of(t, p));
+		return t->sent_since >= MAX(1, ceil(share));
+	return t->sent_since >= floor(share + draw_for(t, p));
 }
 
-/* Time in which the target reads the prompts that wait there: this entry's,
- * and as many of each other that sends to it. */
+/* Time that the target needs to read its queued prompts: those of this
+ * gateway, and as many of each other gateway that sends to it. */
 static int64_t
 read_us(const struct tgt *t, const struct tgt_policy *p)
 {
@@ -153,27 +157,27 @@
 }
 
 /*
- * A prompt is read before its first token, and those of others as well. Sent
- * to a target that has many to read, a request has its place at once and its
- * first token late: after its objective, or on weights that have become too
- * old meanwhile.
+ * A target reads a prompt before it writes the first token, and the queued ones
+ * before that. On a target with many prompts to read, a request gets its slot
+ * at once but its first token late: after its objective, or from weights that
+ * have become too old meanwhile.
  */
 static bool
-reads_enough(const struct tgt *t, const struct tgt_policy *p)
+prompt_queue_is_full(const struct tgt *t, const struct tgt_policy *p)
 {
 	return p->read_us > 0 && read_us(t, p) >= p->read_us;
 }
 
-/* A target that failed gets one request at a time to show that it is back,
- * first such as may be repeated elsewhere. */
+/* A target that failed gets one probing request at a time, after the
+ * backoff; at first only requests that may be repeated elsewhere. */
 static bool
 may_probe(const struct tgt *t, const struct tgt_wish *wish, int64_t now_us)
 {
-	int64_t from_us = t->rest_until_us;
+	int64_t probe_from_us = t->rest_until_us;
 
 	if (!wish->repeatable)
-		from_us += PROBE_UNSAFE_US;
-	return now_us >= from_us && !t->probing;
+		probe_from_us += PROBE_UNSAFE_US;
+	return now_us >= probe_from_us && !t->probing;
 }
 
 static bool
@@ -183,13 +187,13 @@
 		return false;
 	if (t->failures > 0 && !may_probe(t, wish, now_us))
 		return false;
-	return !was_tried(t, wish);
+	return !is_excluded(t, wish);
 }
 
-/* Share of failures that is usual among the service's targets: the median
- * would be better, the smallest is simpler and never hides a bad target. */
+/* Baseline error rate among the service's targets. The median would be
+ * better; the minimum is simpler and never hides a bad target. */
 static double
-usual_errors(const struct tgt_service *service)
+baseline_errors(const struct tgt_service *service)
 {
 	const struct tgt *t;
 	double least = 1;
@@ -202,22 +206,24 @@
 }
 
 static double
-cost_of(const struct tgt *t, const struct tgt_policy *p, double usual,
+target_cost(const struct tgt *t, const struct tgt_policy *p, double baseline,
     int64_t now_us)
 {
-	double cost = tgt_estimate(t, p, now_us) / slots_of(t);
+	double cost = tgt_estimate(t, p, now_us) / slot_count(t);
 
-	/* What it has to read counts as much as its places: whole at the
-	 * limit. */
+	/* Queued prompts count as much as slots: READ_COST at the limit. */
 	if (p->read_us > 0)
 		cost += (double)read_us(t, p) / (double)p->read_us * READ_COST /
-		    slots_of(t);
+		    slot_count(t);
 	if (!t->near)
-		cost += p->far_cost / slots_of(t);
-	if (t->answers >= ERROR_ANSWERS && t->error_share > usual)
-		cost += (t->error_share - usual) * ERROR_COST / slots_of(t);
+		cost += p->far_cost / slot_count(t);
+	if (t->answers >= ERROR_ANSWERS && t->error_share > baseline)
+		cost +=
+		    (t->error_share - baseline) * ERROR_COST / slot_count(t);
 	if (t->side_us != 0 && !tgt_side_is_heard(t, now_us))
-		cost += 1; /* last choice, not none: the side may be ill */
+		/* Last choice, but not excluded: only the sidecar may have
+		 * failed. */
+		cost += 1;
 	return cost;
 }
 
@@ -225,7 +231,7 @@
 tgt_choose(struct tgt_set *s, struct tgt_service *service,
     const struct tgt_wish *wish, int64_t now_us, enum tgt_why *why)
 {
-	double usual = usual_errors(service), cost;
+	double baseline = baseline_errors(service), cost;
 	double best_cost = INFINITY, limited_cost = INFINITY;
 	struct tgt *t, *best = NULL, *limited = NULL;
 	struct rng rng;
@@ -237,16 +243,16 @@
 			continue;
 		if (tgt_estimate(t, &s->policy, now_us) + 1 >
 			tgt_limit(t, &s->policy) -
-			    wish->spare_share * slots_of(t) ||
-		    took_its_part(t, &s->policy, now_us) ||
-		    reads_enough(t, &s->policy)) {
+			    wish->spare_share * slot_count(t) ||
+		    took_its_share(t, &s->policy, now_us) ||
+		    prompt_queue_is_full(t, &s->policy)) {
 			*why = TGT_FULL;
 			continue;
 		}
-		cost = cost_of(t, &s->policy, usual, now_us);
-		/* Entries that see the same figures would all choose the same
-		 * of equal targets. */
-		cost += TIE_COST * tgt_part_of(rng_next(&rng)) / slots_of(t);
+		cost = target_cost(t, &s->policy, baseline, now_us);
+		/* Random tie-break: gateways with the same figures would
+		 * otherwise all choose the same of equal targets. */
+		cost += TIE_COST * tgt_part_of(rng_next(&rng)) / slot_count(t);
 		if (!tgt_rate_is_left(s, t, now_us)) {
 			*why = TGT_FULL;
 			if (cost < limited_cost) {
--- a/lib/serve/tgt_internal.h
+++ b/lib/serve/tgt_internal.h
@@ -1,11 +1,8 @@
 #ifndef SERVE_TGT_INTERNAL_H
 #define SERVE_TGT_INTERNAL_H
 
-/*
- * Shared by the files of tgt: tgt.c holds what is believed of targets,
- * tgt_rate.c their rate limits, tgt_choose.c how full they are and the choice of
- * one.
- */
+/* Shared by the files of tgt: tgt.c holds the targets' state, tgt_rate.c
+ * their rate limits, tgt_choose.c the load estimate and the selection. */
 
 #include "serve/tgt.h"
 
@@ -18,15 +15,15 @@
 	GHashTable *by_address;
 };
 
-/* A side speaks several times a second; one that was heard and is silent for
- * this long has lost its host or the way here. */
+/* A sidecar reports several times a second. One that was silent for this
+ * long has lost its host or its network path to this gateway. */
 #define TGT_SIDE_SILENT_US 900000
 
 bool tgt_side_is_heard(const struct tgt *t, int64_t now_us);
-/* Whether the target's rate limit lets a request through now. */
+/* Whether the target's rate limit admits a request now. */
 bool tgt_rate_is_left(struct tgt_set *s, const struct tgt *t, int64_t now_us);
 
-/* Random bits as a number from 0 up to 1. */
+/* Maps random bits to the interval [0, 1). */
 static inline double
 tgt_part_of(uint64_t bits)
 {
