--- a/lib/serve/permit.c
+++ b/lib/serve/permit.c
@@ -1,24 +1,25 @@
-/* Permits for the requests that a target with a rate limit takes. */
+/* Permits for requests to a target with a rate limit. */
 
 #include "serve/permit.h"
 
-/* Permits that gather while none is asked for: those of this time, one at
- * least. They come on top of what the limit allows. */
-#define GATHER_S 0.5
-/* An entry that wants one asks again after 0.2 s. One that has not, does not. */
-#define ASK_LAPSES_US 300000
+/* Unrequested permits accumulate up to those of this time, or one if that is
+ * more. They come on top of the limit. */
+#define ACCUMULATE_S 0.5
+/* A gateway that needs a permit repeats its request after 0.2 s; an older
+ * request has been abandoned. */
+#define ASK_EXPIRES_US 300000
 /*
- * When an answer names no limit any more, permits are given at twice the rate
- * after each such time until there are more than an engine has use for. One
- * answer may be wrong: an entry that stood still tells of it seconds later. The
- * next one then names the limit again, before much was sent. And the target
- * gets its traffic back by degrees, not from all entries at once.
+ * When an answer no longer states a limit, the rate of permits doubles after
+ * each such time until it exceeds what an engine can use. One answer may be
+ * wrong, as a gateway that stalled reports it seconds late; the next answer
+ * then states the limit again before much was sent. And the target's traffic
+ * returns gradually, not from all gateways at once.
  */
 #define LIFT_STEP_US 400000
 #define LIFTED_RATE 100.0 /* requests a second */
 
 struct permit_ask {
-	char entry[PERMIT_ENTRY_MAX];
+	char gateway[PERMIT_ENTRY_MAX];
 	int64_t asked_us;
 };
 
@@ -43,7 +44,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The limit                                                           */
+/* Limit                                                               */
 /* ------------------------------------------------------------------ */
 
 /* Permits a second. */
@@ -67,14 +68,14 @@
 	double rate = rate_of(p, now_us);
 
 	p->tokens += rate * (double)(now_us - p->filled_us) / G_USEC_PER_SEC;
-	p->tokens = MIN(p->tokens, MAX(1, rate * GATHER_S));
+	p->tokens = MIN(p->tokens, MAX(1, rate * ACCUMULATE_S));
 	p->filled_us = now_us;
 }
 
 static void
 set_limit(struct permits *p, double limit, int64_t now_us)
 {
-	/* Entries have just sent what they liked: nothing is left over. */
+	/* Gateways were not limited until now: nothing has accumulated. */
 	if (p->limit == 0)
 		p->tokens = 0;
 	else
@@ -82,25 +83,27 @@
 	p->filled_us = now_us;
 	p->limit = limit;
 	p->ended_us = 0;
-	p->tokens = MIN(p->tokens, MAX(1, limit * GATHER_S));
+	p->tokens = MIN(p->tokens, MAX(1, limit * ACCUMULATE_S));
 }
 
 bool
-permits_heard(struct permits *p, const struct permit_word *word, int64_t now_us)
+permits_heard(
+    struct permits *p, const struct permit_word *report, int64_t now_us)
 {
-	bool knew = p->knows;
+	bool was_known = p->knows;
 	double before = p->limit;
 
-	/* What others heard here comes back later than it was said. */
-	if (knew && (!word->own || word->since_us <= p->since_us))
+	/* A report that another gateway relays from here is older than the
+	 * state here. */
+	if (was_known && (!report->own || report->since_us <= p->since_us))
 		return false;
 	p->knows = true;
-	p->since_us = word->since_us;
-	if (word->limit > 0)
-		set_limit(p, word->limit, now_us);
+	p->since_us = report->since_us;
+	if (report->limit > 0)
+		set_limit(p, report->limit, now_us);
 	else if (p->limit > 0 && p->ended_us == 0)
 		p->ended_us = now_us;
-	return !knew || p->limit != before;
+	return !was_known || p->limit != before;
 }
 
 bool
@@ -119,24 +122,24 @@
 /* ------------------------------------------------------------------ */
 
 void
-permits_ask(struct permits *p, const char *entry, int64_t now_us)
+permits_ask(struct permits *p, const char *gateway, int64_t now_us)
 {
 	struct permit_ask ask = { .asked_us = now_us }, *other;
 	guint i;
 
 	for (i = 0; i < p->asks->len; i++) {
 		other = &g_array_index(p->asks, struct permit_ask, i);
-		if (g_strcmp0(other->entry, entry) == 0) {
-			other->asked_us = now_us; /* its turn stays */
+		if (g_strcmp0(other->gateway, gateway) == 0) {
+			other->asked_us = now_us; /* it retains its position */
 			return;
 		}
 	}
-	g_strlcpy(ask.entry, entry, sizeof(ask.entry));
+	g_strlcpy(ask.gateway, gateway, sizeof(ask.gateway));
 	g_array_append_val(p->asks, ask);
 }
 
 bool
-permits_next(struct permits *p, char entry[PERMIT_ENTRY_MAX], int64_t now_us)
+permits_next(struct permits *p, char gateway[PERMIT_ENTRY_MAX], int64_t now_us)
 {
 	struct permit_ask ask;
 
@@ -146,9 +149,9 @@
 	while (p->asks->len > 0 && p->tokens >= 1) {
 		ask = g_array_index(p->asks, struct permit_ask, 0);
 		g_array_remove_index(p->asks, 0);
-		if (now_us - ask.asked_us > ASK_LAPSES_US)
+		if (now_us - ask.asked_us > ASK_EXPIRES_US)
 			continue;
-		g_strlcpy(entry, ask.entry, PERMIT_ENTRY_MAX);
+		g_strlcpy(gateway, ask.gateway, PERMIT_ENTRY_MAX);
 		p->tokens--;
 		return true;
 	}
--- a/lib/serve/permit.h
+++ b/lib/serve/permit.h
@@ -2,51 +2,55 @@
 #define SERVE_PERMIT_H
 
 /*
- * permit: a side hands out permits for a target that names a rate limit, one a
- * request, to the entries that ask, in the order in which they asked. One pool
- * for all entries: a limit holds however uneven their traffic is, and an entry
- * that starts, stands still or is cut off uses none. Where the target has a side
- * the pool stands there: whoever can reach the target can reach it. Pure.
+ * permit: a sidecar issues permits for a target with a rate limit, one for each
+ * request, to the gateways in the order in which they asked. There is one pool
+ * for all gateways: a limit holds however uneven their traffic is, and a
+ * gateway that starts, stalls or is cut off uses none of it. Where the target
+ * has a sidecar the pool is there: a gateway that can reach the target can
+ * reach it, too. Pure.
  */
 
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PERMIT_ENTRY_MAX 24 /* "ip:port" with room */
+#define PERMIT_ENTRY_MAX 24 /* "ip:port" and a NUL */
 
 struct permits {
-	bool knows; /* some entry has told */
+	bool knows; /* a gateway has reported the limit */
 	double limit; /* requests a second; 0: none */
-	int64_t since_us; /* the moment for which that holds, see rate.h */
-	int64_t ended_us; /* an answer named none since then; 0: no */
-	double tokens; /* permits that could be given now */
+	int64_t since_us; /* the time as of which that holds, see rate.h */
+	/* Since then an answer stated no limit; 0: none did. */
+	int64_t ended_us;
+	double tokens; /* permits available now */
 	int64_t filled_us;
 	GArray *asks; /* struct permit_ask, oldest first */
 };
 
-/* What an entry tells of the limit. */
+/* A gateway's report of the limit. */
 struct permit_word {
-	double limit; /* 0: none is named */
+	double limit; /* 0: no limit */
 	int64_t since_us;
-	bool own; /* by an answer to it; else it only passes on what it heard */
+	bool own; /* from an answer to this gateway; else relayed */
 };
 
 void permits_init(struct permits *p);
 void permits_clear(struct permits *p);
-/* The target started again: nothing is known of it. */
+/* The target restarted: discards what is known of it. */
 void permits_forget(struct permits *p);
 
-/* True when what entries should be told has changed. */
+/* True if the limit to be reported to gateways changed. */
 bool permits_heard(
-    struct permits *p, const struct permit_word *word, int64_t now_us);
-/* The same, as time goes by: a limit that has ended is lifted step by step. */
+    struct permits *p, const struct permit_word *report, int64_t now_us);
+/* The same, by the passing of time: a limit that has ended is lifted step by
+ * step. */
 bool permits_settle(struct permits *p, int64_t now_us);
 
-/* `entry` wants to send a request. */
-void permits_ask(struct permits *p, const char *entry, int64_t now_us);
-/* Whether there is a permit for some entry now; its address. */
+/* `gateway` requests a permit. */
+void permits_ask(struct permits *p, const char *gateway, int64_t now_us);
+/* Issues the next permit, if one is available, and stores the address of the
+ * gateway that gets it. */
 bool permits_next(
-    struct permits *p, char entry[PERMIT_ENTRY_MAX], int64_t now_us);
+    struct permits *p, char gateway[PERMIT_ENTRY_MAX], int64_t now_us);
 
 #endif
--- a/lib/serve/rate.c
+++ b/lib/serve/rate.c
@@ -1,4 +1,4 @@
-/* A target's rate limit, as one entry holds to it. */
+/* A target's rate limit, as one gateway applies it. */
 
 #include <math.h>
 #include <stddef.h>
@@ -6,26 +6,28 @@
 #include "serve/rate.h"
 
 #define SECOND_US 1e6
-/* After an answer of its own an entry believes that, and not what the side said
- * before it heard of it: a way there and back, and a lost datagram's repeat. */
-#define SETTLE_US 300000
-/* A permit that is not used by then has lapsed. Longer than the time between
- * two requests at an entry with traffic; what lapses is lost to the others. */
-#define PERMIT_US 1000000
-/* A question that was lost is asked again after this. */
-#define ASK_AGAIN_US 200000
+/* For this long after an answer to it, a gateway trusts the answer over the
+ * sidecar's reports, which may predate it: one round trip and the retry of a
+ * lost datagram. */
+#define REPORT_DELAY_US 300000
+/* An unused permit expires after this. Longer than the time between two
+ * requests at a gateway with traffic; an expired permit is lost to the
+ * others. */
+#define PERMIT_LIFETIME_US 1000000
+/* A request for a permit without an answer is repeated after this. */
+#define PERMIT_RETRY_US 200000
 /*
- * Turns by the clock: in each period, entries / limit, an entry may send one
- * request, within a part of the period that is the shorter the more entries
- * there are. Were each to use its turn whenever the next request comes, after a
- * quiet time all would at once. So in any time no more turns are open than the
- * limit allows and these many.
+ * Time slots: in each period of gateways / limit seconds a gateway may send one
+ * request, within a part of the period that is shorter the more gateways there
+ * are. If each could use its slot whenever its next request arrives, all would
+ * send at once after a quiet time. So the number of slots open at any time is
+ * bounded by the limit and this burst.
  */
-#define SHARE_BURST 2.0
-/* Part of the limit that turns use: no entry knows when the others have theirs,
- * and by chance several fall together. */
-#define SHARE_USED 0.6
-#define SHARE_PART_MAX 0.5
+#define SLOT_BURST 2.0
+/* Share of the limit that time slots use: no gateway knows when the others
+ * have theirs, and by chance several coincide. */
+#define SLOT_LIMIT_SHARE 0.6
+#define SLOT_PERIOD_SHARE_MAX 0.5
 
 uint64_t
 rate_to_milli(double limit)
@@ -45,9 +47,9 @@
 {
 	double before = r->limit;
 
-	/* Answers overtake each other: one that names no limit may have been
-	 * begun before the limit was. Only a request that was sent after the
-	 * limit was last heard of tells that it has ended. */
+	/* Answers may arrive out of order: one without a limit may have
+	 * begun before the limit was set. Only a request that was sent after
+	 * the limit was last stated shows that it has ended. */
 	if (limit == 0 && asked_us <= r->own_us)
 		return false;
 	r->own = limit;
@@ -64,8 +66,9 @@
 
 	r->side_knows = true;
 	r->side_limit = limit;
-	/* The side has not heard yet of what an answer said here. */
-	if (limit == 0 && r->own > 0 && now_us - r->own_us < SETTLE_US)
+	/* The sidecar does not know yet of the limit that an answer stated
+	 * to this gateway. */
+	if (limit == 0 && r->own > 0 && now_us - r->own_us < REPORT_DELAY_US)
 		return false;
 	r->limit = limit;
 	return limit != before;
@@ -87,14 +90,17 @@
 }
 
 static bool
-is_in_turn(const struct rate *r, const struct rate_share *share, int64_t now_us)
+is_in_time_slot(
+    const struct rate *r, const struct rate_share *share, int64_t now_us)
 {
-	double period_us = share->entries * SECOND_US / (r->limit * SHARE_USED);
-	double part = fmin(SHARE_PART_MAX, SHARE_BURST / share->entries);
+	double period_us =
+	    share->entries * SECOND_US / (r->limit * SLOT_LIMIT_SHARE);
+	double open_share =
+	    fmin(SLOT_PERIOD_SHARE_MAX, SLOT_BURST / share->entries);
 	double at_us =
 	    fmod((double)now_us + share->phase * period_us, period_us);
 
-	if (at_us >= part * period_us)
+	if (at_us >= open_share * period_us)
 		return false;
 	return r->sent_us == 0 ||
 	    (double)(now_us - r->sent_us) >= period_us / 2;
@@ -106,7 +112,7 @@
 {
 	if (r->limit == 0 || now_us < r->permit_us)
 		return true;
-	return share != NULL && is_in_turn(r, share, now_us);
+	return share != NULL && is_in_time_slot(r, share, now_us);
 }
 
 void
@@ -121,7 +127,7 @@
 {
 	if (r->limit == 0 || now_us < r->permit_us)
 		return false;
-	if (r->asked_us != 0 && now_us - r->asked_us < ASK_AGAIN_US)
+	if (r->asked_us != 0 && now_us - r->asked_us < PERMIT_RETRY_US)
 		return false;
 	r->asked_us = now_us;
 	return true;
@@ -130,6 +136,6 @@
 void
 rate_permit(struct rate *r, int64_t now_us)
 {
-	r->permit_us = now_us + PERMIT_US;
+	r->permit_us = now_us + PERMIT_LIFETIME_US;
 	r->asked_us = 0;
 }
--- a/lib/serve/rate.h
+++ b/lib/serve/rate.h
@@ -2,72 +2,74 @@
 #define SERVE_RATE_H
 
 /*
- * rate: what an entry makes of the rate limit that a target in need names in
- * its answers: requests a second that it takes from all entries together, for
- * as long as it names it.
+ * rate: how a gateway applies the rate limit that an overloaded target states
+ * in its answers: the requests a second that it takes from all gateways
+ * together, for as long as it does so.
  *
- * Each entry that knows of a limit needs a permit for each request. Permits are
- * handed out in one place for all entries (permit.h), so that one limit holds
- * for all of them however uneven their traffic is: by the side of the target,
- * or, where it has none, by a side on which the entries agree. While that is not
- * heard, each entry has its turns by the clock. Pure.
+ * Each gateway that knows of a limit needs a permit for each request. One place
+ * issues permits for all gateways (permit.h), so that the limit holds for their
+ * sum however uneven their traffic is: the target's sidecar or, where it has
+ * none, a sidecar on which the gateways agree. While that is not responding,
+ * each gateway sends in time slots of its own. Pure.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* A limit of nothing is taken as this many requests a second, so that its end
- * is found out. */
+/* A limit of zero is applied as this many requests a second, so that its end
+ * is noticed. */
 #define RATE_LEAST 0.25
 
-/* Between processes a limit goes in thousandths of a request a second. */
+/* Between processes a limit is sent in thousandths of a request a second. */
 uint64_t rate_to_milli(double limit);
 double rate_of_milli(uint64_t milli);
 
 struct rate {
-	double limit; /* requests a second; 0: none */
+	double limit; /* requests a second; 0: no limit */
 	/*
-	 * What this entry's own answers told last, and the moment for which it
-	 * holds: when the answer that named a limit came in, or when the request
-	 * was sent whose answer named none. 0: no word yet.
+	 * What answers to this gateway stated last, and the time as of which
+	 * that holds: when the answer with a limit came in, or when the request
+	 * was sent whose answer had none. 0: no answer yet.
 	 */
 	double own;
 	int64_t own_us;
 	bool side_knows;
-	double side_limit; /* the side's last word */
-	int64_t permit_us; /* there is a permit until then; 0: none */
-	int64_t asked_us; /* for a permit, last */
-	int64_t sent_us; /* the last request */
+	double side_limit; /* as last reported by the sidecar */
+	int64_t permit_us; /* a permit is available until then; 0: none */
+	int64_t asked_us; /* last request for a permit */
+	int64_t sent_us; /* last request to the target */
 };
 
-/* Entries that share a target while nobody gives permits for it. */
+/* Gateways that share a target while no sidecar issues permits for it. */
 struct rate_share {
 	unsigned int entries;
-	double phase; /* of this entry's turns, 0 up to 1 */
+	double phase; /* of this gateway's time slots, in [0, 1) */
 };
 
 /*
- * An answer came to a request that was sent at `asked_us`. `limit` is what it
- * names; 0: none. True when what this entry holds to has changed. While the
- * target's own side is heard, it decides when a limit has ended.
+ * An answer arrived to a request that was sent at `asked_us`. `limit` is what
+ * it states; 0: none. True if the limit applied here changed. While the
+ * target's own sidecar is alive, the sidecar decides when a limit has ended.
  */
 bool rate_answered(struct rate *r, double limit, int64_t asked_us,
     bool side_heard, int64_t now_us);
-/* The side's word about the limit, 0: none; not given while the side does not
- * know. True when what this entry holds to has changed. */
+/* The sidecar's report of the limit, 0: none; not called while the sidecar
+ * does not know it. True if the limit applied here changed. */
 bool rate_told(struct rate *r, double limit, int64_t now_us);
-/* Another's word that there is a limit, while no answer here has told. True
- * when what this entry holds to has changed. */
+/* Another gateway's report of a limit; ignored once an answer to this
+ * gateway stated one or none. True if the limit applied here changed. */
 bool rate_heard(struct rate *r, double limit);
-/* Whether the side should be told of this entry's answers. */
+/* Whether answers to this gateway differ from what the sidecar knows, so
+ * that it should be sent a report. */
 bool rate_is_news(const struct rate *r);
 
-/* Whether a request may be sent now. `share` NULL: a side gives permits. */
+/* Whether a request may be sent now. `share` NULL: a sidecar issues permits. */
 bool rate_allows(
     const struct rate *r, const struct rate_share *share, int64_t now_us);
 void rate_sent(struct rate *r, int64_t now_us);
 
-/* Whether to ask the side for a permit; counts as asked if so. */
+/* Whether to request a permit from the sidecar; if so, the request is
+ * counted as sent. */
 bool rate_ask(struct rate *r, int64_t now_us);
 void rate_permit(struct rate *r, int64_t now_us);
 
--- a/lib/serve/tgt_rate.c
+++ b/lib/serve/tgt_rate.c
@@ -1,4 +1,5 @@
-/* Rate limits of targets: who gives permits, and who is told. */
+/* Rate limits of targets: the sidecar that issues permits, and reports to
+ * it. */
 
 #include <string.h>
 
@@ -11,9 +12,9 @@
 	uint64_t hash;
 };
 
-/* Keeps the `most` best, best first. */
+/* Inserts `one` into the `most` best, best first; returns their number. */
 static size_t
-rank_side(struct ranked_side *best, size_t n, size_t most,
+insert_ranked(struct ranked_side *best, size_t n, size_t most,
     const struct ranked_side *one)
 {
 	size_t at = n;
@@ -46,19 +47,22 @@
 			continue;
 		one.hash = hash64(
 		    seed, one.t->says.address, strlen(one.t->says.address));
-		n = rank_side(best, n, most, &one);
+		n = insert_ranked(best, n, most, &one);
 	}
 	for (i = 0; i < n; i++)
 		out[i] = best[i].t;
 	return n;
 }
 
-/* The side that gives permits for `t`: its own; where it has none, one of all that
- * are heard, by rendezvous hashing, so that all entries find the same. NULL while
- * its own is silent: others may still hear that, and a second pool would give as
- * much again. */
+/*
+ * The sidecar that issues permits for `t`: its own; where it has none, one of
+ * all live sidecars, selected by rendezvous hashing so that all gateways select
+ * the same. NULL while the target's own sidecar is not responding: other
+ * gateways may still receive its reports, and a second pool would issue as many
+ * permits again.
+ */
 static const struct tgt *
-permits_at(struct tgt_set *s, const struct tgt *t, int64_t now_us)
+permit_issuer(struct tgt_set *s, const struct tgt *t, int64_t now_us)
 {
 	uint64_t seed = hash64(0, t->says.address, strlen(t->says.address));
 	const struct tgt *best = NULL;
@@ -69,9 +73,10 @@
 	return best;
 }
 
-/* Whether some side gives permits for `t`: cheaper than to find out which. */
+/* Whether any sidecar issues permits for `t`: cheaper than finding out
+ * which. */
 static bool
-permits_are_given(struct tgt_set *s, const struct tgt *t, int64_t now_us)
+permits_are_issued(struct tgt_set *s, const struct tgt *t, int64_t now_us)
 {
 	const struct tgt_service *service;
 	GHashTableIter iter;
@@ -90,13 +95,13 @@
 }
 
 static void
-tell_rate(struct tgt_set *s, const struct tgt *t, bool ask, int64_t now_us)
+report_rate(struct tgt_set *s, const struct tgt *t, bool ask, int64_t now_us)
 {
 	const struct tgt *at;
 
 	if (s->policy.tell_rate == NULL)
 		return;
-	at = permits_at(s, t, now_us);
+	at = permit_issuer(s, t, now_us);
 	if (at != NULL)
 		s->policy.tell_rate(t, at, ask, s->policy.rate_ctx);
 }
@@ -109,16 +114,17 @@
 	    &t->rate, limit, asked_us, tgt_side_is_heard(t, now_us), now_us);
 
 	if (rate_is_news(&t->rate))
-		tell_rate(s, t, false, now_us);
+		report_rate(s, t, false, now_us);
 	return changed;
 }
 
 /*
- * A target in need names how many requests it takes from all entries together.
- * Passed over, it gets as many as before, falls further behind, and its callers
- * wait. Were each entry to hold to the limit, all together would send so many
- * times as much. So a request goes there only with a permit, which one side
- * gives for all entries; while that is silent, in this entry's turns.
+ * An overloaded target states in its answers how many requests it takes from
+ * all gateways together. If the limit is ignored, it falls further behind and
+ * its callers wait. If each gateway applied the limit by itself, all together
+ * would send a multiple of it. So a request is sent there only with a permit,
+ * which one sidecar issues for all gateways; while that is not responding, in
+ * this gateway's time slots.
  */
 bool
 tgt_rate_is_left(struct tgt_set *s, const struct tgt *t, int64_t now_us)
@@ -130,12 +136,12 @@
 	share.phase =
 	    tgt_part_of(hash64(s->policy.seed, t->says.id, strlen(t->says.id)));
 	return rate_allows(
-	    &t->rate, permits_are_given(s, t, now_us) ? NULL : &share, now_us);
+	    &t->rate, permits_are_issued(s, t, now_us) ? NULL : &share, now_us);
 }
 
 void
 tgt_ask_permit(struct tgt_set *s, struct tgt *t, int64_t now_us)
 {
 	if (rate_ask(&t->rate, now_us))
-		tell_rate(s, t, true, now_us);
+		report_rate(s, t, true, now_us);
 }
