--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -54,7 +54,7 @@
 	    r->first_event_us == 0 ? -1
 				   : (r->first_event_us - r->begun_us) / 1000,
 	    r->sent_us == 0 ? -1 : (r->sent_us - r->begun_us) / 1000,
-	    r->came_back, r->target == NULL ? "-" : r->target->says.id,
+	    r->came_back, r->target == NULL ? "-" : r->target->record.id,
 	    r->content, rtab_config(r->routes)->version);
 }
 
--- a/lib/serve/fwd_answer.c
+++ b/lib/serve/fwd_answer.c
@@ -38,7 +38,7 @@
 	if (*end != ',')
 		return;
 	waiting = strtoul(end + 1, &end, 10);
-	tgt_load(r->target, (unsigned int)(running + waiting), fwd_now(r));
+	tgt_set_load(r->target, (unsigned int)(running + waiting), fwd_now(r));
 }
 
 static bool
@@ -65,7 +65,7 @@
 	if (*end != '\0' || !isfinite(*out) || *out < 0)
 		return false;
 	/* As others will hear it, or their word would seem to be another. */
-	*out = rate_of_milli(rate_to_milli(MAX(*out, RATE_LEAST)));
+	*out = rate_of_milli(rate_to_milli(MAX(*out, RATE_MIN)));
 	return true;
 }
 
@@ -80,11 +80,12 @@
 	 * limit does not end one. */
 	if (limit == 0 && !(is_success(r) && r->sealed))
 		return;
-	if (tgt_answered_rate(
+	if (tgt_rate_answered(
 		r->fwd->conf.targets, r->target, limit, r->sent_us, fwd_now(r)))
 		evt(EVT_LIMIT,
 		    "target=%s address=%s limit=%.2f before=%.2f from=answer",
-		    r->target->says.id, r->target->says.address, limit, before);
+		    r->target->record.id, r->target->record.address, limit,
+		    before);
 }
 
 /* Statuses that promise that a request did not run: only a target that says
@@ -120,7 +121,7 @@
 		memcmp(id->value.p, r->id, id->value.n) != 0)) {
 		ctr_add(r->fwd->odd, 1);
 		evt(EVT_ODD, "req=%s target=%s got=%.*s", r->id,
-		    r->target->says.id, (int)MIN(id->value.n, FWD_ID_MAX),
+		    r->target->record.id, (int)MIN(id->value.n, FWD_ID_MAX),
 		    id->value.p);
 		hcall_skip(r->call);
 		return;
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -45,7 +45,7 @@
 	if (!r->reading)
 		return;
 	r->reading = false;
-	tgt_reading(r->target, r->prompt, false);
+	tgt_prefill(r->target, r->prompt, false);
 	fwd_pump(r->fwd);
 }
 
@@ -112,7 +112,7 @@
 	[FLOW_REFUSED] = TGT_REFUSED,
 	[FLOW_UNREACHABLE] = TGT_LOST,
 	[FLOW_LOST] = TGT_ERROR,
-	[FLOW_SILENT] = TGT_SILENT,
+	[FLOW_SILENT] = TGT_TIMEOUT,
 	[FLOW_WITHDRAWN] = TGT_REFUSED, /* says nothing against it */
 	[FLOW_FAILURE] = TGT_ERROR,
 };
@@ -126,15 +126,15 @@
 	if (r->target->failures > failures)
 		evt(EVT_TARGET_REST,
 		    "target=%s address=%s why=%s failures=%u rest_ms=%" G_GINT64_FORMAT,
-		    r->target->says.id, r->target->says.address, end_names[end],
-		    r->target->failures,
-		    (r->target->rest_until_us - fwd_now(r)) / 1000);
+		    r->target->record.id, r->target->record.address,
+		    end_names[end], r->target->failures,
+		    (r->target->backoff_until_us - fwd_now(r)) / 1000);
 	if (end != FLOW_REFUSED)
 		return;
 	if (r->status == 421)
-		tgt_mistaken(r->target);
+		tgt_wrong_instance(r->target);
 	else /* it is fuller than was thought */
-		tgt_load(r->target,
+		tgt_set_load(r->target,
 		    (unsigned int)tgt_limit(
 			r->target, tgt_set_policy(r->fwd->conf.targets)),
 		    fwd_now(r));
@@ -149,7 +149,7 @@
 	evt(EVT_RETRY,
 	    "req=%s why=%s target=%s tries=%u runs=%u last_event=%" G_GINT64_FORMAT
 	    " ms=%" G_GINT64_FORMAT " content=%016" G_GINT64_MODIFIER "x",
-	    r->id, end_names[end], r->target->says.id, r->flow.tries,
+	    r->id, end_names[end], r->target->record.id, r->flow.tries,
 	    r->flow.runs, r->last_event, (fwd_now(r) - r->begun_us) / 1000,
 	    r->content);
 	fwd_drop_call(r);
@@ -240,7 +240,7 @@
 	struct fwd *f = r->fwd;
 	struct tgt *target = tgt_ref(r->target);
 	bool ended =
-	    target->side_us == 0 && fwd_now(r) - r->sent_us < REFUSED_US;
+	    target->side_report_us == 0 && fwd_now(r) - r->sent_us < REFUSED_US;
 
 	attempt_ended(r, FLOW_UNREACHABLE);
 	if (ended)
@@ -304,9 +304,9 @@
 static int64_t
 withdraw_us(const struct fwd_req *r)
 {
-	if (tgt_way_is_slow(r->target, fwd_now(r)))
+	if (tgt_path_is_slow(r->target, fwd_now(r)))
 		return WITHDRAW_SLOW_US;
-	return r->target->near ? WITHDRAW_US : WITHDRAW_FAR_US;
+	return r->target->local ? WITHDRAW_US : WITHDRAW_FAR_US;
 }
 
 /* Also of a stream that has begun elsewhere, and of a last attempt: their
@@ -317,10 +317,10 @@
 	int64_t end_us;
 
 	if (r->route->kind != SV_STREAM || !r->flow.repeatable ||
-	    !r->target->says.has_models)
+	    !r->target->record.has_models)
 		return;
-	end_us =
-	    vers_end_us(r->fwd->conf.versions, r->model, r->target->version);
+	end_us = vers_deadline_us(
+	    r->fwd->conf.versions, r->model, r->target->version);
 	if (end_us == 0)
 		return;
 	r->begin.fire = on_begin_due;
@@ -396,11 +396,11 @@
 	tgt_sent(target, r->sent_us);
 	/* The next request finds its permit there. */
 	tgt_ask_permit(r->fwd->conf.targets, target, r->sent_us);
-	tgt_reading(target, r->prompt, true);
+	tgt_prefill(target, r->prompt, true);
 	r->reading = true;
 	body = hreq_body(r->caller, &len);
 	r->call = hcall_start(r->fwd->conf.pool,
-	    &(struct hcall_conf){ .address = target->says.address,
+	    &(struct hcall_conf){ .address = target->record.address,
 		.head = head->str,
 		.head_len = head->len,
 		.body = body,
--- a/lib/serve/fwd_head.c
+++ b/lib/serve/fwd_head.c
@@ -85,12 +85,12 @@
 		append_field(out, d, SV_F_WORKSPACE, "%s", r->workspace->name);
 	/* The address may have passed on to another target: that one then
 	 * refuses instead of running the request. */
-	append_field(out, d, SV_F_EXPECT_INSTANCE, "%s", target->says.id);
+	append_field(out, d, SV_F_EXPECT_INSTANCE, "%s", target->record.id);
 	if (r->model == NULL)
 		return;
 	append_field(
 	    out, d, SV_F_URGENCY, "%d", CLAMP(r->priority, 0, URGENCY_MAX));
-	least = vers_least(r->fwd->conf.versions, r->model, fwd_now(r));
+	least = vers_min(r->fwd->conf.versions, r->model, fwd_now(r));
 	if (least > 0 && target->version > 0)
 		append_field(out, d, SV_F_EXPECT_VERSION, "%" G_GINT64_FORMAT,
 		    target->version);
--- a/lib/serve/fwd_suspect.c
+++ b/lib/serve/fwd_suspect.c
@@ -10,7 +10,7 @@
 static uint64_t
 hash_of(const struct tgt *t)
 {
-	return hash64(0, t->says.id, strlen(t->says.id));
+	return hash64(0, t->record.id, strlen(t->record.id));
 }
 
 static void
@@ -53,7 +53,7 @@
 static bool
 cuts_by_itself(const struct tgt *t)
 {
-	return t->leaving || t->dropped || (t->side_down && !t->ended);
+	return t->leaving || t->dropped || (t->side_down && !t->terminated);
 }
 
 void
--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -192,26 +192,25 @@
 }
 
 static struct tgt *
-choose(struct fwd_req *r, enum tgt_why *why)
+choose(struct fwd_req *r, enum tgt_reason *why)
 {
 	struct fwd *f = r->fwd;
 	bool queues = !fwd_may_withdraw(r);
 	int64_t begin_us =
 	    fwd_now(r) + (queues ? LEAD_QUEUE_US : LEAD_WITHDRAWN_US);
 	int64_t fresh_us = begin_us + (queues ? LEAD_HERD_US : 0);
-	struct tgt_wish wish = {
+	struct tgt_criteria wish = {
 		.model = r->model,
-		.version = vers_least(f->conf.versions, r->model, begin_us),
-		.version_fresh =
-		    vers_least(f->conf.versions, r->model, fresh_us),
-		.version_far = vers_least(
+		.version = vers_min(f->conf.versions, r->model, begin_us),
+		.version_fresh = vers_min(f->conf.versions, r->model, fresh_us),
+		.version_remote = vers_min(
 		    f->conf.versions, r->model, begin_us + LEAD_FAR_US),
-		.version_slow = vers_least(
+		.version_slow = vers_min(
 		    f->conf.versions, r->model, fwd_now(r) + LEAD_SLOW_US),
-		.not = r->tried,
-		.nnot = r->ntried,
+		.exclude = r->tried,
+		.nexclude = r->ntried,
 		.repeatable = r->flow.repeatable,
-		.spare_share = gives_way(r) ? BACK_SPARE_SHARE : 0,
+		.reserve_share = gives_way(r) ? BACK_SPARE_SHARE : 0,
 		.random = rng_next(&f->rng),
 	};
 
@@ -234,7 +233,7 @@
 void
 fwd_dispatch(struct fwd_req *r)
 {
-	enum tgt_why why;
+	enum tgt_reason why;
 	struct tgt *target = choose(r, &why);
 	int64_t until_us;
 
@@ -314,7 +313,7 @@
 	struct full full[FULL_KINDS] = { 0 };
 	struct fwd_req *r, *next;
 	struct tgt *target;
-	enum tgt_why why;
+	enum tgt_reason why;
 
 	for (r = TAILQ_FIRST(&service->waiting); r != NULL; r = next) {
 		next = TAILQ_NEXT(r, link);
--- a/lib/serve/permit.c
+++ b/lib/serve/permit.c
@@ -19,25 +19,25 @@
 #define LIFTED_RATE 100.0 /* requests a second */
 
 struct permit_ask {
-	char gateway[PERMIT_ENTRY_MAX];
+	char gateway[PERMIT_GATEWAY_MAX];
 	int64_t asked_us;
 };
 
 void
 permits_init(struct permits *p)
 {
-	*p = (struct permits){ .asks = g_array_new(
+	*p = (struct permits){ .requests = g_array_new(
 				   FALSE, FALSE, sizeof(struct permit_ask)) };
 }
 
 void
 permits_clear(struct permits *p)
 {
-	g_array_unref(p->asks);
+	g_array_unref(p->requests);
 }
 
 void
-permits_forget(struct permits *p)
+permits_reset(struct permits *p)
 {
 	permits_clear(p);
 	permits_init(p);
@@ -87,17 +87,17 @@
 }
 
 bool
-permits_heard(
-    struct permits *p, const struct permit_word *report, int64_t now_us)
+permits_reported(
+    struct permits *p, const struct permit_report *report, int64_t now_us)
 {
-	bool was_known = p->knows;
+	bool was_known = p->known;
 	double before = p->limit;
 
 	/* A report that another gateway relays from here is older than the
 	 * state here. */
-	if (was_known && (!report->own || report->since_us <= p->since_us))
+	if (was_known && (!report->direct || report->since_us <= p->since_us))
 		return false;
-	p->knows = true;
+	p->known = true;
 	p->since_us = report->since_us;
 	if (report->limit > 0)
 		set_limit(p, report->limit, now_us);
@@ -107,13 +107,13 @@
 }
 
 bool
-permits_settle(struct permits *p, int64_t now_us)
+permits_advance(struct permits *p, int64_t now_us)
 {
 	if (p->ended_us == 0 || rate_of(p, now_us) < LIFTED_RATE)
 		return false;
 	p->limit = 0;
 	p->ended_us = 0;
-	g_array_set_size(p->asks, 0);
+	g_array_set_size(p->requests, 0);
 	return true;
 }
 
@@ -127,31 +127,32 @@
 	struct permit_ask ask = { .asked_us = now_us }, *other;
 	guint i;
 
-	for (i = 0; i < p->asks->len; i++) {
-		other = &g_array_index(p->asks, struct permit_ask, i);
+	for (i = 0; i < p->requests->len; i++) {
+		other = &g_array_index(p->requests, struct permit_ask, i);
 		if (g_strcmp0(other->gateway, gateway) == 0) {
 			other->asked_us = now_us; /* it retains its position */
 			return;
 		}
 	}
 	g_strlcpy(ask.gateway, gateway, sizeof(ask.gateway));
-	g_array_append_val(p->asks, ask);
+	g_array_append_val(p->requests, ask);
 }
 
 bool
-permits_next(struct permits *p, char gateway[PERMIT_ENTRY_MAX], int64_t now_us)
+permits_next(
+    struct permits *p, char gateway[PERMIT_GATEWAY_MAX], int64_t now_us)
 {
 	struct permit_ask ask;
 
 	if (p->limit == 0)
 		return false;
 	fill(p, now_us);
-	while (p->asks->len > 0 && p->tokens >= 1) {
-		ask = g_array_index(p->asks, struct permit_ask, 0);
-		g_array_remove_index(p->asks, 0);
+	while (p->requests->len > 0 && p->tokens >= 1) {
+		ask = g_array_index(p->requests, struct permit_ask, 0);
+		g_array_remove_index(p->requests, 0);
 		if (now_us - ask.asked_us > ASK_EXPIRES_US)
 			continue;
-		g_strlcpy(gateway, ask.gateway, PERMIT_ENTRY_MAX);
+		g_strlcpy(gateway, ask.gateway, PERMIT_GATEWAY_MAX);
 		p->tokens--;
 		return true;
 	}
--- a/lib/serve/permit.h
+++ b/lib/serve/permit.h
@@ -14,43 +14,43 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PERMIT_ENTRY_MAX 24 /* "ip:port" and a NUL */
+#define PERMIT_GATEWAY_MAX 24 /* "ip:port" and a NUL */
 
 struct permits {
-	bool knows; /* a gateway has reported the limit */
+	bool known; /* a gateway has reported the limit */
 	double limit; /* requests a second; 0: none */
 	int64_t since_us; /* the time as of which that holds, see rate.h */
 	/* Since then an answer stated no limit; 0: none did. */
 	int64_t ended_us;
 	double tokens; /* permits available now */
 	int64_t filled_us;
-	GArray *asks; /* struct permit_ask, oldest first */
+	GArray *requests; /* struct permit_ask, oldest first */
 };
 
 /* A gateway's report of the limit. */
-struct permit_word {
+struct permit_report {
 	double limit; /* 0: no limit */
 	int64_t since_us;
-	bool own; /* from an answer to this gateway; else relayed */
+	bool direct; /* from an answer to this gateway; else relayed */
 };
 
 void permits_init(struct permits *p);
 void permits_clear(struct permits *p);
 /* The target restarted: discards what is known of it. */
-void permits_forget(struct permits *p);
+void permits_reset(struct permits *p);
 
 /* True if the limit to be reported to gateways changed. */
-bool permits_heard(
-    struct permits *p, const struct permit_word *report, int64_t now_us);
+bool permits_reported(
+    struct permits *p, const struct permit_report *report, int64_t now_us);
 /* The same, by the passing of time: a limit that has ended is lifted step by
  * step. */
-bool permits_settle(struct permits *p, int64_t now_us);
+bool permits_advance(struct permits *p, int64_t now_us);
 
 /* `gateway` requests a permit. */
 void permits_ask(struct permits *p, const char *gateway, int64_t now_us);
 /* Issues the next permit, if one is available, and stores the address of the
  * gateway that gets it. */
 bool permits_next(
-    struct permits *p, char gateway[PERMIT_ENTRY_MAX], int64_t now_us);
+    struct permits *p, char gateway[PERMIT_GATEWAY_MAX], int64_t now_us);
 
 #endif
--- a/lib/serve/rate.c
+++ b/lib/serve/rate.c
@@ -50,43 +50,45 @@
 	/* Answers may arrive out of order: one without a limit may have
 	 * begun before the limit was set. Only a request that was sent after
 	 * the limit was last stated shows that it has ended. */
-	if (limit == 0 && asked_us <= r->own_us)
+	if (limit == 0 && asked_us <= r->local_us)
 		return false;
-	r->own = limit;
-	r->own_us = limit > 0 ? now_us : asked_us;
+	r->local_limit = limit;
+	r->local_us = limit > 0 ? now_us : asked_us;
 	if (limit > 0 || !side_heard)
 		r->limit = limit;
 	return r->limit != before;
 }
 
 bool
-rate_told(struct rate *r, double limit, int64_t now_us)
+rate_side_reported(struct rate *r, double limit, int64_t now_us)
 {
 	double before = r->limit;
 
-	r->side_knows = true;
+	r->side_known = true;
 	r->side_limit = limit;
 	/* The sidecar does not know yet of the limit that an answer stated
 	 * to this gateway. */
-	if (limit == 0 && r->own > 0 && now_us - r->own_us < REPORT_DELAY_US)
+	if (limit == 0 && r->local_limit > 0 &&
+	    now_us - r->local_us < REPORT_DELAY_US)
 		return false;
 	r->limit = limit;
 	return limit != before;
 }
 
 bool
-rate_heard(struct rate *r, double limit)
+rate_relayed(struct rate *r, double limit)
 {
-	if (r->own_us != 0 || limit == r->limit)
+	if (r->local_us != 0 || limit == r->limit)
 		return false;
 	r->limit = limit;
 	return true;
 }
 
 bool
-rate_is_news(const struct rate *r)
+rate_needs_report(const struct rate *r)
 {
-	return r->own_us != 0 && r->own != (r->side_knows ? r->side_limit : 0);
+	return r->local_us != 0 &&
+	    r->local_limit != (r->side_known ? r->side_limit : 0);
 }
 
 static bool
@@ -94,9 +96,9 @@
     const struct rate *r, const struct rate_share *share, int64_t now_us)
 {
 	double period_us =
-	    share->entries * SECOND_US / (r->limit * SLOT_LIMIT_SHARE);
+	    share->gateways * SECOND_US / (r->limit * SLOT_LIMIT_SHARE);
 	double open_share =
-	    fmin(SLOT_PERIOD_SHARE_MAX, SLOT_BURST / share->entries);
+	    fmin(SLOT_PERIOD_SHARE_MAX, SLOT_BURST / share->gateways);
 	double at_us =
 	    fmod((double)now_us + share->phase * period_us, period_us);
 
--- a/lib/serve/rate.h
+++ b/lib/serve/rate.h
@@ -18,7 +18,7 @@
 
 /* A limit of zero is applied as this many requests a second, so that its end
  * is noticed. */
-#define RATE_LEAST 0.25
+#define RATE_MIN 0.25
 
 /* Between processes a limit is sent in thousandths of a request a second. */
 uint64_t rate_to_milli(double limit);
@@ -31,9 +31,9 @@
 	 * that holds: when the answer with a limit came in, or when the request
 	 * was sent whose answer had none. 0: no answer yet.
 	 */
-	double own;
-	int64_t own_us;
-	bool side_knows;
+	double local_limit;
+	int64_t local_us;
+	bool side_known;
 	double side_limit; /* as last reported by the sidecar */
 	int64_t permit_us; /* a permit is available until then; 0: none */
 	int64_t asked_us; /* last request for a permit */
@@ -42,7 +42,7 @@
 
 /* Gateways that share a target while no sidecar issues permits for it. */
 struct rate_share {
-	unsigned int entries;
+	unsigned int gateways;
 	double phase; /* of this gateway's time slots, in [0, 1) */
 };
 
@@ -55,13 +55,13 @@
     bool side_heard, int64_t now_us);
 /* The sidecar's report of the limit, 0: none; not called while the sidecar
  * does not know it. True if the limit applied here changed. */
-bool rate_told(struct rate *r, double limit, int64_t now_us);
+bool rate_side_reported(struct rate *r, double limit, int64_t now_us);
 /* Another gateway's report of a limit; ignored once an answer to this
  * gateway stated one or none. True if the limit applied here changed. */
-bool rate_heard(struct rate *r, double limit);
+bool rate_relayed(struct rate *r, double limit);
 /* Whether answers to this gateway differ from what the sidecar knows, so
  * that it should be sent a report. */
-bool rate_is_news(const struct rate *r);
+bool rate_needs_report(const struct rate *r);
 
 /* Whether a request may be sent now. `share` NULL: a sidecar issues permits. */
 bool rate_allows(
--- a/lib/serve/records.h
+++ b/lib/serve/records.h
@@ -48,11 +48,11 @@
 	double step_us; /* a token step */
 	double sequence_us; /* more a step for each sequence */
 	double context_us; /* more a step for each 1,000 tokens of context */
-	double read_per_s; /* prompt tokens */
+	double prefill_per_s; /* prompt tokens */
 	double pairs_us; /* for each million pairs of prompt tokens */
-	unsigned int read_most; /* prompt tokens read a step */
+	unsigned int prefill_step_max; /* prompt tokens read a step */
 	unsigned int stride; /* steps a pass, while anything is written */
-	unsigned int usual_prompt, usual_answer; /* tokens, mean */
+	unsigned int mean_prompt, mean_answer; /* tokens, mean */
 	unsigned int layers;
 	double warm_us; /* loading of all layers from the staging place */
 	uint64_t chunks, chunk_bytes; /* of a version's weights */
@@ -108,7 +108,7 @@
 	char domain[SV_ID_MAX]; /* failure domain */
 	/* Start of the target, Unix time; 0: not told. One that starts again
 	 * may keep its id: with another start it is another target. */
-	int64_t born_ms;
+	int64_t start_ms;
 	unsigned int slots;
 	bool leaving; /* announced a planned stop */
 	bool has_models; /* it lists models at all */
@@ -126,11 +126,11 @@
 struct sv_report {
 	char model[SV_ID_MAX]; /* "" when none is loaded */
 	int64_t version; /* 0 when none is loaded whole */
-	int64_t born_ms; /* its start, Unix time; 0: not told */
+	int64_t start_ms; /* its start, Unix time; 0: not told */
 	bool busy; /* an order is being carried out */
 	unsigned int running, waiting;
 	uint64_t memory_used, memory_total; /* units of the engine */
-	double pace; /* over 1: slower than stated; 0: not told */
+	double slowdown; /* over 1: slower than stated; 0: not told */
 };
 
 /* ------------------------------------------------------------------ */
--- a/lib/serve/roster.c
+++ b/lib/serve/roster.c
@@ -147,7 +147,7 @@
 
 void
 roster_page(const struct roster *r, unsigned int index, GByteArray *bytes,
-    struct side_page *out)
+    struct side_roster_page *out)
 {
 	guint from = index * SIDE_PAGE_PEERS;
 	guint to = MIN(from + SIDE_PAGE_PEERS, r->peers->len);
@@ -168,7 +168,7 @@
 	peers_len = bytes->len;
 	g_byte_array_append(
 	    bytes, (const guint8 *)names->str, (guint)names->len);
-	*out = (struct side_page){
+	*out = (struct side_roster_page){
 		.revision = (uint64_t)r->id.revision,
 		.digest = r->id.digest,
 		.count = r->id.count,
@@ -208,7 +208,7 @@
 }
 
 static GArray *
-read_page(const struct side_page *page)
+read_page(const struct side_roster_page *page)
 {
 	GArray *peers = g_array_new(FALSE, TRUE, sizeof(struct roster_peer));
 	char *names = slice_dup(page->domains);
@@ -252,7 +252,7 @@
 }
 
 bool
-roster_take(struct roster *r, const struct side_page *page)
+roster_add_page(struct roster *r, const struct side_roster_page *page)
 {
 	struct roster_id id = { (int64_t)page->revision, page->digest,
 		page->count };
--- a/lib/serve/roster.h
+++ b/lib/serve/roster.h
@@ -51,11 +51,11 @@
 unsigned int roster_pages(const struct roster *r);
 /* Fills `out` with page `index`; its slices borrow from `bytes`. */
 void roster_page(const struct roster *r, unsigned int index, GByteArray *bytes,
-    struct side_page *out);
+    struct side_roster_page *out);
 /*
  * Takes a page in, in any order and from any gateway. True when that completed
  * a roster that is newer than what `r` held, and `r` now is that one.
  */
-bool roster_take(struct roster *r, const struct side_page *page);
+bool roster_add_page(struct roster *r, const struct side_roster_page *page);
 
 #endif
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -12,48 +12,48 @@
 #define PAGES_MAX 1000 /* of a roster: 120,000 keepers */
 
 static const struct msg_field view_fields[] = {
-	MSG_FIELD(struct side_view, region, MSG_STR, TEXT_MAX),
-	MSG_FIELD(struct side_view, start, MSG_U64, 0),
-	MSG_FIELD(struct side_view, model, MSG_STR, TEXT_MAX),
-	MSG_FIELD(struct side_view, version, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_view, age_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_view, due_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_view, older, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_view, older_age_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_view, older_root, MSG_DIGEST, 0),
-	MSG_FIELD(struct side_view, root, MSG_DIGEST, 0),
-	MSG_FIELD(struct side_view, origin, MSG_STR, TEXT_MAX),
-	MSG_FIELD(struct side_view, origin_domain, MSG_STR, TEXT_MAX),
-	MSG_FIELD(struct side_view, chunks, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_view, chunk_bytes, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_view, slots, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_view, may_cut, MSG_U64, 1),
-	MSG_FIELD(struct side_view, store_away, MSG_U64, 1),
-	MSG_FIELD(struct side_view, roster_revision, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_view, roster_digest, MSG_U64, 0),
-	MSG_FIELD(struct side_view, roster_count, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_desired, region, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_desired, start, MSG_U64, 0),
+	MSG_FIELD(struct side_desired, model, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_desired, version, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_desired, age_ms, MSG_U64, INT64_MAX / 1000),
+	MSG_FIELD(struct side_desired, deadline_ms, MSG_U64, INT64_MAX / 1000),
+	MSG_FIELD(struct side_desired, older, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_desired, older_age_ms, MSG_U64, INT64_MAX / 1000),
+	MSG_FIELD(struct side_desired, older_root, MSG_DIGEST, 0),
+	MSG_FIELD(struct side_desired, root, MSG_DIGEST, 0),
+	MSG_FIELD(struct side_desired, origin, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_desired, origin_domain, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_desired, chunks, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_desired, chunk_bytes, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_desired, slots, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_desired, may_cut, MSG_U64, 1),
+	MSG_FIELD(struct side_desired, store_down, MSG_U64, 1),
+	MSG_FIELD(struct side_desired, roster_revision, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_desired, roster_digest, MSG_U64, 0),
+	MSG_FIELD(struct side_desired, roster_count, MSG_U64, COUNT_MAX),
 };
-const struct msg_desc side_view_desc =
-    MSG_DESC(SIDE_VIEW, "view", struct side_view, view_fields);
+const struct msg_desc side_desired_desc =
+    MSG_DESC(SIDE_DESIRED, "view", struct side_desired, view_fields);
 
 static const struct msg_field load_fields[] = {
 	MSG_FIELD(struct side_load, address, MSG_STR, TEXT_MAX),
 	MSG_FIELD(struct side_load, engine, MSG_U64, SIDE_ENGINE_UP),
-	MSG_FIELD(struct side_load, born_ms, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_load, start_ms, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_load, running, MSG_U64, COUNT_MAX),
 	MSG_FIELD(struct side_load, waiting, MSG_U64, COUNT_MAX),
 	MSG_FIELD(struct side_load, version, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_load, pace_permille, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_load, slowdown_permille, MSG_U64, COUNT_MAX),
 	MSG_FIELD(struct side_load, wanted, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_load, wanted_age_ms, MSG_U64, INT64_MAX / 1000),
 	MSG_FIELD(struct side_load, root, MSG_BIN, DIGEST_BYTES),
 	MSG_FIELD(struct side_load, gateways, MSG_U64, COUNT_MAX),
 	MSG_FIELD(struct side_load, without_store, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_load, near, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_load, local_gateways, MSG_U64, COUNT_MAX),
 	MSG_FIELD(struct side_load, seq, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_load, older, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_load, older_age_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_load, gateway, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_load, remote_gateway, MSG_STR, TEXT_MAX),
 	MSG_FIELD(struct side_load, limit_known, MSG_U64, 1),
 	MSG_FIELD(struct side_load, limit_milli, MSG_U64, LIMIT_MILLI_MAX),
 	MSG_FIELD(struct side_load, slow_link, MSG_U64, 1),
@@ -62,38 +62,38 @@
     MSG_DESC(SIDE_LOAD, "load", struct side_load, load_fields);
 
 static const struct msg_field ask_fields[] = {
-	MSG_FIELD(struct side_ask, model, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_roster_request, model, MSG_STR, TEXT_MAX),
 };
-const struct msg_desc side_ask_desc =
-    MSG_DESC(SIDE_ASK, "ask", struct side_ask, ask_fields);
+const struct msg_desc side_roster_request_desc = MSG_DESC(
+    SIDE_ROSTER_REQUEST, "ask", struct side_roster_request, ask_fields);
 
 static const struct msg_field page_fields[] = {
-	MSG_FIELD(struct side_page, model, MSG_STR, TEXT_MAX),
-	MSG_FIELD(struct side_page, revision, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_page, digest, MSG_U64, 0),
-	MSG_FIELD(struct side_page, count, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_page, page, MSG_U64, PAGES_MAX),
-	MSG_FIELD(struct side_page, pages, MSG_U64, PAGES_MAX),
-	MSG_FIELD(struct side_page, domains, MSG_STR, SIDE_DOMAINS_MAX),
-	MSG_FIELD(
-	    struct side_page, peers, MSG_BIN, SIDE_PAGE_PEERS *SIDE_PEER_BYTES),
+	MSG_FIELD(struct side_roster_page, model, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_roster_page, revision, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_roster_page, digest, MSG_U64, 0),
+	MSG_FIELD(struct side_roster_page, count, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_roster_page, page, MSG_U64, PAGES_MAX),
+	MSG_FIELD(struct side_roster_page, pages, MSG_U64, PAGES_MAX),
+	MSG_FIELD(struct side_roster_page, domains, MSG_STR, SIDE_DOMAINS_MAX),
+	MSG_FIELD(struct side_roster_page, peers, MSG_BIN,
+	    SIDE_PAGE_PEERS *SIDE_PEER_BYTES),
 };
-const struct msg_desc side_page_desc =
-    MSG_DESC(SIDE_PAGE, "page", struct side_page, page_fields);
+const struct msg_desc side_roster_page_desc =
+    MSG_DESC(SIDE_ROSTER_PAGE, "page", struct side_roster_page, page_fields);
 
 static const struct msg_field loads_fields[] = {
-	MSG_FIELD(struct side_loads, entries, MSG_BIN,
-	    SIDE_LOADS_MAX *SIDE_RELAYED_BYTES),
+	MSG_FIELD(struct side_relay, entries, MSG_BIN,
+	    SIDE_RELAY_MAX *SIDE_RELAYED_BYTES),
 };
-const struct msg_desc side_loads_desc =
-    MSG_DESC(SIDE_LOADS, "loads", struct side_loads, loads_fields);
+const struct msg_desc side_relay_desc =
+    MSG_DESC(SIDE_RELAY, "loads", struct side_relay, loads_fields);
 
 static const struct msg_field rate_fields[] = {
 	MSG_FIELD(struct side_rate, address, MSG_STR, TEXT_MAX),
 	MSG_FIELD(struct side_rate, limit_milli, MSG_U64, LIMIT_MILLI_MAX),
-	MSG_FIELD(struct side_rate, own, MSG_U64, 1),
+	MSG_FIELD(struct side_rate, direct, MSG_U64, 1),
 	MSG_FIELD(struct side_rate, age_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_rate, ask, MSG_U64, 1),
+	MSG_FIELD(struct side_rate, want_permit, MSG_U64, 1),
 };
 const struct msg_desc side_rate_desc =
     MSG_DESC(SIDE_RATE, "rate", struct side_rate, rate_fields);
@@ -105,11 +105,11 @@
     MSG_DESC(SIDE_PERMIT, "permit", struct side_permit, permit_fields);
 
 static const struct msg_field ends_fields[] = {
-	MSG_FIELD(
-	    struct side_ends, entries, MSG_BIN, SIDE_ENDS_MAX *SIDE_END_BYTES),
+	MSG_FIELD(struct side_terminations, entries, MSG_BIN,
+	    SIDE_TERMINATIONS_MAX *SIDE_TERMINATION_BYTES),
 };
-const struct msg_desc side_ends_desc =
-    MSG_DESC(SIDE_ENDS, "ends", struct side_ends, ends_fields);
+const struct msg_desc side_terminations_desc =
+    MSG_DESC(SIDE_TERMINATIONS, "ends", struct side_terminations, ends_fields);
 
 /* ------------------------------------------------------------------ */
 /* Entries of `loads`                                                  */
@@ -143,7 +143,7 @@
 		.seq = htonl(one->seq),
 		.total = htons((uint16_t)MIN(one->total, UINT16_MAX)),
 		.pace_permille =
-		    htons((uint16_t)MIN(one->pace_permille, UINT16_MAX)),
+		    htons((uint16_t)MIN(one->slowdown_permille, UINT16_MAX)),
 		.flags = htons(one->slow_link ? FLAG_SLOW_LINK : 0),
 	};
 	g_byte_array_append(entries, (const guint8 *)&wire, sizeof(wire));
@@ -151,14 +151,14 @@
 }
 
 size_t
-side_relayed_count(const struct side_loads *loads)
+side_relayed_count(const struct side_relay *loads)
 {
 	return loads->entries.len / SIDE_RELAYED_BYTES;
 }
 
 void
 side_relayed_get(
-    const struct side_loads *loads, size_t i, struct side_relayed *out)
+    const struct side_relay *loads, size_t i, struct side_relayed *out)
 {
 	struct wire_relayed wire;
 	struct sockaddr_in at = { .sin_family = AF_INET };
@@ -170,7 +170,7 @@
 	sock_text(&at, out->address, sizeof(out->address));
 	out->seq = ntohl(wire.seq);
 	out->total = ntohs(wire.total);
-	out->pace_permille = ntohs(wire.pace_permille);
+	out->slowdown_permille = ntohs(wire.pace_permille);
 	out->slow_link = (ntohs(wire.flags) & FLAG_SLOW_LINK) != 0;
 }
 
@@ -185,10 +185,11 @@
 	uint8_t weight;
 } __attribute__((packed));
 
-G_STATIC_ASSERT(sizeof(struct wire_end) == SIDE_END_BYTES);
+G_STATIC_ASSERT(sizeof(struct wire_end) == SIDE_TERMINATION_BYTES);
 
 void
-side_end_put(GByteArray *entries, const struct sus_end *end, int64_t now_us)
+side_termination_put(
+    GByteArray *entries, const struct sus_end *end, int64_t now_us)
 {
 	int64_t age_ms = MAX(0, now_us - end->at_us) / 1000;
 	struct wire_end wire = {
@@ -202,18 +203,19 @@
 }
 
 size_t
-side_ends_count(const struct side_ends *ends)
+side_terminations_count(const struct side_terminations *ends)
 {
-	return ends->entries.len / SIDE_END_BYTES;
+	return ends->entries.len / SIDE_TERMINATION_BYTES;
 }
 
 void
-side_end_get(
-    const struct side_ends *ends, size_t i, int64_t now_us, struct sus_end *out)
+side_termination_get(const struct side_terminations *ends, size_t i,
+    int64_t now_us, struct sus_end *out)
 {
 	struct wire_end wire;
 
-	memcpy(&wire, ends->entries.data + i * SIDE_END_BYTES, sizeof(wire));
+	memcpy(&wire, ends->entries.data + i * SIDE_TERMINATION_BYTES,
+	    sizeof(wire));
 	out->content = GUINT64_FROM_BE(wire.content);
 	out->target = GUINT64_FROM_BE(wire.target);
 	out->at_us = now_us - (int64_t)ntohl(wire.age_ms) * 1000;
--- a/lib/serve/side.h
+++ b/lib/serve/side.h
@@ -30,14 +30,14 @@
 #include "serve/suspect.h"
 
 enum {
-	SIDE_VIEW = 90,
+	SIDE_DESIRED = 90,
 	SIDE_LOAD = 91,
-	SIDE_ASK = 92,
-	SIDE_PAGE = 93,
-	SIDE_LOADS = 97, /* 94 had no flags in its entries */
+	SIDE_ROSTER_REQUEST = 92,
+	SIDE_ROSTER_PAGE = 93,
+	SIDE_RELAY = 97, /* 94 had no flags in its entries */
 	SIDE_RATE = 95,
 	SIDE_PERMIT = 96,
-	SIDE_ENDS = 98,
+	SIDE_TERMINATIONS = 98,
 };
 
 /* Bytes of a peer in a page: IPv4, port, index of its domain. */
@@ -45,13 +45,14 @@
 #define SIDE_PAGE_PEERS 120 /* what one datagram holds beside the rest */
 #define SIDE_DOMAINS_MAX 200 /* bytes of all their names */
 
-struct side_view {
+struct side_desired {
 	struct slice region; /* of the gateway */
 	uint64_t start; /* of the gateway: another number each time */
 	struct slice model;
 	uint64_t version; /* to be loaded */
 	uint64_t age_ms; /* since its name was heard of first */
-	uint64_t due_ms; /* from then on, no request begins on older ones */
+	uint64_t
+	    deadline_ms; /* from then on, no request begins on older ones */
 	/* The one named before it, while that is not due yet; 0: none. A
 	 * keeper that has just started helps to bring it, too. */
 	uint64_t older;
@@ -63,18 +64,18 @@
 	uint64_t chunks, chunk_bytes;
 	uint64_t slots; /* of an engine */
 	uint64_t may_cut; /* 1: requests that an engine cuts go on elsewhere */
-	uint64_t store_away; /* 1: the store does not answer this gateway */
+	uint64_t store_down; /* 1: the store does not answer this gateway */
 	/* The keepers of the same model, as this gateway knows them. */
 	uint64_t roster_revision, roster_digest, roster_count;
 };
 
 /* A keeper wants the roster of its model. */
-struct side_ask {
+struct side_roster_request {
 	struct slice model;
 };
 
 /* A part of a roster. */
-struct side_page {
+struct side_roster_page {
 	struct slice model;
 	uint64_t revision, digest, count; /* of the whole */
 	uint64_t page, pages;
@@ -91,10 +92,10 @@
 struct side_load {
 	struct slice address; /* of the engine */
 	uint64_t engine; /* enum side_engine */
-	uint64_t born_ms; /* the engine's start, Unix time; 0: not told */
+	uint64_t start_ms; /* the engine's start, Unix time; 0: not told */
 	uint64_t running, waiting;
 	uint64_t version; /* of the service's model, loaded; 0: none */
-	uint64_t pace_permille; /* of its steps against the stated */
+	uint64_t slowdown_permille; /* of its steps against the stated */
 	uint64_t wanted; /* the newest version that it was told of; 0: none */
 	uint64_t wanted_age_ms; /* since its name was heard of first */
 	uint64_t older; /* the one named before it, also when due; 0: none */
@@ -102,11 +103,11 @@
 	struct slice root; /* as read from the origin; empty: not here */
 	uint64_t gateways; /* that the keeper hears */
 	uint64_t without_store; /* of these, that the store does not answer */
-	uint64_t near; /* of these, in the keeper's region */
+	uint64_t local_gateways; /* of these, in the keeper's region */
 	uint64_t seq; /* grows with each load while the keeper runs */
 	/* A gateway of another region, another each time, to gateways of the keeper's
 	 * region: so they come to know all that they have to tell. Empty: none. */
-	struct slice gateway; /* "ip:port" */
+	struct slice remote_gateway; /* "ip:port" */
 	/* The engine's rate limit, in thousandths of a request a second; 0:
 	 * none. Not known while the keeper was told nothing. */
 	uint64_t limit_known, limit_milli;
@@ -118,9 +119,9 @@
 struct side_rate {
 	struct slice address; /* of the target */
 	uint64_t limit_milli; /* as in a load */
-	uint64_t own; /* 1: an answer to it said so; 0: it heard of it */
+	uint64_t direct; /* 1: an answer to it said so; 0: it heard of it */
 	uint64_t age_ms; /* since the moment for which that holds */
-	uint64_t ask; /* 1: it wants a permit */
+	uint64_t want_permit; /* 1: it wants a permit */
 };
 
 /* The gateway may send the target one request more. */
@@ -133,46 +134,46 @@
 	char address[24]; /* of the engine */
 	uint32_t seq; /* low bits of the load's */
 	unsigned int total; /* running and waiting */
-	unsigned int pace_permille;
+	unsigned int slowdown_permille;
 	bool slow_link;
 };
 
 /* Bytes of one of them: IPv4, port, seq, total, pace, flags; network order. */
 #define SIDE_RELAYED_BYTES 16
-#define SIDE_LOADS_MAX 65 /* what one datagram holds */
+#define SIDE_RELAY_MAX 65 /* what one datagram holds */
 
-struct side_loads {
+struct side_relay {
 	struct slice entries;
 };
 
 /* Requests that were under way at targets that ended, or were cleared. */
-struct side_ends {
+struct side_terminations {
 	struct slice entries;
 };
 
 /* Bytes of one: content, target, age in ms, weight; network order. */
-#define SIDE_END_BYTES 21
-#define SIDE_ENDS_MAX 48 /* what one datagram holds */
+#define SIDE_TERMINATION_BYTES 21
+#define SIDE_TERMINATIONS_MAX 48 /* what one datagram holds */
 
-extern const struct msg_desc side_view_desc;
+extern const struct msg_desc side_desired_desc;
 extern const struct msg_desc side_load_desc;
-extern const struct msg_desc side_ask_desc;
-extern const struct msg_desc side_page_desc;
-extern const struct msg_desc side_loads_desc;
+extern const struct msg_desc side_roster_request_desc;
+extern const struct msg_desc side_roster_page_desc;
+extern const struct msg_desc side_relay_desc;
 extern const struct msg_desc side_rate_desc;
 extern const struct msg_desc side_permit_desc;
-extern const struct msg_desc side_ends_desc;
+extern const struct msg_desc side_terminations_desc;
 
 /* Appends one entry to those of a `loads`; false: malformed address. */
 bool side_relayed_put(GByteArray *entries, const struct side_relayed *one);
-size_t side_relayed_count(const struct side_loads *loads);
+size_t side_relayed_count(const struct side_relay *loads);
 void side_relayed_get(
-    const struct side_loads *loads, size_t i, struct side_relayed *out);
-void side_end_put(
+    const struct side_relay *loads, size_t i, struct side_relayed *out);
+void side_termination_put(
     GByteArray *entries, const struct sus_end *end, int64_t now_us);
-size_t side_ends_count(const struct side_ends *ends);
-void side_end_get(const struct side_ends *ends, size_t i, int64_t now_us,
-    struct sus_end *out);
+size_t side_terminations_count(const struct side_terminations *ends);
+void side_termination_get(const struct side_terminations *ends, size_t i,
+    int64_t now_us, struct sus_end *out);
 /* Whether load `a` was told after load `b`; sequences may wrap around. */
 bool side_seq_after(uint32_t a, uint32_t b);
 
--- a/lib/serve/tgt.c
+++ b/lib/serve/tgt.c
@@ -128,9 +128,9 @@
 {
 	TAILQ_REMOVE(&t->service->targets, t, link);
 	t->service->ntargets--;
-	g_hash_table_remove(s->by_id, t->says.id);
-	if (g_hash_table_lookup(s->by_address, t->says.address) == t)
-		g_hash_table_remove(s->by_address, t->says.address);
+	g_hash_table_remove(s->by_id, t->record.id);
+	if (g_hash_table_lookup(s->by_address, t->record.address) == t)
+		g_hash_table_remove(s->by_address, t->record.address);
 	t->dropped = true;
 	t->service = NULL;
 	if (t->refs == 0)
@@ -146,18 +146,19 @@
 }
 
 bool
-tgt_side_is_heard(const struct tgt *t, int64_t now_us)
+tgt_side_is_alive(const struct tgt *t, int64_t now_us)
 {
-	return t->side_us != 0 && now_us - t->side_us <= TGT_SIDE_SILENT_US;
+	return t->side_report_us != 0 &&
+	    now_us - t->side_report_us <= TGT_SIDE_SILENT_US;
 }
 
 bool
-tgt_way_is_slow(const struct tgt *t, int64_t now_us)
+tgt_path_is_slow(const struct tgt *t, int64_t now_us)
 {
 	if (t->slow_link)
 		return true;
-	return t->service != NULL && t->service->side_us != 0 &&
-	    !tgt_side_is_heard(t, now_us);
+	return t->service != NULL && t->service->side_report_us != 0 &&
+	    !tgt_side_is_alive(t, now_us);
 }
 
 /* Assigns an address to its new target and drops the one that had it before.
@@ -167,14 +168,14 @@
 take_address(struct tgt_set *s, struct tgt *t)
 {
 	struct tgt *previous =
-	    g_hash_table_lookup(s->by_address, t->says.address);
+	    g_hash_table_lookup(s->by_address, t->record.address);
 
 	if (previous != NULL && previous != t) {
 		if (previous->service->configured && !t->service->configured)
 			return;
 		drop(s, previous);
 	}
-	g_hash_table_insert(s->by_address, t->says.address, t);
+	g_hash_table_insert(s->by_address, t->record.address, t);
 }
 
 static struct tgt *
@@ -182,13 +183,13 @@
 {
 	struct tgt *t = g_new0(struct tgt, 1);
 
-	t->says = *record;
+	t->record = *record;
 	t->service = tgt_service(s, record->service);
-	t->near = is_local(s, record->domain);
-	t->pace = 1;
+	t->local = is_local(s, record->domain);
+	t->slowdown = 1;
 	TAILQ_INSERT_TAIL(&t->service->targets, t, link);
 	t->service->ntargets++;
-	g_hash_table_insert(s->by_id, t->says.id, t);
+	g_hash_table_insert(s->by_id, t->record.id, t);
 	take_address(s, t);
 	return t;
 }
@@ -202,11 +203,11 @@
 static bool
 same_start(const struct tgt *t, const struct sv_target *record, int64_t now_us)
 {
-	if (record->born_ms == 0 || t->says.born_ms == 0 ||
-	    record->born_ms == t->says.born_ms)
+	if (record->start_ms == 0 || t->record.start_ms == 0 ||
+	    record->start_ms == t->record.start_ms)
 		return true;
-	return record->born_ms < t->says.born_ms &&
-	    tgt_side_is_heard(t, now_us);
+	return record->start_ms < t->record.start_ms &&
+	    tgt_side_is_alive(t, now_us);
 }
 
 struct tgt *
@@ -216,21 +217,21 @@
 	int64_t born_ms;
 
 	if (t != NULL &&
-	    (strcmp(t->says.service, record->service) != 0 ||
-		strcmp(t->says.address, record->address) != 0 ||
+	    (strcmp(t->record.service, record->service) != 0 ||
+		strcmp(t->record.address, record->address) != 0 ||
 		!same_start(t, record, now_us))) {
 		drop(s, t);
 		t = NULL;
 	}
 	if (t == NULL)
 		t = add(s, record);
-	born_ms = MAX(t->says.born_ms, record->born_ms);
-	t->says = *record;
-	t->says.born_ms = born_ms;
-	t->gone_us = 0;
+	born_ms = MAX(t->record.start_ms, record->start_ms);
+	t->record = *record;
+	t->record.start_ms = born_ms;
+	t->drop_us = 0;
 	t->leaving = record->leaving;
 	/* A live sidecar's report is newer. */
-	if (!tgt_side_is_heard(t, now_us)) {
+	if (!tgt_side_is_alive(t, now_us)) {
 		g_strlcpy(t->model, record->model, sizeof(t->model));
 		t->version = record->model_version;
 	}
@@ -245,7 +246,7 @@
 	if (t == NULL)
 		return;
 	if (expired && !t->leaving) {
-		t->gone_us = now_us + EXPIRED_RETAIN_US;
+		t->drop_us = now_us + EXPIRED_RETAIN_US;
 		return;
 	}
 	drop(s, t);
@@ -260,7 +261,7 @@
 
 	for (at = all; at != NULL; at = at->next) {
 		t = at->data;
-		if (t->gone_us != 0 && t->gone_us <= now_us)
+		if (t->drop_us != 0 && t->drop_us <= now_us)
 			drop(s, t);
 	}
 	g_list_free(all);
@@ -286,7 +287,7 @@
 }
 
 struct tgt *
-tgt_at(struct tgt_set *s, const char *address)
+tgt_by_address(struct tgt_set *s, const char *address)
 {
 	return g_hash_table_lookup(s->by_address, address);
 }
@@ -298,7 +299,7 @@
 void
 tgt_sent(struct tgt *t, int64_t now_us)
 {
-	t->mine++;
+	t->local_inflight++;
 	t->sent_since++;
 	rate_sent(&t->rate, now_us);
 	if (t->failures > 0)
@@ -308,23 +309,24 @@
 void
 tgt_ended(struct tgt *t, int64_t now_us)
 {
-	g_assert(t->mine > 0);
-	t->mine--;
+	g_assert(t->local_inflight > 0);
+	t->local_inflight--;
 }
 
 void
-tgt_reading(struct tgt *t, uint64_t tokens, bool sent)
+tgt_prefill(struct tgt *t, uint64_t tokens, bool sent)
 {
-	g_assert(sent || t->reading >= tokens);
-	t->reading = sent ? t->reading + tokens : t->reading - tokens;
+	g_assert(sent || t->prefill_tokens >= tokens);
+	t->prefill_tokens =
+	    sent ? t->prefill_tokens + tokens : t->prefill_tokens - tokens;
 }
 
 void
-tgt_load(struct tgt *t, unsigned int total, int64_t now_us)
+tgt_set_load(struct tgt *t, unsigned int total, int64_t now_us)
 {
-	t->seen = total;
-	t->seen_mine = t->mine;
-	t->seen_us = now_us;
+	t->reported = total;
+	t->reported_local = t->local_inflight;
+	t->reported_us = now_us;
 	t->sent_since = 0;
 }
 
@@ -339,7 +341,7 @@
 
 	t->failures++;
 	t->probing = false;
-	t->rest_until_us = now_us + MIN(backoff_us, BACKOFF_MAX_US);
+	t->backoff_until_us = now_us + MIN(backoff_us, BACKOFF_MAX_US);
 }
 
 void
@@ -353,21 +355,21 @@
 		t->probing = false;
 		return;
 	}
-	t->error_share += (error - t->error_share) * ERROR_WEIGHT;
+	t->error_rate += (error - t->error_rate) * ERROR_WEIGHT;
 	t->answers++;
-	if (o == TGT_SILENT || o == TGT_LOST) {
+	if (o == TGT_TIMEOUT || o == TGT_LOST) {
 		/* Requests that fail at the same time count as one failure. */
-		if (now_us >= t->rest_until_us)
+		if (now_us >= t->backoff_until_us)
 			record_failure(t, now_us);
 		return;
 	}
 	t->failures = 0;
 	t->probing = false;
-	t->rest_until_us = 0;
+	t->backoff_until_us = 0;
 }
 
 void
-tgt_side(struct tgt *t, bool down, int64_t now_us)
+tgt_set_side_down(struct tgt *t, bool down, int64_t now_us)
 {
 	if (t->side_down && !down)
 		t->up_us = now_us;
@@ -375,41 +377,41 @@
 }
 
 void
-tgt_set_pace(struct tgt *t, uint64_t permille)
+tgt_set_slowdown(struct tgt *t, uint64_t permille)
 {
-	t->pace = permille == 0 ? 1 : (double)permille / 1000.0;
+	t->slowdown = permille == 0 ? 1 : (double)permille / 1000.0;
 }
 
 void
-tgt_side_heard(struct tgt *t, uint32_t seq, int64_t now_us)
+tgt_side_reported(struct tgt *t, uint32_t seq, int64_t now_us)
 {
-	t->side_us = now_us;
-	t->service->side_us = now_us;
+	t->side_report_us = now_us;
+	t->service->side_report_us = now_us;
 	t->side_seq = seq;
 }
 
 bool
 tgt_relayed(struct tgt *t, const struct side_relayed *report, int64_t now_us)
 {
-	if (t->side_us == 0 || !side_seq_after(report->seq, t->side_seq))
+	if (t->side_report_us == 0 || !side_seq_after(report->seq, t->side_seq))
 		return false;
-	tgt_side_heard(t, report->seq, now_us);
-	tgt_set_pace(t, report->pace_permille);
+	tgt_side_reported(t, report->seq, now_us);
+	tgt_set_slowdown(t, report->slowdown_permille);
 	t->slow_link = report->slow_link;
-	tgt_load(t, report->total, now_us);
+	tgt_set_load(t, report->total, now_us);
 	return true;
 }
 
 struct tgt *
-tgt_side_born(struct tgt_set *s, struct tgt *t, int64_t born_ms)
+tgt_side_started(struct tgt_set *s, struct tgt *t, int64_t born_ms)
 {
-	struct sv_target record = t->says;
+	struct sv_target record = t->record;
 
-	if (born_ms == 0 || born_ms == t->says.born_ms)
+	if (born_ms == 0 || born_ms == t->record.start_ms)
 		return t;
-	record.born_ms = born_ms;
-	if (t->says.born_ms == 0) { /* the start time was unknown so far */
-		t->says.born_ms = born_ms;
+	record.start_ms = born_ms;
+	if (t->record.start_ms == 0) { /* the start time was unknown so far */
+		t->record.start_ms = born_ms;
 		return t;
 	}
 	drop(s, t);
@@ -417,7 +419,7 @@
 }
 
 void
-tgt_mistaken(struct tgt *t)
+tgt_wrong_instance(struct tgt *t)
 {
 	t->leaving = true;
 }
--- a/lib/serve/tgt.h
+++ b/lib/serve/tgt.h
@@ -19,30 +19,31 @@
 struct tgt {
 	TAILQ_ENTRY(tgt) link; /* in its service */
 	struct tgt_service *service;
-	struct sv_target says; /* as published in the store */
-	bool near; /* in this gateway's region */
+	struct sv_target record; /* as published in the store */
+	bool local; /* in this gateway's region */
 	/* A planned stop was announced, or the sidecar reported it. */
 	bool leaving;
 	/* Time at which to drop it, as it is missing from the store; 0: no. */
-	int64_t gone_us;
+	int64_t drop_us;
 	/* Load: the total over all gateways as last reported, when that
 	 * report came in, and this gateway's requests in flight at that
 	 * moment. */
-	unsigned int mine;
-	unsigned int seen, seen_mine;
-	int64_t seen_us;
+	unsigned int local_inflight;
+	unsigned int reported, reported_local;
+	int64_t reported_us;
 	unsigned int sent_since; /* by this gateway, since that report */
 	/* Prompt tokens of this gateway's requests without an answer yet. */
-	uint64_t reading;
-	int64_t side_us; /* last report of its sidecar; 0: none */
+	uint64_t prefill_tokens;
+	int64_t side_report_us; /* last report of its sidecar; 0: none */
 	uint32_t side_seq; /* of that report */
-	bool greeted; /* its sidecar was sent this gateway's address */
+	bool
+	    gateway_announced; /* its sidecar was sent this gateway's address */
 	/* Gateways in its region, as its sidecar reported; 0: not known. */
-	unsigned int entries_near;
+	unsigned int region_gateways;
 	/* Last time its sidecar reported it up again; 0: not known. */
 	int64_t up_us;
 	bool side_down; /* the sidecar cannot reach it, or it loads weights */
-	bool ended; /* with `side_down`: its process has terminated */
+	bool terminated; /* with `side_down`: its process has terminated */
 	/* Loaded; from the store or the sidecar, whichever is newer. */
 	char model[SV_ID_MAX];
 	int64_t version;
@@ -53,14 +54,14 @@
 	/* Inbound traffic of its host is slow, as its sidecar reported. */
 	bool slow_link;
 	/* Step time relative to the configured one; 1: as configured. */
-	double pace;
+	double slowdown;
 	/* Failures without an answer. */
 	unsigned int failures; /* consecutive */
-	int64_t rest_until_us;
+	int64_t backoff_until_us;
 	/* One request in flight probes whether it has recovered. */
 	bool probing;
 	/* Moving average of the share of answers that were failures. */
-	double error_share;
+	double error_rate;
 	unsigned int answers;
 	/* Number of requests that hold a reference; the last one frees a
 	 * dropped target. */
@@ -81,7 +82,8 @@
 	struct tgt_root roots[2]; /* of the last two versions, newest first */
 	struct tgt_list targets;
 	unsigned int ntargets;
-	int64_t side_us; /* last report of any of their sidecars; 0: none */
+	int64_t
+	    side_report_us; /* last report of any of their sidecars; 0: none */
 	/* From the settings; 0 slots: as published by each target. */
 	bool configured; /* the settings contain this service */
 	bool has_engine;
@@ -98,18 +100,18 @@
 	double beyond_slots;
 	/* Penalty, in requests, for a target in a remote region: its
 	 * transfers and round trips cost more. */
-	double far_cost;
+	double remote_cost;
 	/* Longest time that a target may need to read its queued prompts
 	 * before it gets another; 0: no limit. */
-	int64_t read_us;
+	int64_t prefill_max_us;
 	/* Gateways that share a target. */
-	unsigned int entries;
+	unsigned int gateways;
 	/* Differs between gateways; decides which one takes a single free
 	 * slot. */
 	uint64_t seed;
 	/* Reports the rate limit of `t` to the sidecar of `at`, and requests
 	 * a permit if `ask` is set. NULL: there are no sidecars. */
-	void (*tell_rate)(
+	void (*report_rate)(
 	    const struct tgt *t, const struct tgt *at, bool ask, void *ctx);
 	void *rate_ctx;
 };
@@ -140,7 +142,7 @@
 /* Number of targets with a rate limit. */
 unsigned int tgt_limited(struct tgt_set *s);
 struct tgt *tgt_find(struct tgt_set *s, const char *id);
-struct tgt *tgt_at(struct tgt_set *s, const char *address);
+struct tgt *tgt_by_address(struct tgt_set *s, const char *address);
 
 struct tgt *tgt_ref(struct tgt *t);
 void tgt_unref(struct tgt *t);
@@ -148,31 +150,31 @@
 /* Events of requests. */
 void tgt_sent(struct tgt *t, int64_t now_us);
 /* A prompt was sent; or its answer began or ended (`sent` false). */
-void tgt_reading(struct tgt *t, uint64_t tokens, bool sent);
+void tgt_prefill(struct tgt *t, uint64_t tokens, bool sent);
 void tgt_ended(struct tgt *t, int64_t now_us);
 /* Total load over all gateways, as reported by an answer or a sidecar. */
-void tgt_load(struct tgt *t, unsigned int total, int64_t now_us);
+void tgt_set_load(struct tgt *t, unsigned int total, int64_t now_us);
 enum tgt_outcome {
 	TGT_ANSWERED, /* successful */
 	TGT_ERROR, /* answered with a failure */
 	TGT_REFUSED, /* full or leaving; the request was not run */
-	TGT_SILENT, /* timed out without an answer */
+	TGT_TIMEOUT, /* timed out without an answer */
 	TGT_LOST, /* unreachable, connection reset, or malformed answer */
 };
 void tgt_outcome(struct tgt *t, enum tgt_outcome o, int64_t now_us);
 /* The sidecar reported whether the target takes requests. */
-void tgt_side(struct tgt *t, bool down, int64_t now_us);
+void tgt_set_side_down(struct tgt *t, bool down, int64_t now_us);
 /* An answer to a request sent at `asked_us` carries a rate limit, or none
  * (0). True if the limit applied here changed. */
-bool tgt_answered_rate(struct tgt_set *s, struct tgt *t, double limit,
+bool tgt_rate_answered(struct tgt_set *s, struct tgt *t, double limit,
     int64_t asked_us, int64_t now_us);
 /* Requests a permit if the target has a rate limit. */
 void tgt_ask_permit(struct tgt_set *s, struct tgt *t, int64_t now_us);
 /* Step time in thousandths of the configured one, as reported by the
  * sidecar; 0: not known. */
-void tgt_set_pace(struct tgt *t, uint64_t permille);
+void tgt_set_slowdown(struct tgt *t, uint64_t permille);
 /* A report came directly from the sidecar; `seq` is its sequence number. */
-void tgt_side_heard(struct tgt *t, uint32_t seq, int64_t now_us);
+void tgt_side_reported(struct tgt *t, uint32_t seq, int64_t now_us);
 /*
  * A load report of the sidecar was relayed by a gateway of the target's region.
  * Ignored (false) unless newer than the last known report, as a gateway that
@@ -183,7 +185,7 @@
     struct tgt *t, const struct side_relayed *report, int64_t now_us);
 /* Start time of the target as reported by its sidecar; 0: not known. Returns
  * `t`, or a new target if the start time changed. */
-struct tgt *tgt_side_born(struct tgt_set *s, struct tgt *t, int64_t born_ms);
+struct tgt *tgt_side_started(struct tgt_set *s, struct tgt *t, int64_t born_ms);
 /*
  * Selects up to `most` targets with a live sidecar by rendezvous hashing, best
  * first, so that all gateways select mostly the same for a seed. Returns their
@@ -192,13 +194,13 @@
 size_t tgt_sides(struct tgt_set *s, uint64_t seed, int64_t now_us,
     const struct tgt *out[], size_t most);
 /* Another instance answers at its address. */
-void tgt_mistaken(struct tgt *t);
+void tgt_wrong_instance(struct tgt *t);
 
 /* Whether requests, and messages that cancel them, may be delayed on the way
  * to the target: its sidecar reported a slow link; or the sidecar's reports
  * do not arrive while those of others of its service do, as they are lost on
  * a full link or the host has only just become reachable again. */
-bool tgt_way_is_slow(const struct tgt *t, int64_t now_us);
+bool tgt_path_is_slow(const struct tgt *t, int64_t now_us);
 
 /* Estimated number of requests in flight at the target. */
 double tgt_estimate(
@@ -209,26 +211,26 @@
  * once, so requests queue there for longer than elsewhere. */
 #define TGT_FRESH_US 1000000
 
-struct tgt_wish {
+struct tgt_criteria {
 	const char *model; /* NULL: any model */
 	int64_t version; /* minimum; 0: any loaded version */
 	/* Minimum for a target up for less than TGT_FRESH_US. */
 	int64_t version_fresh;
-	int64_t version_far; /* minimum for a target in a remote region */
+	int64_t version_remote; /* minimum for a target in a remote region */
 	int64_t version_slow; /* minimum for a target behind a slow link */
-	const struct tgt *const * not ; /* targets tried before */
-	size_t nnot;
+	const struct tgt *const *exclude; /* targets tried before */
+	size_t nexclude;
 	bool repeatable; /* may probe a target that failed */
-	double spare_share; /* share of the slots that must stay free */
+	double reserve_share; /* share of the slots that must stay free */
 	uint64_t random;
 };
 
-enum tgt_why { /* outcome of a choice */
+enum tgt_reason { /* outcome of a choice */
 	TGT_CHOSEN,
 	TGT_FULL, /* all eligible targets are full */
 	TGT_NONE, /* no target is eligible now */
 };
 
 struct tgt *tgt_choose(struct tgt_set *s, struct tgt_service *service,
-    const struct tgt_wish *wish, int64_t now_us, enum tgt_why *why);
+    const struct tgt_criteria *wish, int64_t now_us, enum tgt_reason *why);
 #endif
--- a/lib/serve/tgt_choose.c
+++ b/lib/serve/tgt_choose.c
@@ -41,11 +41,11 @@
 {
 	unsigned int remote;
 
-	if (t->entries_near == 0)
-		return MAX(1, p->entries);
-	if (t->near)
-		return MAX(1, t->entries_near / LOCAL_SHARE);
-	remote = p->entries - MIN(p->entries, t->entries_near);
+	if (t->region_gateways == 0)
+		return MAX(1, p->gateways);
+	if (t->local)
+		return MAX(1, t->region_gateways / LOCAL_SHARE);
+	remote = p->gateways - MIN(p->gateways, t->region_gateways);
 	return MAX(1, remote / (1 - LOCAL_SHARE));
 }
 
@@ -54,19 +54,19 @@
 {
 	double others;
 
-	if (t->seen_us == 0 || now_us - t->seen_us > LOAD_FRESH_US)
-		return (double)t->mine * sharers(t, p);
+	if (t->reported_us == 0 || now_us - t->reported_us > LOAD_FRESH_US)
+		return (double)t->local_inflight * sharers(t, p);
 	/* The others' requests at the time of the report, plus the current
 	 * local ones. */
-	others = (double)t->seen - (double)t->seen_mine;
-	return MAX(0, others) + t->mine;
+	others = (double)t->reported - (double)t->reported_local;
+	return MAX(0, others) + t->local_inflight;
 }
 
 static unsigned int
 slot_count(const struct tgt *t)
 {
-	if (t->says.slots > 0)
-		return t->says.slots;
+	if (t->record.slots > 0)
+		return t->record.slots;
 	return MAX(1, t->service->engine.slots);
 }
 
@@ -81,29 +81,30 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-is_excluded(const struct tgt *t, const struct tgt_wish *wish)
+is_excluded(const struct tgt *t, const struct tgt_criteria *wish)
 {
 	size_t i;
 
-	for (i = 0; i < wish->nnot; i++) {
-		if (wish->not [i] == t)
+	for (i = 0; i < wish->nexclude; i++) {
+		if (wish->exclude[i] == t)
 			return true;
 	}
 	return false;
 }
 
 static bool
-has_weights(const struct tgt *t, const struct tgt_wish *wish, int64_t now_us)
+has_weights(
+    const struct tgt *t, const struct tgt_criteria *wish, int64_t now_us)
 {
 	int64_t least = wish->version;
 
-	if (wish->model == NULL || !t->says.has_models)
+	if (wish->model == NULL || !t->record.has_models)
 		return true;
 	if (t->up_us != 0 && now_us - t->up_us < TGT_FRESH_US)
 		least = MAX(least, wish->version_fresh);
-	if (!t->near)
-		least = MAX(least, wish->version_far);
-	if (tgt_way_is_slow(t, now_us))
+	if (!t->local)
+		least = MAX(least, wish->version_remote);
+	if (tgt_path_is_slow(t, now_us))
 		least = MAX(least, wish->version_slow);
 	return t->version > 0 && t->version >= least &&
 	    strcmp(t->model, wish->model) == 0;
@@ -114,10 +115,11 @@
 static double
 draw_for(const struct tgt *t, const struct tgt_policy *p)
 {
-	uint64_t bits = hash64(p->seed, &t->seen_us, sizeof(t->seen_us));
+	uint64_t bits =
+	    hash64(p->seed, &t->reported_us, sizeof(t->reported_us));
 
-	bits = hash64(bits, t->says.id, strlen(t->says.id));
-	return tgt_part_of(bits);
+	bits = hash64(bits, t->record.id, strlen(t->record.id));
+	return tgt_unit_hash(bits);
 }
 
 /*
@@ -132,13 +134,13 @@
 static bool
 took_its_share(const struct tgt *t, const struct tgt_policy *p, int64_t now_us)
 {
-	double free_slots = tgt_limit(t, p) - t->seen;
+	double free_slots = tgt_limit(t, p) - t->reported;
 	double share = free_slots / sharers(t, p);
 
-	if (t->seen_us == 0 || now_us - t->seen_us > LOAD_FRESH_US)
+	if (t->reported_us == 0 || now_us - t->reported_us > LOAD_FRESH_US)
 		/* The estimate already includes the others' shares. */
 		return false;
-	if (!tgt_side_is_heard(t, now_us))
+	if (!tgt_side_is_alive(t, now_us))
 		return t->sent_since >= MAX(1, ceil(share));
 	return t->sent_since >= floor(share + draw_for(t, p));
 }
@@ -148,12 +150,13 @@
 static int64_t
 read_us(const struct tgt *t, const struct tgt_policy *p)
 {
-	double rate = t->service->engine.read_per_s;
-	double sharers = MAX(1, p->entries * READ_SHARERS);
+	double rate = t->service->engine.prefill_per_s;
+	double sharers = MAX(1, p->gateways * READ_SHARERS);
 
 	if (rate <= 0)
 		return 0;
-	return (int64_t)((double)t->reading * sharers * G_USEC_PER_SEC / rate);
+	return (int64_t)((double)t->prefill_tokens * sharers * G_USEC_PER_SEC /
+	    rate);
 }
 
 /*
@@ -165,15 +168,15 @@
 static bool
 prompt_queue_is_full(const struct tgt *t, const struct tgt_policy *p)
 {
-	return p->read_us > 0 && read_us(t, p) >= p->read_us;
+	return p->prefill_max_us > 0 && read_us(t, p) >= p->prefill_max_us;
 }
 
 /* A target that failed gets one probing request at a time, after the
  * backoff; at first only requests that may be repeated elsewhere. */
 static bool
-may_probe(const struct tgt *t, const struct tgt_wish *wish, int64_t now_us)
+may_probe(const struct tgt *t, const struct tgt_criteria *wish, int64_t now_us)
 {
-	int64_t probe_from_us = t->rest_until_us;
+	int64_t probe_from_us = t->backoff_until_us;
 
 	if (!wish->repeatable)
 		probe_from_us += PROBE_UNSAFE_US;
@@ -181,7 +184,7 @@
 }
 
 static bool
-can_serve(const struct tgt *t, const struct tgt_wish *wish, int64_t now_us)
+can_serve(const struct tgt *t, const struct tgt_criteria *wish, int64_t now_us)
 {
 	if (t->leaving || t->side_down || !has_weights(t, wish, now_us))
 		return false;
@@ -200,7 +203,7 @@
 
 	TAILQ_FOREACH (t, &service->targets, link) {
 		if (t->answers >= ERROR_ANSWERS)
-			least = MIN(least, t->error_share);
+			least = MIN(least, t->error_rate);
 	}
 	return least;
 }
@@ -212,15 +215,14 @@
 	double cost = tgt_estimate(t, p, now_us) / slot_count(t);
 
 	/* Queued prompts count as much as slots: READ_COST at the limit. */
-	if (p->read_us > 0)
-		cost += (double)read_us(t, p) / (double)p->read_us * READ_COST /
-		    slot_count(t);
-	if (!t->near)
-		cost += p->far_cost / slot_count(t);
-	if (t->answers >= ERROR_ANSWERS && t->error_share > baseline)
-		cost +=
-		    (t->error_share - baseline) * ERROR_COST / slot_count(t);
-	if (t->side_us != 0 && !tgt_side_is_heard(t, now_us))
+	if (p->prefill_max_us > 0)
+		cost += (double)read_us(t, p) / (double)p->prefill_max_us *
+		    READ_COST / slot_count(t);
+	if (!t->local)
+		cost += p->remote_cost / slot_count(t);
+	if (t->answers >= ERROR_ANSWERS && t->error_rate > baseline)
+		cost += (t->error_rate - baseline) * ERROR_COST / slot_count(t);
+	if (t->side_report_us != 0 && !tgt_side_is_alive(t, now_us))
 		/* Last choice, but not excluded: only the sidecar may have
 		 * failed. */
 		cost += 1;
@@ -229,7 +231,7 @@
 
 struct tgt *
 tgt_choose(struct tgt_set *s, struct tgt_service *service,
-    const struct tgt_wish *wish, int64_t now_us, enum tgt_why *why)
+    const struct tgt_criteria *wish, int64_t now_us, enum tgt_reason *why)
 {
 	double baseline = baseline_errors(service), cost;
 	double best_cost = INFINITY, limited_cost = INFINITY;
@@ -243,7 +245,7 @@
 			continue;
 		if (tgt_estimate(t, &s->policy, now_us) + 1 >
 			tgt_limit(t, &s->policy) -
-			    wish->spare_share * slot_count(t) ||
+			    wish->reserve_share * slot_count(t) ||
 		    took_its_share(t, &s->policy, now_us) ||
 		    prompt_queue_is_full(t, &s->policy)) {
 			*why = TGT_FULL;
@@ -252,8 +254,9 @@
 		cost = target_cost(t, &s->policy, baseline, now_us);
 		/* Random tie-break: gateways with the same figures would
 		 * otherwise all choose the same of equal targets. */
-		cost += TIE_COST * tgt_part_of(rng_next(&rng)) / slot_count(t);
-		if (!tgt_rate_is_left(s, t, now_us)) {
+		cost +=
+		    TIE_COST * tgt_unit_hash(rng_next(&rng)) / slot_count(t);
+		if (!tgt_rate_allows(s, t, now_us)) {
 			*why = TGT_FULL;
 			if (cost < limited_cost) {
 				limited = t;
--- a/lib/serve/tgt_internal.h
+++ b/lib/serve/tgt_internal.h
@@ -19,13 +19,13 @@
  * long has lost its host or its network path to this gateway. */
 #define TGT_SIDE_SILENT_US 900000
 
-bool tgt_side_is_heard(const struct tgt *t, int64_t now_us);
+bool tgt_side_is_alive(const struct tgt *t, int64_t now_us);
 /* Whether the target's rate limit admits a request now. */
-bool tgt_rate_is_left(struct tgt_set *s, const struct tgt *t, int64_t now_us);
+bool tgt_rate_allows(struct tgt_set *s, const struct tgt *t, int64_t now_us);
 
 /* Maps random bits to the interval [0, 1). */
 static inline double
-tgt_part_of(uint64_t bits)
+tgt_unit_hash(uint64_t bits)
 {
 	return (double)(bits >> 11) / (double)(UINT64_C(1) << 53);
 }
--- a/lib/serve/tgt_rate.c
+++ b/lib/serve/tgt_rate.c
@@ -43,10 +43,10 @@
 	g_hash_table_iter_init(&iter, s->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		one.t = value;
-		if (!tgt_side_is_heard(one.t, now_us))
+		if (!tgt_side_is_alive(one.t, now_us))
 			continue;
 		one.hash = hash64(
-		    seed, one.t->says.address, strlen(one.t->says.address));
+		    seed, one.t->record.address, strlen(one.t->record.address));
 		n = insert_ranked(best, n, most, &one);
 	}
 	for (i = 0; i < n; i++)
@@ -64,11 +64,11 @@
 static const struct tgt *
 permit_issuer(struct tgt_set *s, const struct tgt *t, int64_t now_us)
 {
-	uint64_t seed = hash64(0, t->says.address, strlen(t->says.address));
+	uint64_t seed = hash64(0, t->record.address, strlen(t->record.address));
 	const struct tgt *best = NULL;
 
-	if (t->side_us != 0)
-		return tgt_side_is_heard(t, now_us) ? t : NULL;
+	if (t->side_report_us != 0)
+		return tgt_side_is_alive(t, now_us) ? t : NULL;
 	(void)tgt_sides(s, seed, now_us, &best, 1);
 	return best;
 }
@@ -82,13 +82,13 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (t->side_us != 0)
-		return tgt_side_is_heard(t, now_us);
+	if (t->side_report_us != 0)
+		return tgt_side_is_alive(t, now_us);
 	g_hash_table_iter_init(&iter, s->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		service = value;
-		if (service->side_us != 0 &&
-		    now_us - service->side_us <= TGT_SIDE_SILENT_US)
+		if (service->side_report_us != 0 &&
+		    now_us - service->side_report_us <= TGT_SIDE_SILENT_US)
 			return true;
 	}
 	return false;
@@ -99,21 +99,21 @@
 {
 	const struct tgt *at;
 
-	if (s->policy.tell_rate == NULL)
+	if (s->policy.report_rate == NULL)
 		return;
 	at = permit_issuer(s, t, now_us);
 	if (at != NULL)
-		s->policy.tell_rate(t, at, ask, s->policy.rate_ctx);
+		s->policy.report_rate(t, at, ask, s->policy.rate_ctx);
 }
 
 bool
-tgt_answered_rate(struct tgt_set *s, struct tgt *t, double limit,
+tgt_rate_answered(struct tgt_set *s, struct tgt *t, double limit,
     int64_t asked_us, int64_t now_us)
 {
 	bool changed = rate_answered(
-	    &t->rate, limit, asked_us, tgt_side_is_heard(t, now_us), now_us);
+	    &t->rate, limit, asked_us, tgt_side_is_alive(t, now_us), now_us);
 
-	if (rate_is_news(&t->rate))
+	if (rate_needs_report(&t->rate))
 		report_rate(s, t, false, now_us);
 	return changed;
 }
@@ -127,14 +127,14 @@
  * this gateway's time slots.
  */
 bool
-tgt_rate_is_left(struct tgt_set *s, const struct tgt *t, int64_t now_us)
+tgt_rate_allows(struct tgt_set *s, const struct tgt *t, int64_t now_us)
 {
-	struct rate_share share = { .entries = MAX(1, s->policy.entries) };
+	struct rate_share share = { .gateways = MAX(1, s->policy.gateways) };
 
 	if (t->rate.limit == 0)
 		return true;
-	share.phase =
-	    tgt_part_of(hash64(s->policy.seed, t->says.id, strlen(t->says.id)));
+	share.phase = tgt_unit_hash(
+	    hash64(s->policy.seed, t->record.id, strlen(t->record.id)));
 	return rate_allows(
 	    &t->rate, permits_are_issued(s, t, now_us) ? NULL : &share, now_us);
 }
--- a/lib/serve/vers.c
+++ b/lib/serve/vers.c
@@ -42,25 +42,26 @@
 }
 
 bool
-vers_named(
+vers_announced(
     struct vers *v, const struct sv_version *named, bool old, int64_t heard_us)
 {
 	struct vers_model *m = model_of(v, named->model);
-	unsigned int n = m->nnamed;
+	unsigned int n = m->nannounced;
 
-	if (n > 0 && m->named[n - 1].version >= named->version)
+	if (n > 0 && m->announced[n - 1].version >= named->version)
 		return false;
-	if (n == VERS_KEPT) {
-		memmove(&m->named[0], &m->named[1],
-		    (VERS_KEPT - 1) * sizeof(m->named[0]));
+	if (n == VERS_PENDING_MAX) {
+		memmove(&m->announced[0], &m->announced[1],
+		    (VERS_PENDING_MAX - 1) * sizeof(m->announced[0]));
 		n--;
 	}
-	m->named[n].version = named->version;
-	m->named[n].heard_us = heard_us;
-	m->named[n].guessed = old;
+	m->announced[n].version = named->version;
+	m->announced[n].heard_us = heard_us;
+	m->announced[n].guessed = old;
 	if (old)
-		m->named[n].heard_us = MAX(heard_us, v->bound_us) - v->due_us;
-	m->nnamed = n + 1;
+		m->announced[n].heard_us =
+		    MAX(heard_us, v->bound_us) - v->due_us;
+	m->nannounced = n + 1;
 	return true;
 }
 
@@ -76,44 +77,47 @@
 	int64_t heard_us = MAX(told_us, v->bound_us - v->due_us);
 	unsigned int at = 0;
 
-	while (at < m->nnamed && m->named[at].version < version)
+	while (at < m->nannounced && m->announced[at].version < version)
 		at++;
-	if (at == m->nnamed || m->nnamed == VERS_KEPT ||
-	    heard_us >= m->named[at].heard_us)
+	if (at == m->nannounced || m->nannounced == VERS_PENDING_MAX ||
+	    heard_us >= m->announced[at].heard_us)
 		return false;
-	memmove(&m->named[at + 1], &m->named[at],
-	    (m->nnamed - at) * sizeof(m->named[0]));
-	m->named[at].version = version;
-	m->named[at].heard_us = heard_us;
-	m->named[at].guessed = false;
-	m->nnamed++;
+	memmove(&m->announced[at + 1], &m->announced[at],
+	    (m->nannounced - at) * sizeof(m->announced[0]));
+	m->announced[at].version = version;
+	m->announced[at].heard_us = heard_us;
+	m->announced[at].guessed = false;
+	m->nannounced++;
 	return true;
 }
 
 bool
-vers_told(struct vers *v, const char *model, int64_t version, int64_t heard_us)
+vers_reported(
+    struct vers *v, const char *model, int64_t version, int64_t heard_us)
 {
 	struct sv_version named = { .version = version };
 	struct vers_model *m = model_of(v, model);
 	unsigned int i;
 
-	for (i = 0; i < m->nnamed; i++) {
-		if (m->named[i].version != version)
+	for (i = 0; i < m->nannounced; i++) {
+		if (m->announced[i].version != version)
 			continue;
-		if (!m->named[i].guessed || heard_us <= m->named[i].heard_us)
+		if (!m->announced[i].guessed ||
+		    heard_us <= m->announced[i].heard_us)
 			return false;
-		m->named[i].heard_us = heard_us;
-		m->named[i].guessed = false;
+		m->announced[i].heard_us = heard_us;
+		m->announced[i].guessed = false;
 		return true;
 	}
-	if (m->nnamed > 0 && m->named[m->nnamed - 1].version > version)
+	if (m->nannounced > 0 &&
+	    m->announced[m->nannounced - 1].version > version)
 		return insert_older(v, m, version, heard_us);
 	g_strlcpy(named.model, model, sizeof(named.model));
-	return vers_named(v, &named, false, heard_us);
+	return vers_announced(v, &named, false, heard_us);
 }
 
 void
-vers_hold(struct vers *v, int64_t from_us, int64_t until_us)
+vers_extend(struct vers *v, int64_t from_us, int64_t until_us)
 {
 	GHashTableIter iter;
 	gpointer model;
@@ -123,41 +127,41 @@
 	g_hash_table_iter_init(&iter, v->models);
 	while (g_hash_table_iter_next(&iter, NULL, &model)) {
 		m = model;
-		for (i = 0; i < m->nnamed; i++) {
-			if (m->named[i].guessed ||
-			    m->named[i].heard_us + v->due_us <= from_us)
+		for (i = 0; i < m->nannounced; i++) {
+			if (m->announced[i].guessed ||
+			    m->announced[i].heard_us + v->due_us <= from_us)
 				continue;
-			m->named[i].heard_us =
-			    MAX(m->named[i].heard_us, until_us);
+			m->announced[i].heard_us =
+			    MAX(m->announced[i].heard_us, until_us);
 		}
 	}
 }
 
 int64_t
-vers_least(const struct vers *v, const char *model, int64_t at_us)
+vers_min(const struct vers *v, const char *model, int64_t at_us)
 {
 	const struct vers_model *m =
 	    model == NULL ? NULL : g_hash_table_lookup(v->models, model);
 	int64_t least = 0;
 	unsigned int i;
 
-	for (i = 0; m != NULL && v->due_us > 0 && i < m->nnamed; i++) {
-		if (m->named[i].heard_us + v->due_us <= at_us)
-			least = m->named[i].version;
+	for (i = 0; m != NULL && v->due_us > 0 && i < m->nannounced; i++) {
+		if (m->announced[i].heard_us + v->due_us <= at_us)
+			least = m->announced[i].version;
 	}
 	return least;
 }
 
 int64_t
-vers_end_us(const struct vers *v, const char *model, int64_t loaded)
+vers_deadline_us(const struct vers *v, const char *model, int64_t loaded)
 {
 	const struct vers_model *m =
 	    model == NULL ? NULL : g_hash_table_lookup(v->models, model);
 	unsigned int i;
 
-	for (i = 0; m != NULL && v->due_us > 0 && i < m->nnamed; i++) {
-		if (m->named[i].version > loaded)
-			return m->named[i].heard_us + v->due_us;
+	for (i = 0; m != NULL && v->due_us > 0 && i < m->nannounced; i++) {
+		if (m->announced[i].version > loaded)
+			return m->announced[i].heard_us + v->due_us;
 	}
 	return 0;
 }
@@ -167,8 +171,9 @@
 {
 	const struct vers_model *m = g_hash_table_lookup(v->models, model);
 
-	return m == NULL || m->nnamed == 0 ? 0
-					   : m->named[m->nnamed - 1].version;
+	return m == NULL || m->nannounced == 0
+	    ? 0
+	    : m->announced[m->nannounced - 1].version;
 }
 
 int64_t
@@ -178,20 +183,21 @@
 	const struct vers_model *m = g_hash_table_lookup(v->models, model);
 	unsigned int at;
 
-	if (m == NULL || m->nnamed < 2)
+	if (m == NULL || m->nannounced < 2)
 		return 0;
-	at = m->nnamed - 2;
-	if (v->due_us > 0 && m->named[at].heard_us + v->due_us <= now_us)
+	at = m->nannounced - 2;
+	if (v->due_us > 0 && m->announced[at].heard_us + v->due_us <= now_us)
 		return 0;
-	*heard_us = m->named[at].heard_us;
-	return m->named[at].version;
+	*heard_us = m->announced[at].heard_us;
+	return m->announced[at].version;
 }
 
 int64_t
-vers_heard_us(const struct vers *v, const char *model)
+vers_announced_us(const struct vers *v, const char *model)
 {
 	const struct vers_model *m = g_hash_table_lookup(v->models, model);
 
-	return m == NULL || m->nnamed == 0 ? 0
-					   : m->named[m->nnamed - 1].heard_us;
+	return m == NULL || m->nannounced == 0
+	    ? 0
+	    : m->announced[m->nannounced - 1].heard_us;
 }
--- a/lib/serve/vers.h
+++ b/lib/serve/vers.h
@@ -9,7 +9,7 @@
 
 #include "serve/records.h"
 
-#define VERS_KEPT 4 /* named versions of a model that are not due yet */
+#define VERS_PENDING_MAX 4 /* named versions of a model that are not due yet */
 
 struct vers_model {
 	char model[SV_ID_MAX];
@@ -17,8 +17,8 @@
 		int64_t version;
 		int64_t heard_us;
 		bool guessed; /* it was there before this process */
-	} named[VERS_KEPT]; /* oldest first */
-	unsigned int nnamed;
+	} announced[VERS_PENDING_MAX]; /* oldest first */
+	unsigned int nannounced;
 };
 
 struct vers;
@@ -37,11 +37,11 @@
  * soon as the process is bound, as a request that begins on older weights breaks
  * a promise, while one that is refused can come back.
  */
-bool vers_named(
+bool vers_announced(
     struct vers *v, const struct sv_version *named, bool old, int64_t heard_us);
 /* A keeper's word on when a version was heard of, by a gateway that may have
  * heard of it when it was named. True when it is news. */
-bool vers_told(
+bool vers_reported(
     struct vers *v, const char *model, int64_t version, int64_t heard_us);
 /*
  * Operators' commands reached nobody between the two moments, as the store was
@@ -49,17 +49,18 @@
  * they do; a version that was not due at `from_us` is due that long after
  * `until_us`. Versions of unknown age stay due as they are.
  */
-void vers_hold(struct vers *v, int64_t from_us, int64_t until_us);
+void vers_extend(struct vers *v, int64_t from_us, int64_t until_us);
 /* What a request that begins at `at_us` must at least run on; 0: any. */
-int64_t vers_least(const struct vers *v, const char *model, int64_t at_us);
+int64_t vers_min(const struct vers *v, const char *model, int64_t at_us);
 /* From when on no request may begin on `loaded`; 0: no such time is known. */
-int64_t vers_end_us(const struct vers *v, const char *model, int64_t loaded);
+int64_t vers_deadline_us(
+    const struct vers *v, const char *model, int64_t loaded);
 int64_t vers_newest(const struct vers *v, const char *model);
 /* The one named before the newest, while requests may begin on what came
  * before it; 0: none. */
 int64_t vers_pending(
     const struct vers *v, const char *model, int64_t now_us, int64_t *heard_us);
 /* When the newest was heard of; 0: none. */
-int64_t vers_heard_us(const struct vers *v, const char *model);
+int64_t vers_announced_us(const struct vers *v, const char *model);
 
 #endif
--- a/lib/stage/stage.c
+++ b/lib/stage/stage.c
@@ -25,11 +25,11 @@
 static const char *const names[STG_STEPS] = {
 	[STG_IDLE] = "idle",
 	[STG_MANIFEST] = "manifest",
-	[STG_LOOK] = "look",
+	[STG_SCAN] = "look",
 	[STG_FETCH] = "fetch",
 	[STG_PUT] = "put",
-	[STG_TURN] = "turn",
-	[STG_CLOSE] = "close",
+	[STG_WAIT_SWITCH] = "turn",
+	[STG_DRAIN] = "close",
 	[STG_CHECK] = "check",
 	[STG_ORDER] = "order",
 	[STG_LOADING] = "loading",
@@ -45,7 +45,7 @@
 bool
 stg_leads_to_order(enum stg_step step)
 {
-	return step == STG_CLOSE || step == STG_PUT || step == STG_CHECK ||
+	return step == STG_DRAIN || step == STG_PUT || step == STG_CHECK ||
 	    step == STG_ORDER || step == STG_LOADING;
 }
 
@@ -55,7 +55,7 @@
 {
 	if (!s->manifest)
 		return STG_MANIFEST;
-	return s->whole || s->looked ? STG_DONE : STG_LOOK;
+	return s->complete || s->scanned ? STG_DONE : STG_SCAN;
 }
 
 static bool
@@ -63,10 +63,10 @@
 {
 	if (!s->may_cut || s->loaded == 0 || s->running == 0)
 		return true;
-	if (s->closed_us == 0)
+	if (s->drain_us == 0)
 		return false;
-	return now_us - s->closed_us >= STG_CLOSE_US ||
-	    s->running <= (double)s->slots * STG_CLOSE_SHARE;
+	return now_us - s->drain_us >= STG_DRAIN_US ||
+	    s->running <= (double)s->slots * STG_DRAIN_SHARE;
 }
 
 static enum stg_step
@@ -74,19 +74,19 @@
 {
 	if (s->busy)
 		return STG_LOADING;
-	if (s->ordered_us != 0 && now_us - s->ordered_us < STG_ORDER_LOST_US)
+	if (s->ordered_us != 0 && now_us - s->ordered_us < STG_ORDER_TIMEOUT_US)
 		return STG_LOADING;
-	if (!s->put)
+	if (!s->staged)
 		return STG_PUT;
 	/* An engine that serves waits for its turn; one that holds nothing or
 	 * has nothing to do loses nothing by changing at once. */
-	if (s->loaded != 0 && s->running > 0 && now_us < s->turn_us)
-		return STG_TURN;
+	if (s->loaded != 0 && s->running > 0 && now_us < s->switch_us)
+		return STG_WAIT_SWITCH;
 	if (!is_closed(s, now_us))
-		return STG_CLOSE;
-	if (s->checked_us == 0 || now_us - s->checked_us > STG_CHECK_KEEPS_US)
+		return STG_DRAIN;
+	if (s->checked_us == 0 || now_us - s->checked_us > STG_CHECK_VALID_US)
 		return STG_CHECK;
-	if (s->refused_us != 0 && now_us - s->refused_us < STG_ORDER_REST_US)
+	if (s->refused_us != 0 && now_us - s->refused_us < STG_ORDER_BACKOFF_US)
 		return STG_LOADING;
 	return STG_ORDER;
 }
@@ -101,9 +101,9 @@
 	if (!s->manifest)
 		return STG_MANIFEST;
 	/* An engine that restarted may still have the pieces beside it. */
-	if (!s->whole && !s->looked && s->loaded == 0)
-		return STG_LOOK;
-	if (!s->whole)
+	if (!s->complete && !s->scanned && s->loaded == 0)
+		return STG_SCAN;
+	if (!s->complete)
 		return STG_FETCH;
 	return next_order(s, now_us);
 }
@@ -113,13 +113,13 @@
 /* ------------------------------------------------------------------ */
 
 void
-stg_dues_add(struct stg_dues *d, int64_t version, int64_t due_us)
+stg_deadlines_add(struct stg_deadlines *d, int64_t version, int64_t due_us)
 {
 	if (due_us == 0 || (d->n > 0 && d->at[d->n - 1].version >= version))
 		return;
-	if (d->n == STG_DUES_KEPT) {
+	if (d->n == STG_DEADLINES_MAX) {
 		memmove(&d->at[0], &d->at[1],
-		    (STG_DUES_KEPT - 1) * sizeof(d->at[0]));
+		    (STG_DEADLINES_MAX - 1) * sizeof(d->at[0]));
 		d->n--;
 	}
 	d->at[d->n].version = version;
@@ -128,7 +128,7 @@
 }
 
 int64_t
-stg_dues_end(const struct stg_dues *d, int64_t loaded)
+stg_deadlines_expiry(const struct stg_deadlines *d, int64_t loaded)
 {
 	unsigned int i;
 
@@ -140,7 +140,7 @@
 }
 
 int64_t
-stg_dues_of(const struct stg_dues *d, int64_t loaded)
+stg_deadlines_of(const struct stg_deadlines *d, int64_t loaded)
 {
 	unsigned int i;
 
@@ -152,7 +152,8 @@
 }
 
 int64_t
-stg_dues_before(const struct stg_dues *d, int64_t version, int64_t *due_us)
+stg_deadlines_before(
+    const struct stg_deadlines *d, int64_t version, int64_t *due_us)
 {
 	unsigned int i = d->n;
 
@@ -182,14 +183,14 @@
 #define DIGEST_SPREAD_US 2000000
 
 int64_t
-stg_digests_due(const struct stg_digests *d)
+stg_digests_read_us(const struct stg_digests *d)
 {
 	int64_t wait_us = DIGEST_ALONE_US;
 
 	if (d->members > 0 && d->ahead < DIGEST_READERS)
-		return d->rest_us;
+		return d->backoff_until_us;
 	wait_us += MIN((int64_t)d->ahead * DIGEST_STEP_US, DIGEST_SPREAD_US);
-	return MAX(d->rest_us, d->asked_us + wait_us);
+	return MAX(d->backoff_until_us, d->asked_us + wait_us);
 }
 
 /* ------------------------------------------------------------------ */
@@ -198,13 +199,13 @@
 
 /* When the newest will be whole here, from its progress. */
 static int64_t
-whole_at_us(const struct stg_rival *r, int64_t now_us)
+whole_at_us(const struct stg_overlap *r, int64_t now_us)
 {
 	double left = 1;
 
 	if (r->total > 0)
 		left = 1 - (double)r->have / (double)r->total;
-	return MAX(r->newest_heard_us + SPREAD_US,
+	return MAX(r->newest_announced_us + SPREAD_US,
 	    now_us + (int64_t)(left * SPREAD_LEFT_US));
 }
 
@@ -215,28 +216,29 @@
 }
 
 bool
-stg_fetches_older(const struct stg_rival *r, int64_t now_us)
+stg_fetches_older(const struct stg_overlap *r, int64_t now_us)
 {
 	int64_t fetch_us, serve_us;
 
-	if (r->older_whole || r->older_left == 0 || r->older_due_us == 0)
+	if (r->older_complete || r->older_left == 0 ||
+	    r->older_deadline_us == 0)
 		return false;
-	if (now_us < r->older_due_us)
+	if (now_us < r->older_deadline_us)
 		return true;
-	if (r->older_total == 0 || r->newest_due_us == 0)
+	if (r->older_total == 0 || r->newest_deadline_us == 0)
 		return false;
 	fetch_us = (int64_t)((double)MIN(r->older_left, r->older_total) /
 	    (double)r->older_total * SPREAD_LEFT_US);
-	serve_us = r->newest_due_us - now_us - fetch_us - IDLE_WORTH_US;
+	serve_us = r->newest_deadline_us - now_us - fetch_us - IDLE_WORTH_US;
 	return serve_us > fetch_us;
 }
 
 bool
-stg_prefers_older(const struct stg_rival *r, int64_t now_us)
+stg_prefers_older(const struct stg_overlap *r, int64_t now_us)
 {
-	if (!r->older_whole)
+	if (!r->older_complete)
 		return false;
-	if (r->loaded != 0 && now_us < r->older_turn_us)
+	if (r->loaded != 0 && now_us < r->older_switch_us)
 		return false;
 	return whole_at_us(r, now_us) > now_us + IDLE_WORTH_US;
 }
@@ -246,17 +248,17 @@
 /* ------------------------------------------------------------------ */
 
 int64_t
-stg_turn(const struct stg_queue *q)
+stg_switch_us(const struct stg_schedule *q)
 {
-	int64_t from_us = q->heard_us + SPREAD_US;
+	int64_t from_us = q->announced_us + SPREAD_US;
 	int64_t span_us;
 
-	if (q->end_us == 0)
+	if (q->deadline_us == 0)
 		return from_us + (int64_t)q->rank * PACE_US;
 	if (q->others_us != 0)
 		from_us = MAX(from_us, q->others_us - MARGIN_US);
-	span_us = q->end_us - MARGIN_US - from_us;
+	span_us = q->deadline_us - MARGIN_US - from_us;
 	if (span_us <= 0 || q->n == 0)
-		return q->heard_us;
+		return q->announced_us;
 	return from_us + span_us * (int64_t)q->rank / (int64_t)q->n;
 }
--- a/lib/stage/stage.h
+++ b/lib/stage/stage.h
@@ -16,11 +16,11 @@
 enum stg_step {
 	STG_IDLE, /* nothing is wanted, or the engine does not answer */
 	STG_MANIFEST, /* fetch the digests of the wanted version */
-	STG_LOOK, /* look for its pieces in the staging place */
+	STG_SCAN, /* look for its pieces in the staging place */
 	STG_FETCH, /* pieces are on their way */
 	STG_PUT, /* put pieces into the staging place */
-	STG_TURN, /* other engines change version first */
-	STG_CLOSE, /* gateways send it nothing more; its requests end */
+	STG_WAIT_SWITCH, /* other engines change version first */
+	STG_DRAIN, /* gateways send it nothing more; its requests end */
 	STG_CHECK, /* read all pieces back */
 	STG_ORDER, /* order the engine to load */
 	STG_LOADING, /* the order is being carried out */
@@ -41,28 +41,28 @@
 	unsigned int running; /* requests */
 	/* The wanted version, here. */
 	bool manifest;
-	bool looked; /* the staging place was looked through for it */
-	bool whole; /* all pieces are held and checked */
-	bool put; /* all pieces lie in the staging place, as far as known */
+	bool scanned; /* the staging place was looked through for it */
+	bool complete; /* all pieces are held and checked */
+	bool staged; /* all pieces lie in the staging place, as far as known */
 	int64_t checked_us; /* all were read back and good; 0: not yet */
 	int64_t ordered_us; /* an order was accepted; 0: none */
 	int64_t refused_us; /* the last order was refused; 0: no */
 	unsigned int slots; /* of the engine; 0: not known */
-	int64_t closed_us; /* gateways were told to send nothing; 0: no */
+	int64_t drain_us; /* gateways were told to send nothing; 0: no */
 	/* Requests that are cut go on at other engines. */
 	bool may_cut;
 	/* When it may begin to change from one version to another. */
-	int64_t turn_us;
+	int64_t switch_us;
 };
 
 /* A piece that turns bad is to be noticed within three seconds: pieces that
  * were checked longer ago are checked again. */
-#define STG_CHECK_KEEPS_US 700000
+#define STG_CHECK_VALID_US 700000
 /* After a refused order, before the next. */
-#define STG_ORDER_REST_US 400000
+#define STG_ORDER_BACKOFF_US 400000
 /* An accepted order that shows no effect for so long is given again. It waits
  * for running streams, which last six seconds at most. */
-#define STG_ORDER_LOST_US 9000000
+#define STG_ORDER_TIMEOUT_US 9000000
 
 /*
  * An engine that is ordered to load once its requests have ended stands almost
@@ -72,11 +72,11 @@
  * cut. A request that goes on elsewhere costs a second reading of its prompt,
  * about as much as its place is worth in that time.
  */
-#define STG_CLOSE_US 800000
-#define STG_CLOSE_SHARE 0.25
+#define STG_DRAIN_US 800000
+#define STG_DRAIN_SHARE 0.25
 /* An engine that gateways were told to leave alone and that still has no
  * accepted order after so long is opened again: it serves what it holds. */
-#define STG_CLOSE_MAX_US 3000000
+#define STG_DRAIN_MAX_US 3000000
 
 enum stg_step stg_next(const struct stg_state *s, int64_t now_us);
 
@@ -84,43 +84,44 @@
  * Versions that were named, and from when on no request may begin on anything
  * older than each.
  */
-#define STG_DUES_KEPT 4 /* several may be named before the first is due */
+#define STG_DEADLINES_MAX 4 /* several may be named before the first is due */
 
-struct stg_dues {
+struct stg_deadlines {
 	struct {
 		int64_t version, due_us;
-	} at[STG_DUES_KEPT]; /* oldest first */
+	} at[STG_DEADLINES_MAX]; /* oldest first */
 	unsigned int n;
 };
 
-void stg_dues_add(struct stg_dues *d, int64_t version, int64_t due_us);
+void stg_deadlines_add(
+    struct stg_deadlines *d, int64_t version, int64_t due_us);
 /* When `loaded` may not serve any more; 0: no such time is known. */
-int64_t stg_dues_end(const struct stg_dues *d, int64_t loaded);
+int64_t stg_deadlines_expiry(const struct stg_deadlines *d, int64_t loaded);
 /* The one named before `version`, and when it is due; 0: not known. */
-int64_t stg_dues_before(
-    const struct stg_dues *d, int64_t version, int64_t *due_us);
+int64_t stg_deadlines_before(
+    const struct stg_deadlines *d, int64_t version, int64_t *due_us);
 /* When everything before `loaded` may not serve any more; 0: not known. */
-int64_t stg_dues_of(const struct stg_dues *d, int64_t loaded);
+int64_t stg_deadlines_of(const struct stg_deadlines *d, int64_t loaded);
 
 /* When a keeper reads a version's digests from the origin itself. */
 struct stg_digests {
 	unsigned int members; /* keepers of the model; 0: not known yet */
 	unsigned int ahead; /* of these, before this one */
 	int64_t asked_us; /* the digests were needed first */
-	int64_t rest_us; /* the origin is not asked before */
+	int64_t backoff_until_us; /* the origin is not asked before */
 };
 
-int64_t stg_digests_due(const struct stg_digests *d);
+int64_t stg_digests_read_us(const struct stg_digests *d);
 
 /* Two versions were named one after the other. */
-struct stg_rival {
-	bool older_whole;
+struct stg_overlap {
+	bool older_complete;
 	/* Pieces of it that are at no host yet; all while that is unknown. */
 	uint64_t older_left, older_total;
 	int64_t loaded; /* 0: the engine serves with neither */
-	int64_t older_turn_us; /* the engine may change to the older then */
-	int64_t older_due_us, newest_due_us; /* 0: no bound */
-	int64_t newest_heard_us;
+	int64_t older_switch_us; /* the engine may change to the older then */
+	int64_t older_deadline_us, newest_deadline_us; /* 0: no bound */
+	int64_t newest_announced_us;
 	uint64_t have, total; /* pieces of the newest, here; 0 of 0: unknown */
 };
 
@@ -138,7 +139,7 @@
  * until either comes: it goes first where engines serve with it for longer,
  * until the newest is due, than the newest comes later by it.
  */
-bool stg_fetches_older(const struct stg_rival *r, int64_t now_us);
+bool stg_fetches_older(const struct stg_overlap *r, int64_t now_us);
 
 /*
  * Whether the engine changes to the older one first. All engines that pass
@@ -146,11 +147,11 @@
  * when the newest comes late. So an engine whose turn for the older one comes
  * before the newest can be here takes it; those that are left then are fewer.
  */
-bool stg_prefers_older(const struct stg_rival *r, int64_t now_us);
+bool stg_prefers_older(const struct stg_overlap *r, int64_t now_us);
 
-struct stg_queue {
-	int64_t heard_us; /* of the version that engines change to */
-	int64_t end_us; /* what this one holds serves until then; 0: on */
+struct stg_schedule {
+	int64_t announced_us; /* of the version that engines change to */
+	int64_t deadline_us; /* what this one holds serves until then; 0: on */
 	/* Engines that hold older weights than this one must have changed by
 	 * then and go first; 0: there are none. */
 	int64_t others_us;
@@ -162,6 +163,6 @@
  * the pieces have spread, so that as few as possible are out of service
  * together.
  */
-int64_t stg_turn(const struct stg_queue *q);
+int64_t stg_switch_us(const struct stg_schedule *q);
 
 #endif
--- a/lib/store/store.c
+++ b/lib/store/store.c
@@ -39,11 +39,11 @@
 	struct store_conf conf;
 	char *address;
 	struct rng rng;
-	LIST_HEAD(mirrors, mirror) mirrors;
+	LIST_HEAD(mirrors, store_cache) mirrors;
 	struct ctr *calls, *failed, *unreadable;
 };
 
-enum mirror_state {
+enum store_cache_state {
 	MIRROR_LIST,
 	MIRROR_WATCH,
 	MIRROR_REST, /* until the timer */
@@ -55,13 +55,13 @@
 	bool told; /* its value was readable, and passed on */
 };
 
-struct mirror {
-	LIST_ENTRY(mirror) link;
+struct store_cache {
+	LIST_ENTRY(store_cache) link;
 	struct store *store;
 	const struct store_kind *kind;
-	struct mirror_ops ops;
+	struct store_cache_ops ops;
 	void *ctx;
-	enum mirror_state state;
+	enum store_cache_state state;
 	struct hfetch *call;
 	struct evl_timer timer;
 	GHashTable *known; /* name -> struct known */
@@ -79,10 +79,10 @@
 	bool down;
 };
 
-static void next_call(struct mirror *m);
+static void next_call(struct store_cache *m);
 
 static int64_t
-now_us(const struct mirror *m)
+now_us(const struct store_cache *m)
 {
 	return evl_now_us(m->store->conf.loop);
 }
@@ -92,7 +92,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-set_link(struct mirror *m, bool up, const char *why)
+set_link(struct store_cache *m, bool up, const char *why)
 {
 	if (m->down == !up)
 		return;
@@ -102,9 +102,9 @@
 }
 
 int64_t
-store_away_us(const struct store *s)
+store_down_since_us(const struct store *s)
 {
-	const struct mirror *m;
+	const struct store_cache *m;
 	int64_t heard_us = 0;
 	unsigned int failures = 0;
 
@@ -119,9 +119,9 @@
 
 /* The one of the mirrors without an answer that tries for all. */
 static bool
-is_prober(const struct mirror *m)
+is_prober(const struct store_cache *m)
 {
-	const struct mirror *other;
+	const struct store_cache *other;
 
 	LIST_FOREACH (other, &m->store->mirrors, link) {
 		if (other->down)
@@ -131,7 +131,7 @@
 }
 
 static int64_t
-call_timeout_us(const struct mirror *m)
+call_timeout_us(const struct store_cache *m)
 {
 	return MIN((int64_t)CALL_TIMEOUT_US
 		<< MIN(m->failures / CALL_TIMEOUT_TRIES, 8),
@@ -139,7 +139,7 @@
 }
 
 static void
-rest(struct mirror *m, const char *why)
+rest(struct store_cache *m, const char *why)
 {
 	int64_t jitter;
 
@@ -161,9 +161,9 @@
 
 /* One mirror was answered: those that rest need not wait longer. */
 static void
-answered(struct mirror *m)
+answered(struct store_cache *m)
 {
-	struct mirror *other;
+	struct store_cache *other;
 
 	m->heard_us = now_us(m);
 	m->rest_us = 0;
@@ -183,7 +183,8 @@
 /* ------------------------------------------------------------------ */
 
 static void
-tell_removed(struct mirror *m, struct known *k, const char *name, bool lapsed)
+tell_removed(
+    struct store_cache *m, struct known *k, const char *name, bool lapsed)
 {
 	if (k->told)
 		m->ops.removed(name, lapsed, m->ctx);
@@ -194,7 +195,7 @@
  * good, is not believed any longer; the others hold. */
 static void
 take_unreadable(
-    struct mirror *m, struct known *k, const struct store_item *item)
+    struct store_cache *m, struct known *k, const struct store_item *item)
 {
 	ctr_add(m->store->unreadable, 1);
 	log_warn("store: %s/%s: %s", m->kind->name, item->name, item->why);
@@ -202,7 +203,7 @@
 }
 
 static void
-take_item(struct mirror *m, struct store_item *item)
+take_item(struct store_cache *m, struct store_item *item)
 {
 	struct known *k = g_hash_table_lookup(m->known, item->name);
 
@@ -240,7 +241,7 @@
 
 /* What the listing did not have is gone. */
 static void
-sweep(struct mirror *m)
+sweep(struct store_cache *m)
 {
 	GHashTableIter iter;
 	gpointer name, value;
@@ -261,7 +262,7 @@
 }
 
 static void
-take_items(struct mirror *m, struct store_page *page)
+take_items(struct store_cache *m, struct store_page *page)
 {
 	struct store_item *item;
 	guint i;
@@ -279,7 +280,7 @@
 }
 
 static void
-drop_items(struct mirror *m, struct store_page *page)
+drop_items(struct store_cache *m, struct store_page *page)
 {
 	struct store_item *item;
 	guint i;
@@ -293,7 +294,7 @@
 }
 
 static void
-begin_list(struct mirror *m)
+begin_list(struct store_cache *m)
 {
 	m->state = MIRROR_LIST;
 	m->watching = false;
@@ -304,7 +305,7 @@
 
 /* On to the next watch, when what comes meanwhile has gathered. */
 static void
-gather(struct mirror *m)
+gather(struct store_cache *m)
 {
 	if (m->gather_us == 0)
 		next_call(m);
@@ -314,9 +315,9 @@
 }
 
 static void
-take_page(struct mirror *m, struct store_page *page)
+take_page(struct store_cache *m, struct store_page *page)
 {
-	if (page->at < m->at) {
+	if (page->revision < m->at) {
 		/* An answer from the past: what is known here is newer. */
 		drop_items(m, page);
 		begin_list(m);
@@ -326,12 +327,12 @@
 	answered(m);
 	take_items(m, page);
 	if (m->state == MIRROR_WATCH) {
-		m->at = page->at;
+		m->at = page->revision;
 		gather(m);
 		return;
 	}
 	if (m->list_at == 0)
-		m->list_at = page->at;
+		m->list_at = page->revision;
 	if (page->more) {
 		next_call(m);
 		return;
@@ -352,7 +353,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-read_answer(struct mirror *m, const struct hfetch_answer *a)
+read_answer(struct store_cache *m, const struct hfetch_answer *a)
 {
 	struct store_page page = { 0 };
 	struct err err = { 0 };
@@ -373,7 +374,7 @@
 static void
 on_answer(const struct hfetch_answer *a, void *ctx)
 {
-	struct mirror *m = ctx;
+	struct store_cache *m = ctx;
 	char why[32];
 
 	m->call = NULL;
@@ -394,9 +395,9 @@
 }
 
 static int64_t
-watch_wait_ms(const struct mirror *m)
+watch_wait_ms(const struct store_cache *m)
 {
-	int64_t wait_us = m->store->conf.silence_us - WATCH_ANSWER_US;
+	int64_t wait_us = m->store->conf.stall_timeout_us - WATCH_ANSWER_US;
 
 	if (m->down)
 		return PROBE_WAIT_MS;
@@ -404,7 +405,7 @@
 }
 
 static void
-next_call(struct mirror *m)
+next_call(struct store_cache *m)
 {
 	const struct store_conf *conf = &m->store->conf;
 	bool watch = m->state == MIRROR_WATCH;
@@ -430,7 +431,7 @@
 static void
 on_timer(struct evl_timer *t)
 {
-	struct mirror *m = CONTAINER_OF(t, struct mirror, timer);
+	struct store_cache *m = CONTAINER_OF(t, struct store_cache, timer);
 
 	/* After a rest: go on watching from where the news stopped, unless it
 	 * was a listing that failed. */
@@ -470,7 +471,7 @@
 void
 store_free(struct store *s)
 {
-	struct mirror *m;
+	struct store_cache *m;
 
 	while ((m = LIST_FIRST(&s->mirrors)) != NULL) {
 		LIST_REMOVE(m, link);
@@ -485,11 +486,11 @@
 	g_free(s);
 }
 
-struct mirror *
-mirror_new(struct store *s, const struct store_kind *kind,
-    const struct mirror_ops *ops, void *ctx)
+struct store_cache *
+store_cache_new(struct store *s, const struct store_kind *kind,
+    const struct store_cache_ops *ops, void *ctx)
 {
-	struct mirror *m = g_new0(struct mirror, 1);
+	struct store_cache *m = g_new0(struct store_cache, 1);
 
 	m->store = s;
 	m->kind = kind;
@@ -497,7 +498,7 @@
 	m->ctx = ctx;
 	m->timer.fire = on_timer;
 	m->made_us = now_us(m);
-	m->gather_us = kind->gather_us;
+	m->gather_us = kind->batch_delay_us;
 	m->known =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	LIST_INSERT_HEAD(&s->mirrors, m, link);
@@ -507,25 +508,25 @@
 }
 
 void
-mirror_set_gather(struct mirror *m, int64_t gather_us)
+store_cache_set_batch_delay(struct store_cache *m, int64_t gather_us)
 {
 	m->gather_us = gather_us;
 }
 
 bool
-mirror_synced(const struct mirror *m)
+store_cache_synced(const struct store_cache *m)
 {
 	return m->synced;
 }
 
 int64_t
-mirror_heard_us(const struct mirror *m)
+store_cache_answered_us(const struct store_cache *m)
 {
 	return m->heard_us;
 }
 
 int64_t
-mirror_revision(const struct mirror *m)
+store_cache_revision(const struct store_cache *m)
 {
 	return m->at;
 }
--- a/lib/store/store.h
+++ b/lib/store/store.h
@@ -27,8 +27,8 @@
 struct store_kind {
 	const char *name; /* in paths */
 	/* Least time from one answer to the next watch, where nobody sets it:
-	 * see mirror_set_gather. */
-	int64_t gather_us;
+	 * see store_cache_set_batch_delay. */
+	int64_t batch_delay_us;
 	/* Decodes one object; `node` is the dialect's. NULL on refusal. */
 	void *(*decode)(const char *name, void *node, struct err *err);
 	void (*free)(void *value);
@@ -37,7 +37,7 @@
 struct store_page {
 	GArray *items; /* struct store_item */
 	bool more; /* pages follow, from `items`' last name */
-	int64_t at; /* the store's revision */
+	int64_t revision; /* the store's revision */
 };
 
 struct store_dialect {
@@ -59,7 +59,7 @@
 	struct ctr_set *counters;
 	uint64_t seed; /* of the spread of retries */
 	/* A connection that falls silent is to be found within this. */
-	int64_t silence_us;
+	int64_t stall_timeout_us;
 };
 
 struct store *store_new(const struct store_conf *conf);
@@ -68,13 +68,13 @@
 /* Time of the last answer, or of the mirrors' making when there was none, while
  * the store answers nothing that is asked of it and this is no matter of one
  * lost call; 0: it answers. */
-int64_t store_away_us(const struct store *s);
+int64_t store_down_since_us(const struct store *s);
 
 /* ------------------------------------------------------------------ */
 /* Mirrors                                                             */
 /* ------------------------------------------------------------------ */
 
-struct mirror_ops {
+struct store_cache_ops {
 	/* An object is new or has changed. Takes the value. One that was
 	 * readable and no longer is counts as removed. */
 	void (*put)(const char *name, void *value, void *ctx);
@@ -87,18 +87,19 @@
 	void (*link)(bool up, const char *why, void *ctx);
 };
 
-struct mirror;
-struct mirror *mirror_new(struct store *s, const struct store_kind *kind,
-    const struct mirror_ops *ops, void *ctx);
+struct store_cache;
+struct store_cache *store_cache_new(struct store *s,
+    const struct store_kind *kind, const struct store_cache_ops *ops,
+    void *ctx);
 /*
  * Least time from one answer to the next watch: changes that come close
  * together are paid for as one call. Part of the time in which they must be in
  * force; the rest is for an answer that is lost and the next call.
  */
-void mirror_set_gather(struct mirror *m, int64_t gather_us);
-bool mirror_synced(const struct mirror *m); /* has been whole once */
+void store_cache_set_batch_delay(struct store_cache *m, int64_t gather_us);
+bool store_cache_synced(const struct store_cache *m); /* has been whole once */
 /* Time of the last word from the store about this kind; 0: none yet. */
-int64_t mirror_heard_us(const struct mirror *m);
-int64_t mirror_revision(const struct mirror *m);
+int64_t store_cache_answered_us(const struct store_cache *m);
+int64_t store_cache_revision(const struct store_cache *m);
 
 #endif
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -72,7 +72,7 @@
 	on_link(ctx, "config", up, why);
 }
 
-static const struct mirror_ops config_ops = {
+static const struct store_cache_ops config_ops = {
 	.put = config_put,
 	.removed = config_removed,
 	.link = config_link,
@@ -83,9 +83,9 @@
 {
 	if (before == NULL || before == now)
 		return now;
-	hpool_forget(g->st.pool, now->says.address);
+	hpool_forget(g->st.pool, now->record.address);
 	evt(EVT_TARGET, "target=%s address=%s state=started_again",
-	    now->says.id, now->says.address);
+	    now->record.id, now->record.address);
 	return now;
 }
 
@@ -103,7 +103,7 @@
 	    " revision=%" G_GINT64_FORMAT,
 	    says->id, says->service, says->address,
 	    says->leaving ? "leaving" : "ready", says->model_version,
-	    mirror_revision(g->targets));
+	    store_cache_revision(g->targets));
 	if (is_new)
 		gateway_views_greet(g);
 	g_free(says);
@@ -126,7 +126,7 @@
 	on_link(ctx, "targets", up, why);
 }
 
-static const struct mirror_ops target_ops = {
+static const struct store_cache_ops target_ops = {
 	.put = target_put,
 	.removed = target_removed,
 	.link = targets_link,
@@ -138,8 +138,8 @@
 	struct gateway *g = ctx;
 	struct sv_version *v = value;
 
-	if (vers_named(g->named, v,
-		g->versions == NULL || !mirror_synced(g->versions),
+	if (vers_announced(g->named, v,
+		g->versions == NULL || !store_cache_synced(g->versions),
 		evl_now_us(g->st.loop)))
 		evt(EVT_VERSION, "model=%s version=%" G_GINT64_FORMAT, v->model,
 		    v->version);
@@ -159,7 +159,7 @@
 	on_link(ctx, "versions", up, why);
 }
 
-static const struct mirror_ops version_ops = {
+static const struct store_cache_ops version_ops = {
 	.put = version_put,
 	.removed = version_removed,
 	.link = versions_link,
@@ -173,7 +173,7 @@
 should_be_ready(const struct gateway *g)
 {
 	return g->stopping_us == 0 && fwd_routes(g->fwd) != NULL &&
-	    mirror_synced(g->targets) && mirror_synced(g->versions);
+	    store_cache_synced(g->targets) && store_cache_synced(g->versions);
 }
 
 static void
@@ -228,7 +228,7 @@
 static void
 tell_store_away(struct gateway *g)
 {
-	bool away = store_away_us(g->store) != 0;
+	bool away = store_down_since_us(g->store) != 0;
 
 	if (away == g->store_away)
 		return;
@@ -247,11 +247,11 @@
 static void
 hold_due_times(struct gateway *g, int64_t now_us)
 {
-	int64_t away_us = store_away_us(g->store);
+	int64_t away_us = store_down_since_us(g->store);
 
 	if (away_us != 0 && g->all_away_us != 0 &&
 	    now_us - g->all_away_us < ALL_AWAY_FRESH_US)
-		vers_hold(g->named, away_us, now_us);
+		vers_extend(g->named, away_us, now_us);
 }
 
 static int64_t
@@ -324,9 +324,9 @@
 	size_t i;
 
 	policy->beyond_slots = cfg_num(cfg, "policy.beyond_slots");
-	policy->far_cost = cfg_num(cfg, "policy.far_cost");
-	policy->read_us = cfg_int(cfg, "policy.read_ms") * 1000;
-	policy->entries = g->gateways;
+	policy->remote_cost = cfg_num(cfg, "policy.far_cost");
+	policy->prefill_max_us = cfg_int(cfg, "policy.read_ms") * 1000;
+	policy->gateways = g->gateways;
 	policy->seed = g->seed;
 	budget->ratio = cfg_num(cfg, "bounds.retry_ratio");
 	budget->slack = cfg_num(cfg, "bounds.retry_slack");
@@ -353,7 +353,7 @@
 {
 	int64_t drain_us = cfg_int(g->st.cfg, "bounds.drain_ms") * 1000;
 
-	mirror_set_gather(
+	store_cache_set_batch_delay(
 	    g->targets, (int64_t)((double)drain_us * TARGETS_GATHER_SHARE));
 }
 
@@ -383,8 +383,8 @@
 	    fwd_routes(g->fwd) == NULL
 		? 0
 		: rtab_config(fwd_routes(g->fwd))->version,
-	    (now_us - mirror_heard_us(g->config)) / 1000,
-	    (now_us - mirror_heard_us(g->targets)) / 1000,
+	    (now_us - store_cache_answered_us(g->config)) / 1000,
+	    (now_us - store_cache_answered_us(g->targets)) / 1000,
 	    hserver_connections(g->callers), tgt_limited(g->set));
 }
 
@@ -427,14 +427,17 @@
 		.address = cfg_str(g->st.cfg, "store.address"),
 		.dialect = &adapter_store,
 		.counters = g->st.counters,
-		.silence_us = cfg_int(g->st.cfg, "bounds.stable_ms") * 1000,
+		.stall_timeout_us =
+		    cfg_int(g->st.cfg, "bounds.stable_ms") * 1000,
 	};
 
 	random_bytes(&conf.seed, sizeof(conf.seed));
 	g->store = store_new(&conf);
-	g->config = mirror_new(g->store, &adapter_config, &config_ops, g);
-	g->targets = mirror_new(g->store, &adapter_targets, &target_ops, g);
-	g->versions = mirror_new(g->store, &adapter_versions, &version_ops, g);
+	g->config = store_cache_new(g->store, &adapter_config, &config_ops, g);
+	g->targets =
+	    store_cache_new(g->store, &adapter_targets, &target_ops, g);
+	g->versions =
+	    store_cache_new(g->store, &adapter_versions, &version_ops, g);
 	apply_gather(g);
 }
 
--- a/programs/entry/gateway.h
+++ b/programs/entry/gateway.h
@@ -16,7 +16,7 @@
 struct gateway {
 	struct station st;
 	struct store *store;
-	struct mirror *config, *targets, *versions;
+	struct store_cache *config, *targets, *versions;
 	struct tgt_set *set;
 	struct vers *named;
 	struct fwd *fwd;
@@ -45,7 +45,7 @@
 /* Keepers that were not told anything yet are told then. */
 void gateway_views_greet(struct gateway *g);
 void gateway_views_asked(
-    struct gateway *g, const char *from, const struct side_ask *ask);
+    struct gateway *g, const char *from, const struct side_roster_request *ask);
 /* Address of the keeper beside a target, whether there is one or not. */
 bool gateway_keeper_of(
     const struct gateway *g, const struct tgt *t, char to[SV_ADDRESS_MAX]);
@@ -61,7 +61,7 @@
 void gateway_relay_open(struct gateway *g);
 /* A keeper of this region names a gateway of another. */
 void gateway_relay_mate(struct gateway *g, const struct side_load *load);
-void gateway_relay_take(struct gateway *g, const struct side_loads *loads);
+void gateway_relay_take(struct gateway *g, const struct side_relay *loads);
 
 /* gateway_rate.c: rate limits of targets, and keepers' permits */
 void gateway_rate_open(struct gateway *g);
@@ -77,7 +77,7 @@
 /* gateway_ends.c: requests under which targets ended */
 void gateway_ends_open(struct gateway *g);
 void gateway_ends_tell(const struct sus_end *ends, size_t n, void *ctx);
-void gateway_ends_take(struct gateway *g, const struct side_ends *ends);
+void gateway_ends_take(struct gateway *g, const struct side_terminations *ends);
 
 /* gateway.c */
 /* `now` stands where `before` did, NULL: nothing. Kept connections to another
--- a/programs/entry/gateway_ends.c
+++ b/programs/entry/gateway_ends.c
@@ -11,7 +11,8 @@
 #define REFRESH_US 5000000
 
 static void
-send_ends(struct gateway *g, uint64_t content, const struct side_ends *ends)
+send_ends(
+    struct gateway *g, uint64_t content, const struct side_terminations *ends)
 {
 	const struct tgt *at[COUNTERS];
 	char to[SV_ADDRESS_MAX];
@@ -20,7 +21,7 @@
 	n = tgt_sides(g->set, content, evl_now_us(g->st.loop), at, COUNTERS);
 	for (i = 0; i < n; i++) {
 		if (gateway_keeper_of(g, at[i], to))
-			dgram_send(g->peers, to, &side_ends_desc, ends);
+			dgram_send(g->peers, to, &side_terminations_desc, ends);
 	}
 }
 
@@ -29,12 +30,12 @@
 {
 	struct gateway *g = ctx;
 	GByteArray *entry = g_byte_array_new();
-	struct side_ends one;
+	struct side_terminations one;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
 		g_byte_array_set_size(entry, 0);
-		side_end_put(entry, &ends[i], evl_now_us(g->st.loop));
+		side_termination_put(entry, &ends[i], evl_now_us(g->st.loop));
 		one.entries = (struct slice){ entry->data, entry->len };
 		send_ends(g, ends[i].content, &one);
 	}
@@ -48,13 +49,13 @@
 	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
 	GByteArray *entries = g_byte_array_new();
 	const struct sus_end *end;
-	struct side_ends message;
+	struct side_terminations message;
 	guint i;
 
 	fwd_held_ends(g->fwd, ends);
 	for (i = 0; i < ends->len; i++) {
 		end = &g_array_index(ends, struct sus_end, i);
-		side_end_put(entries, end, evl_now_us(g->st.loop));
+		side_termination_put(entries, end, evl_now_us(g->st.loop));
 		if (i + 1 < ends->len && end[1].content == end->content)
 			continue;
 		message.entries = (struct slice){ entries->data, entries->len };
@@ -83,13 +84,13 @@
 }
 
 void
-gateway_ends_take(struct gateway *g, const struct side_ends *ends)
+gateway_ends_take(struct gateway *g, const struct side_terminations *ends)
 {
 	struct sus_end end;
 	size_t i;
 
-	for (i = 0; i < side_ends_count(ends); i++) {
-		side_end_get(ends, i, evl_now_us(g->st.loop), &end);
+	for (i = 0; i < side_terminations_count(ends); i++) {
+		side_termination_get(ends, i, evl_now_us(g->st.loop), &end);
 		fwd_told_end(g->fwd, &end);
 	}
 }
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -10,7 +10,7 @@
 	if (n == 0 || n == g->gateways)
 		return;
 	g->gateways = n;
-	tgt_set_policy(g->set)->entries = n;
+	tgt_set_policy(g->set)->gateways = n;
 	fwd_budget(g->fwd)->sharers = n;
 }
 
@@ -51,25 +51,25 @@
 {
 	int64_t now_us = evl_now_us(g->st.loop);
 	bool down = load->engine != SIDE_ENGINE_UP;
-	bool had_ended = t->ended;
+	bool had_ended = t->terminated;
 
 	if (down != t->side_down || (int64_t)load->version != t->version)
 		evt(EVT_SIDE,
 		    "target=%s engine=%s version=%" G_GUINT64_FORMAT
 		    " running=%" G_GUINT64_FORMAT,
-		    t->says.id,
+		    t->record.id,
 		    load->engine == SIDE_ENGINE_UP            ? "up"
 			: load->engine == SIDE_ENGINE_LOADING ? "loading"
 							      : "down",
 		    load->version, load->running);
-	tgt_side(t, down, now_us);
-	t->ended = load->engine == SIDE_ENGINE_DOWN;
-	if (t->ended && !had_ended)
+	tgt_set_side_down(t, down, now_us);
+	t->terminated = load->engine == SIDE_ENGINE_DOWN;
+	if (t->terminated && !had_ended)
 		fwd_target_ended(g->fwd, t);
 	g_strlcpy(t->model, load->version > 0 ? t->service->engine.model : "",
 	    sizeof(t->model));
 	t->version = (int64_t)load->version;
-	tgt_set_pace(t, load->pace_permille);
+	tgt_set_slowdown(t, load->slowdown_permille);
 }
 
 /* A version that keepers have heard of so long ago. The first was never named:
@@ -82,7 +82,7 @@
 
 	if (version <= GATEWAY_FIRST_VERSION)
 		return;
-	if (vers_told(g->named, model, (int64_t)version, heard_us))
+	if (vers_reported(g->named, model, (int64_t)version, heard_us))
 		evt(EVT_VERSION,
 		    "model=%s version=%" G_GUINT64_FORMAT
 		    " from=keeper age_ms=%" G_GUINT64_FORMAT,
@@ -116,20 +116,20 @@
 	struct tgt *t;
 
 	slice_copy(load->address, address, sizeof(address));
-	t = tgt_at(g->set, address);
+	t = tgt_by_address(g->set, address);
 	if (t == NULL)
 		return;
 	t = gateway_renew(
-	    g, t, tgt_side_born(g->set, t, (int64_t)load->born_ms));
+	    g, t, tgt_side_started(g->set, t, (int64_t)load->start_ms));
 	note_engine(g, t, load);
-	tgt_side_heard(t, (uint32_t)load->seq, now_us);
-	tgt_load(t, (unsigned int)(load->running + load->waiting), now_us);
+	tgt_side_reported(t, (uint32_t)load->seq, now_us);
+	tgt_set_load(t, (unsigned int)(load->running + load->waiting), now_us);
 	gateway_rate_load(g, t, load);
 	note_gateways(g, (unsigned int)load->gateways);
-	t->entries_near = (unsigned int)load->near;
+	t->region_gateways = (unsigned int)load->local_gateways;
 	t->slow_link = load->slow_link != 0;
-	if (t->near) {
-		g->near_gateways = (unsigned int)load->near;
+	if (t->local) {
+		g->near_gateways = (unsigned int)load->local_gateways;
 		gateway_relay_mate(g, load);
 	}
 	if (load->gateways >= ALL_AWAY_GATEWAYS &&
@@ -145,23 +145,23 @@
 {
 	struct gateway *g = ctx;
 	struct side_load load;
-	struct side_loads loads;
-	struct side_ask ask;
+	struct side_relay loads;
+	struct side_roster_request ask;
 	struct side_permit permit;
-	struct side_ends ends;
+	struct side_terminations ends;
 	struct side_rate rate;
 
 	if (msg_read(m, &side_load_desc, &load, NULL))
 		take_load(g, &load);
-	else if (msg_read(m, &side_loads_desc, &loads, NULL))
+	else if (msg_read(m, &side_relay_desc, &loads, NULL))
 		gateway_relay_take(g, &loads);
 	else if (msg_read(m, &side_permit_desc, &permit, NULL))
 		gateway_rate_permit(g, &permit);
 	else if (msg_read(m, &side_rate_desc, &rate, NULL))
 		gateway_rate_told(g, &rate);
-	else if (msg_read(m, &side_ends_desc, &ends, NULL))
+	else if (msg_read(m, &side_terminations_desc, &ends, NULL))
 		gateway_ends_take(g, &ends);
-	else if (msg_read(m, &side_ask_desc, &ask, NULL))
+	else if (msg_read(m, &side_roster_request_desc, &ask, NULL))
 		gateway_views_asked(g, from, &ask);
 	fwd_pump(g->fwd);
 }
--- a/programs/entry/gateway_rate.c
+++ b/programs/entry/gateway_rate.c
@@ -10,14 +10,15 @@
 word_of(const struct tgt *t, bool ask, int64_t now_us)
 {
 	const struct rate *r = &t->rate;
-	bool own = r->own_us != 0 && (r->own > 0 || !ask);
+	bool own = r->local_us != 0 && (r->local_limit > 0 || !ask);
 
 	return (struct side_rate){
-		.address = slice_str(t->says.address),
-		.limit_milli = rate_to_milli(own ? r->own : r->limit),
-		.own = own,
-		.ask = ask,
-		.age_ms = own ? (uint64_t)MAX(0, now_us - r->own_us) / 1000 : 0,
+		.address = slice_str(t->record.address),
+		.limit_milli = rate_to_milli(own ? r->local_limit : r->limit),
+		.direct = own,
+		.want_permit = ask,
+		.age_ms =
+		    own ? (uint64_t)MAX(0, now_us - r->local_us) / 1000 : 0,
 	};
 }
 
@@ -40,7 +41,7 @@
 {
 	struct tgt_policy *policy = tgt_set_policy(g->set);
 
-	policy->tell_rate = tell_rate;
+	policy->report_rate = tell_rate;
 	policy->rate_ctx = g;
 }
 
@@ -52,10 +53,10 @@
 	double limit = rate_of_milli(load->limit_milli);
 
 	if (load->limit_known &&
-	    rate_told(&t->rate, limit, evl_now_us(g->st.loop)))
+	    rate_side_reported(&t->rate, limit, evl_now_us(g->st.loop)))
 		evt(EVT_LIMIT,
 		    "target=%s address=%s limit=%.2f before=%.2f from=keeper",
-		    t->says.id, t->says.address, limit, before);
+		    t->record.id, t->record.address, limit, before);
 }
 
 void
@@ -66,14 +67,14 @@
 	struct tgt *t;
 
 	slice_copy(rate->address, address, sizeof(address));
-	t = tgt_at(g->set, address);
-	if (t == NULL || t->side_us != 0)
+	t = tgt_by_address(g->set, address);
+	if (t == NULL || t->side_report_us != 0)
 		return;
 	before = t->rate.limit;
-	if (rate_heard(&t->rate, limit))
+	if (rate_relayed(&t->rate, limit))
 		evt(EVT_LIMIT,
 		    "target=%s address=%s limit=%.2f before=%.2f from=keeper",
-		    t->says.id, t->says.address, limit, before);
+		    t->record.id, t->record.address, limit, before);
 }
 
 void
@@ -83,7 +84,7 @@
 	struct tgt *t;
 
 	slice_copy(permit->address, address, sizeof(address));
-	t = tgt_at(g->set, address);
+	t = tgt_by_address(g->set, address);
 	if (t == NULL)
 		return;
 	ctr_add(ctr_get(g->st.counters, "permits_got"), 1);
--- a/programs/entry/gateway_relay.c
+++ b/programs/entry/gateway_relay.c
@@ -29,9 +29,9 @@
 	struct gateway_mate *mate;
 	char address[SV_ADDRESS_MAX];
 
-	if (load->gateway.len == 0)
+	if (load->remote_gateway.len == 0)
 		return;
-	slice_copy(load->gateway, address, sizeof(address));
+	slice_copy(load->remote_gateway, address, sizeof(address));
 	mate = g_hash_table_lookup(g->mates, address);
 	if (mate == NULL) {
 		mate = g_new0(struct gateway_mate, 1);
@@ -56,7 +56,7 @@
 static void
 send_entries(struct gateway *g, GByteArray *entries)
 {
-	struct side_loads loads = { .entries = {
+	struct side_relay loads = { .entries = {
 					entries->data, entries->len } };
 	GByteArray *packed;
 	GHashTableIter iter;
@@ -64,10 +64,10 @@
 
 	if (entries->len == 0)
 		return;
-	packed = dgram_pack(g->peers, &side_loads_desc, &loads);
+	packed = dgram_pack(g->peers, &side_relay_desc, &loads);
 	g_hash_table_iter_init(&iter, g->mates);
 	while (packed != NULL && g_hash_table_iter_next(&iter, &address, NULL))
-		dgram_send_packed(g->peers, address, &side_loads_desc, packed);
+		dgram_send_packed(g->peers, address, &side_relay_desc, packed);
 	if (packed != NULL)
 		g_byte_array_unref(packed);
 	g_byte_array_set_size(entries, 0);
@@ -78,12 +78,12 @@
 {
 	struct side_relayed one = {
 		.seq = t->side_seq,
-		.total = t->seen,
-		.pace_permille = (unsigned int)(t->pace * 1000),
+		.total = t->reported,
+		.slowdown_permille = (unsigned int)(t->slowdown * 1000),
 		.slow_link = t->slow_link,
 	};
 
-	g_strlcpy(one.address, t->says.address, sizeof(one.address));
+	g_strlcpy(one.address, t->record.address, sizeof(one.address));
 	side_relayed_put(entries, &one);
 }
 
@@ -95,11 +95,11 @@
 	const struct tgt *t;
 
 	TAILQ_FOREACH (t, &service->targets, link) {
-		if (!t->near || t->side_us == 0 ||
-		    now_us - t->side_us > FRESH_US)
+		if (!t->local || t->side_report_us == 0 ||
+		    now_us - t->side_report_us > FRESH_US)
 			continue;
 		add_entry(t, entries);
-		if (entries->len == SIDE_LOADS_MAX * SIDE_RELAYED_BYTES)
+		if (entries->len == SIDE_RELAY_MAX * SIDE_RELAYED_BYTES)
 			send_entries(g, entries);
 	}
 	send_entries(g, entries);
@@ -139,7 +139,7 @@
 /* ------------------------------------------------------------------ */
 
 void
-gateway_relay_take(struct gateway *g, const struct side_loads *loads)
+gateway_relay_take(struct gateway *g, const struct side_relay *loads)
 {
 	struct side_relayed one;
 	struct tgt *t;
@@ -147,7 +147,7 @@
 
 	for (i = 0; i < side_relayed_count(loads); i++) {
 		side_relayed_get(loads, i, &one);
-		t = tgt_at(g->set, one.address);
+		t = tgt_by_address(g->set, one.address);
 		if (t != NULL)
 			tgt_relayed(t, &one, evl_now_us(g->st.loop));
 	}
--- a/programs/entry/gateway_views.c
+++ b/programs/entry/gateway_views.c
@@ -32,7 +32,7 @@
 static bool
 keeper_address(const struct tgt *t, unsigned int port, struct sockaddr_in *out)
 {
-	if (!sock_address(t->says.address, out))
+	if (!sock_address(t->record.address, out))
 		return false;
 	out->sin_port = htons((uint16_t)port);
 	return true;
@@ -79,18 +79,19 @@
 			continue;
 		memcpy(peer.ip, &at.sin_addr.s_addr, sizeof(peer.ip));
 		peer.port = at.sin_port;
-		g_strlcpy(peer.domain, t->says.domain, sizeof(peer.domain));
+		g_strlcpy(peer.domain, t->record.domain, sizeof(peer.domain));
 		g_array_append_val(peers, peer);
 	}
-	roster_set(roster_of(g, service), peers, mirror_revision(g->targets));
+	roster_set(
+	    roster_of(g, service), peers, store_cache_revision(g->targets));
 }
 
 void
 gateway_views_asked(
-    struct gateway *g, const char *from, const struct side_ask *ask)
+    struct gateway *g, const char *from, const struct side_roster_request *ask)
 {
 	GByteArray *bytes = g_byte_array_new();
-	struct side_page page;
+	struct side_roster_page page;
 	struct roster *r;
 	char model[SV_ID_MAX];
 	unsigned int i;
@@ -100,7 +101,7 @@
 	for (i = 0; r != NULL && i < roster_pages(r); i++) {
 		roster_page(r, i, bytes, &page);
 		page.model = slice_str(model);
-		if (!dgram_send(g->peers, from, &side_page_desc, &page))
+		if (!dgram_send(g->peers, from, &side_roster_page_desc, &page))
 			ctr_add(ctr_get(g->st.counters, "pages_too_large"), 1);
 	}
 	g_byte_array_unref(bytes);
@@ -187,10 +188,10 @@
 
 static void
 fill_view(
-    struct gateway *g, struct tgt_service *service, struct side_view *view)
+    struct gateway *g, struct tgt_service *service, struct side_desired *view)
 {
 	const struct sv_engine *e = &service->engine;
-	int64_t heard_us = vers_heard_us(g->named, e->model);
+	int64_t heard_us = vers_announced_us(g->named, e->model);
 	const struct sv_service *origin =
 	    origin_of(rtab_config(fwd_routes(g->fwd)));
 	int64_t now_us = evl_now_us(g->st.loop);
@@ -208,7 +209,7 @@
 	if (view->older != 0)
 		view->older_age_ms = (uint64_t)(now_us - heard_us) / 1000;
 	view->older_root = known_root(service, (int64_t)view->older);
-	view->due_ms = (uint64_t)cfg_int(g->st.cfg, "bounds.version_ms");
+	view->deadline_ms = (uint64_t)cfg_int(g->st.cfg, "bounds.version_ms");
 	if (origin != NULL) {
 		view->origin = slice_str(origin->origin);
 		view->origin_domain = slice_str(origin->domain);
@@ -216,7 +217,7 @@
 	view->chunks = e->chunks;
 	view->chunk_bytes = e->chunk_bytes;
 	view->slots = e->slots;
-	view->store_away = g->store_away;
+	view->store_down = g->store_away;
 	view->may_cut =
 	    sv_config_may_cut(rtab_config(fwd_routes(g->fwd)), service->name);
 	view->roster_revision = (uint64_t)roster.revision;
@@ -239,13 +240,13 @@
 	char to[SV_ADDRESS_MAX];
 
 	TAILQ_FOREACH (t, &service->targets, link) {
-		if (t->greeted && !(t->near ? due->near : due->far))
+		if (t->gateway_announced && !(t->local ? due->near : due->far))
 			continue;
 		if (!keeper_address(t, port, &at))
 			continue;
 		sock_text(&at, to, sizeof(to));
-		dgram_send_packed(g->peers, to, &side_view_desc, packed);
-		t->greeted = true;
+		dgram_send_packed(g->peers, to, &side_desired_desc, packed);
+		t->gateway_announced = true;
 	}
 }
 
@@ -253,13 +254,13 @@
 tell_service(
     struct gateway *g, struct tgt_service *service, const struct due *due)
 {
-	struct side_view view = { 0 };
+	struct side_desired view = { 0 };
 	GByteArray *packed;
 
 	ctr_add(ctr_get(g->st.counters, "views_told"), 1);
 	renew_roster(g, service);
 	fill_view(g, service, &view);
-	packed = dgram_pack(g->peers, &side_view_desc, &view);
+	packed = dgram_pack(g->peers, &side_desired_desc, &view);
 	if (packed == NULL) {
 		ctr_add(ctr_get(g->st.counters, "views_too_large"), 1);
 		return;
--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -99,7 +99,7 @@
 	/* The newest wanted version; and one before it that is not loaded yet
 	 * and may be whole sooner, or NULL. */
 	struct keeper_copy *newest, *older;
-	struct stg_dues dues;
+	struct stg_deadlines dues;
 	struct permits permits; /* by the engine's rate limit */
 	GHashTable *pools; /* address of another target -> keeper_pool */
 	struct sus *suspects; /* requests under which targets ended */
@@ -178,8 +178,8 @@
 
 /* keeper_views.c: what gateways say is wanted, and who else loads it */
 void keeper_take_view(
-    struct keeper *k, const char *from, const struct side_view *view);
-void keeper_take_page(struct keeper *k, const struct side_page *page);
+    struct keeper *k, const char *from, const struct side_desired *view);
+void keeper_take_page(struct keeper *k, const struct side_roster_page *page);
 
 /* keeper_rate.c: rate limits, and permits for gateways */
 void keeper_rate_open(struct keeper *k);
@@ -192,7 +192,7 @@
 
 /* keeper_ends.c: requests under which targets ended */
 void keeper_ends_open(struct keeper *k);
-void keeper_take_ends(struct keeper *k, const struct side_ends *ends);
+void keeper_take_ends(struct keeper *k, const struct side_terminations *ends);
 /* A gateway that was not heard before is told what is held. */
 void keeper_greet_ends(struct keeper *k, const char *gateway);
 void keeper_ends_tick(struct keeper *k);
--- a/programs/side/keeper_copy.c
+++ b/programs/side/keeper_copy.c
@@ -218,11 +218,11 @@
 static int64_t
 manifest_due_us(const struct keeper_copy *c)
 {
-	return stg_digests_due(&(struct stg_digests){
+	return stg_digests_read_us(&(struct stg_digests){
 	    .members = c->keeper->peers->len,
 	    .ahead = manifest_rank(c->keeper),
 	    .asked_us = c->asked_us,
-	    .rest_us = c->manifest_rest_us,
+	    .backoff_until_us = c->manifest_rest_us,
 	});
 }
 
--- a/programs/side/keeper_ends.c
+++ b/programs/side/keeper_ends.c
@@ -22,20 +22,22 @@
 send_ends(struct keeper *k, const GArray *ends, const char *to)
 {
 	GByteArray *entries = g_byte_array_new();
-	struct side_ends message;
+	struct side_terminations message;
 	guint i;
 
 	for (i = 0; i < ends->len; i++) {
-		side_end_put(entries, &g_array_index(ends, struct sus_end, i),
-		    keeper_now(k));
+		side_termination_put(entries,
+		    &g_array_index(ends, struct sus_end, i), keeper_now(k));
 		if (i + 1 < ends->len &&
-		    entries->len < SIDE_ENDS_MAX * SIDE_END_BYTES)
+		    entries->len <
+			SIDE_TERMINATIONS_MAX * SIDE_TERMINATION_BYTES)
 			continue;
 		message.entries = (struct slice){ entries->data, entries->len };
 		if (to != NULL)
-			dgram_send(k->dgram, to, &side_ends_desc, &message);
+			dgram_send(
+			    k->dgram, to, &side_terminations_desc, &message);
 		else
-			keeper_tell_all(k, &side_ends_desc, &message);
+			keeper_tell_all(k, &side_terminations_desc, &message);
 		g_byte_array_set_size(entries, 0);
 	}
 	g_byte_array_unref(entries);
@@ -93,13 +95,13 @@
 }
 
 void
-keeper_take_ends(struct keeper *k, const struct side_ends *ends)
+keeper_take_ends(struct keeper *k, const struct side_terminations *ends)
 {
 	struct sus_end end;
 	size_t i;
 
-	for (i = 0; i < side_ends_count(ends); i++) {
-		side_end_get(ends, i, keeper_now(k), &end);
+	for (i = 0; i < side_terminations_count(ends); i++) {
+		side_termination_get(ends, i, keeper_now(k), &end);
 		take_end(k, &end);
 	}
 }
--- a/programs/side/keeper_engine.c
+++ b/programs/side/keeper_engine.c
@@ -33,7 +33,7 @@
 		return;
 	k->up = false;
 	evt(EVT_ENGINE, "state=down version=%" G_GINT64_FORMAT, k->loaded);
-	permits_forget(&k->permits);
+	permits_reset(&k->permits);
 	/* It may come back without what it held; its staging place may have
 	 * lost pieces, too. */
 	k->ordered_us = 0;
@@ -66,7 +66,7 @@
 	k->refused_us = 0;
 	k->closed_us = 0;
 	k->loaded = 0;
-	permits_forget(&k->permits);
+	permits_reset(&k->permits);
 	if (k->call != NULL)
 		hfetch_cancel(k->call);
 	k->call = NULL;
@@ -80,8 +80,8 @@
 	bool same_model = strcmp(r->model, k->model) == 0;
 	int64_t loaded = same_model ? r->version : 0;
 
-	if (k->had_engine && k->engine.born_ms != 0 && r->born_ms != 0 &&
-	    k->engine.born_ms != r->born_ms)
+	if (k->had_engine && k->engine.start_ms != 0 && r->start_ms != 0 &&
+	    k->engine.start_ms != r->start_ms)
 		note_start(k);
 
 	if (!k->up || loaded != k->loaded || r->busy != k->engine.busy)
@@ -156,15 +156,15 @@
 static int64_t
 turn_of(const struct keeper *k, const struct keeper_copy *c)
 {
-	struct stg_queue q = {
-		.heard_us = c->heard_us,
-		.end_us = stg_dues_end(&k->dues, k->loaded),
-		.others_us = stg_dues_of(&k->dues, k->loaded),
+	struct stg_schedule q = {
+		.announced_us = c->heard_us,
+		.deadline_us = stg_deadlines_expiry(&k->dues, k->loaded),
+		.others_us = stg_deadlines_of(&k->dues, k->loaded),
 		.rank = own_rank(k),
 		.n = k->peers->len,
 	};
 
-	return stg_turn(&q);
+	return stg_switch_us(&q);
 }
 
 static struct stg_state
@@ -177,37 +177,37 @@
 		.busy = k->engine.busy,
 		.running = k->engine.running + k->engine.waiting,
 		.manifest = c->list != NULL,
-		.looked = c->looked,
-		.whole = c->whole,
-		.put = c->put,
+		.scanned = c->looked,
+		.complete = c->whole,
+		.staged = c->put,
 		.checked_us = c->checked_us,
 		.ordered_us = k->ordered_us,
 		.refused_us = k->refused_us,
 		.slots = k->slots,
-		.closed_us = k->closed_us,
+		.drain_us = k->closed_us,
 		.may_cut = k->may_cut,
-		.turn_us = turn_of(k, c),
+		.switch_us = turn_of(k, c),
 	};
 }
 
-static struct stg_rival
+static struct stg_overlap
 rival_of(const struct keeper *k)
 {
 	struct wts_progress p = { 0 };
 
 	if (k->newest->has_root)
 		wts_progress(k->wts, &k->newest->wts.root, &p);
-	return (struct stg_rival){
-		.older_whole = k->older->whole,
+	return (struct stg_overlap){
+		.older_complete = k->older->whole,
 		.older_left = k->older->has_root
 		    ? wts_left_at_origin(k->wts, &k->older->wts.root)
 		    : UINT64_MAX,
 		.older_total = k->older->chunks,
 		.loaded = k->loaded,
-		.older_turn_us = turn_of(k, k->older),
-		.newest_heard_us = k->newest->heard_us,
-		.older_due_us = k->older->due_us,
-		.newest_due_us = k->newest->due_us,
+		.older_switch_us = turn_of(k, k->older),
+		.newest_announced_us = k->newest->heard_us,
+		.older_deadline_us = k->older->due_us,
+		.newest_deadline_us = k->newest->due_us,
 		.have = p.have,
 		.total = p.total,
 	};
@@ -216,9 +216,9 @@
 /* What `rule` says of the older version, while one is wanted. */
 static bool
 older_goes_first(const struct keeper *k,
-    bool (*rule)(const struct stg_rival *r, int64_t now_us))
+    bool (*rule)(const struct stg_overlap *r, int64_t now_us))
 {
-	struct stg_rival rival;
+	struct stg_overlap rival;
 
 	if (k->older == NULL || k->loaded >= k->older->version)
 		return false;
@@ -264,13 +264,13 @@
 	case STG_MANIFEST:
 		keeper_learn(c);
 		break;
-	case STG_LOOK:
+	case STG_SCAN:
 		keeper_look(c);
 		break;
 	case STG_PUT:
 		keeper_put(c);
 		break;
-	case STG_CLOSE:
+	case STG_DRAIN:
 		keeper_close(c->keeper);
 		break;
 	case STG_CHECK:
@@ -281,7 +281,7 @@
 		break;
 	case STG_IDLE:
 	case STG_FETCH:
-	case STG_TURN:
+	case STG_WAIT_SWITCH:
 	case STG_LOADING:
 	case STG_DONE:
 	case STG_STEPS:
@@ -300,7 +300,7 @@
 	    keeper_now(k) < k->rest_until_us)
 		return;
 	if (k->closed_us != 0 && k->ordered_us == 0 &&
-	    keeper_now(k) - k->closed_us > STG_CLOSE_MAX_US)
+	    keeper_now(k) - k->closed_us > STG_DRAIN_MAX_US)
 		keeper_reopen(k, "no_order_accepted");
 	c = choose_copy(k);
 	/* The other one goes on being fetched meanwhile. */
--- a/programs/side/keeper_gateways.c
+++ b/programs/side/keeper_gateways.c
@@ -55,17 +55,18 @@
 }
 
 static void
-note_gateway(struct keeper *k, const char *from, const struct side_view *view)
+note_gateway(
+    struct keeper *k, const char *from, const struct side_desired *view)
 {
 	struct keeper_gateway fresh = { .start = view->start,
 		.heard_us = keeper_now(k),
-		.store_away = view->store_away != 0 };
+		.store_away = view->store_down != 0 };
 	struct keeper_gateway *known = find_gateway(k, from);
 	char region[KEEPER_NAME_MAX];
 
 	if (known != NULL) {
 		known->heard_us = keeper_now(k);
-		known->store_away = view->store_away != 0;
+		known->store_away = view->store_down != 0;
 		if (known->start != view->start)
 			greet(k, known);
 		known->start = view->start;
@@ -145,7 +146,7 @@
 		.running = k->engine.running,
 		.waiting = k->engine.waiting,
 		.slow_link = wts_is_narrow(k->wts),
-		.limit_known = k->permits.knows,
+		.limit_known = k->permits.known,
 		.limit = k->permits.limit,
 	};
 }
@@ -215,8 +216,8 @@
 	load->wanted_age_ms = age_ms(k, newest->heard_us);
 	if (newest->due_us == 0)
 		return;
-	load->older =
-	    (uint64_t)stg_dues_before(&k->dues, newest->version, &older_due_us);
+	load->older = (uint64_t)stg_deadlines_before(
+	    &k->dues, newest->version, &older_due_us);
 	if (load->older != 0)
 		load->older_age_ms = age_ms(
 		    k, older_due_us - (newest->due_us - newest->heard_us));
@@ -231,13 +232,13 @@
 	*load = (struct side_load){
 		.address = slice_str(cfg_str(k->st.cfg, "engine.address")),
 		.engine = now->engine,
-		.born_ms = (uint64_t)MAX(0, k->engine.born_ms),
+		.start_ms = (uint64_t)MAX(0, k->engine.start_ms),
 		.running = now->running,
 		.waiting = now->waiting,
 		.version = (uint64_t)now->loaded,
-		.pace_permille = (uint64_t)(k->engine.pace * 1000),
+		.slowdown_permille = (uint64_t)(k->engine.slowdown * 1000),
 		.gateways = k->gateways->len,
-		.near = keeper_near_gateways(k),
+		.local_gateways = keeper_near_gateways(k),
 		.seq = k->load_seq,
 		.slow_link = now->slow_link,
 		.limit_known = now->limit_known,
@@ -263,7 +264,7 @@
 		g = gateway_at(k, k->named_gateway);
 		if (g->near)
 			continue;
-		load->gateway = slice_str(g->address);
+		load->remote_gateway = slice_str(g->address);
 		return;
 	}
 }
@@ -342,19 +343,19 @@
 on_message(const char *from, const struct msg *m, void *ctx)
 {
 	struct keeper *k = ctx;
-	struct side_view view;
-	struct side_page page;
+	struct side_desired view;
+	struct side_roster_page page;
 	struct side_rate rate;
-	struct side_ends ends;
+	struct side_terminations ends;
 
-	if (msg_read(m, &side_view_desc, &view, NULL)) {
+	if (msg_read(m, &side_desired_desc, &view, NULL)) {
 		note_gateway(k, from, &view);
 		keeper_take_view(k, from, &view);
-	} else if (msg_read(m, &side_page_desc, &page, NULL))
+	} else if (msg_read(m, &side_roster_page_desc, &page, NULL))
 		keeper_take_page(k, &page);
 	else if (msg_read(m, &side_rate_desc, &rate, NULL))
 		keeper_take_rate(k, from, &rate);
-	else if (msg_read(m, &side_ends_desc, &ends, NULL))
+	else if (msg_read(m, &side_terminations_desc, &ends, NULL))
 		keeper_take_ends(k, &ends);
 }
 
--- a/programs/side/keeper_rate.c
+++ b/programs/side/keeper_rate.c
@@ -64,7 +64,7 @@
 give(struct keeper *k, const char *address, struct permits *p)
 {
 	struct side_permit permit = { .address = slice_str(address) };
-	char gateway[PERMIT_ENTRY_MAX];
+	char gateway[PERMIT_GATEWAY_MAX];
 
 	while (permits_next(p, gateway, keeper_now(k))) {
 		ctr_add(ctr_get(k->st.counters, "permits_given"), 1);
@@ -76,10 +76,10 @@
 keeper_take_rate(
     struct keeper *k, const char *from, const struct side_rate *rate)
 {
-	struct permit_word word = {
+	struct permit_report word = {
 		.limit = rate_of_milli(rate->limit_milli),
 		.since_us = keeper_now(k) - (int64_t)rate->age_ms * 1000,
-		.own = rate->own != 0,
+		.direct = rate->direct != 0,
 	};
 	char address[KEEPER_ADDRESS_MAX];
 	struct permits *p;
@@ -90,11 +90,11 @@
 	if (p == NULL)
 		return;
 	before = p->limit;
-	if (permits_heard(p, &word, keeper_now(k))) {
+	if (permits_reported(p, &word, keeper_now(k))) {
 		log_limit(address, p, before);
 		keeper_tell_load(k);
 	}
-	if (rate->ask)
+	if (rate->want_permit)
 		permits_ask(p, from, keeper_now(k));
 	give(k, address, p);
 }
@@ -104,7 +104,7 @@
 {
 	double before = p->limit;
 
-	if (permits_settle(p, keeper_now(k)))
+	if (permits_advance(p, keeper_now(k)))
 		log_limit(address, p, before);
 	give(k, address, p);
 }
--- a/programs/side/keeper_views.c
+++ b/programs/side/keeper_views.c
@@ -65,12 +65,12 @@
 }
 
 void
-keeper_take_page(struct keeper *k, const struct side_page *page)
+keeper_take_page(struct keeper *k, const struct side_roster_page *page)
 {
 	char model[KEEPER_NAME_MAX];
 
 	slice_copy(page->model, model, sizeof(model));
-	if (strcmp(model, k->model) != 0 || !roster_take(k->roster, page))
+	if (strcmp(model, k->model) != 0 || !roster_add_page(k->roster, page))
 		return;
 	k->lacks_us = 0;
 	take_roster(k);
@@ -78,13 +78,13 @@
 }
 
 static void
-ask_roster(
-    struct keeper *k, const char *from, const struct side_view *view, bool near)
+ask_roster(struct keeper *k, const char *from, const struct side_desired *view,
+    bool near)
 {
 	struct roster_id theirs = { (int64_t)view->roster_revision,
 		view->roster_digest, view->roster_count };
 	struct roster_id own = roster_id(k->roster);
-	struct side_ask ask = { .model = view->model };
+	struct side_roster_request ask = { .model = view->model };
 	int64_t now_us = keeper_now(k);
 
 	if (!roster_is_newer(&theirs, &own))
@@ -97,7 +97,7 @@
 	if (k->asked_us != 0 && now_us - k->asked_us < ASK_AGAIN_US)
 		return;
 	k->asked_us = now_us;
-	dgram_send(k->dgram, from, &side_ask_desc, &ask);
+	dgram_send(k->dgram, from, &side_roster_request_desc, &ask);
 }
 
 /* ------------------------------------------------------------------ */
@@ -105,7 +105,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-want(struct keeper *k, const struct side_view *view, uint64_t version,
+want(struct keeper *k, const struct side_desired *view, uint64_t version,
     uint64_t age_ms)
 {
 	struct keeper_named named = {
@@ -115,15 +115,16 @@
 		.chunk_bytes = view->chunk_bytes,
 	};
 
-	if (view->due_ms > 0)
-		named.due_us = named.heard_us + (int64_t)view->due_ms * 1000;
-	stg_dues_add(&k->dues, named.version, named.due_us);
+	if (view->deadline_ms > 0)
+		named.due_us =
+		    named.heard_us + (int64_t)view->deadline_ms * 1000;
+	stg_deadlines_add(&k->dues, named.version, named.due_us);
 	keeper_want(k, &named);
 }
 
 /* Gateways that were cut off may still tell of an older version. */
 static void
-take_version(struct keeper *k, const struct side_view *view)
+take_version(struct keeper *k, const struct side_desired *view)
 {
 	int64_t version = (int64_t)view->version;
 
@@ -142,7 +143,7 @@
 }
 
 static void
-take_model(struct keeper *k, const struct side_view *view)
+take_model(struct keeper *k, const struct side_desired *view)
 {
 	char model[KEEPER_NAME_MAX];
 
@@ -160,7 +161,7 @@
 
 void
 keeper_take_view(
-    struct keeper *k, const char *from, const struct side_view *view)
+    struct keeper *k, const char *from, const struct side_desired *view)
 {
 	char domain[KEEPER_NAME_MAX], region[KEEPER_NAME_MAX];
 
--- a/tests/adapter/test_records.c
+++ b/tests/adapter/test_records.c
@@ -62,7 +62,7 @@
 	const struct sv_config *c;
 
 	read_into(&adapter_config, text, &page);
-	assert_int_equal(page.at, 13);
+	assert_int_equal(page.revision, 13);
 	assert_false(page.more);
 	assert_int_equal(item(&page, 0)->revision, 12);
 	c = item(&page, 0)->value;
@@ -76,7 +76,7 @@
 	assert_false(c->routes[0].anonymous);
 	assert_true(c->services[0].has_engine);
 	assert_string_equal(c->services[0].engine.model, "m");
-	assert_int_equal(c->services[0].engine.read_most, 2048);
+	assert_int_equal(c->services[0].engine.prefill_step_max, 2048);
 	assert_int_equal(c->services[0].engine.chunks, 64);
 	assert_string_equal(c->services[1].origin, "1.2.3.4:5");
 	assert_string_equal(c->services[1].domain, "z");
@@ -109,7 +109,7 @@
 	assert_true(t->leaving);
 	assert_string_equal(t->model, "m");
 	assert_int_equal(t->model_version, 2);
-	assert_true(t->born_ms == INT64_C(1700000000123));
+	assert_true(t->start_ms == INT64_C(1700000000123));
 	drop(&adapter_targets, &page);
 }
 
--- a/tests/serve/test_fwd.c
+++ b/tests/serve/test_fwd.c
@@ -552,7 +552,7 @@
 {
 	world_open(2, make_config(SV_UNSAFE, 1, 2000));
 	target_say(&w.target[0], true, 0);
-	tgt_find(w.set, "i1")->says.has_models = true;
+	tgt_find(w.set, "i1")->record.has_models = true;
 	expect_answer(
 	    ask_with("GET", "/x/1", "T-Model: " MODEL "\r\n"), "503 ");
 	assert_false(target_is_called());
@@ -569,7 +569,7 @@
 	struct sv_version named = { .model = MODEL, .version = 2 };
 	int64_t due_us = now_us() + left_ms * 1000;
 
-	vers_named(w.versions, &named, false, due_us - 2 * G_USEC_PER_SEC);
+	vers_announced(w.versions, &named, false, due_us - 2 * G_USEC_PER_SEC);
 }
 
 static int
@@ -705,7 +705,7 @@
 	world_open(1, make_config(SV_STREAM, 2, 3000));
 	target_say(&w.target[0], false, 1);
 	t = tgt_find(w.set, "i0");
-	tgt_side_heard(t, 1, now_us() - 1200000);
+	tgt_side_reported(t, 1, now_us() - 1200000);
 	name_version(1500);
 	expect_answer(ask_model(), "503 ");
 	assert_false(target_is_called());
@@ -809,7 +809,7 @@
 	config->routes[0].objective_us = 1000000; /* it is not silent so soon */
 	world_open(1, config);
 	target_say(&w.target[0], false, 1);
-	tgt_find(w.set, "i0")->near = false;
+	tgt_find(w.set, "i0")->local = false;
 	name_version(900);
 	due_us = now_us() + 900000;
 	fd = ask_model();
@@ -822,7 +822,7 @@
 
 	world_open(1, make_config(SV_STREAM, 2, 3000));
 	target_say(&w.target[0], false, 1);
-	tgt_find(w.set, "i0")->near = false;
+	tgt_find(w.set, "i0")->local = false;
 	name_version(550);
 	expect_answer(ask_model(), "503 ");
 	assert_false(target_is_called());
@@ -969,7 +969,7 @@
 		if (i == 0)
 			target_say(t, true, 0);
 		else if (i == 1)
-			tgt_side(target, true, now_us());
+			tgt_set_side_down(target, true, now_us());
 		else
 			tgt_removed(w.set, t->id, false, now_us());
 		shutdown(t->fd, SHUT_RDWR);
@@ -980,7 +980,8 @@
 	expect_answer(fd, "502 ");
 	for (i = 0; i < 3; i++) {
 		target_say(&w.target[i], false, 0);
-		tgt_side(tgt_find(w.set, w.target[i].id), false, now_us());
+		tgt_set_side_down(
+		    tgt_find(w.set, w.target[i].id), false, now_us());
 		tgt_find(w.set, w.target[i].id)->failures = 0;
 	}
 	fd = ask_path("/x/1");
--- a/tests/serve/test_permit.c
+++ b/tests/serve/test_permit.c
@@ -19,9 +19,9 @@
 heard(
     struct permits *p, double limit, int64_t since_us, bool own, int64_t at_us)
 {
-	return permits_heard(p,
-	    &(struct permit_word){
-		.limit = limit, .since_us = since_us, .own = own },
+	return permits_reported(p,
+	    &(struct permit_report){
+		.limit = limit, .since_us = since_us, .direct = own },
 	    at_us);
 }
 
@@ -32,7 +32,7 @@
 static void
 test_in_the_order_of_asking(void **state)
 {
-	char entry[PERMIT_ENTRY_MAX];
+	char entry[PERMIT_GATEWAY_MAX];
 	struct permits p;
 
 	permits_init(&p);
@@ -62,7 +62,7 @@
 	permits_init(&p);
 	assert_true(heard(&p, 2, 5 * SECOND, true, 5 * SECOND));
 	assert_false(heard(&p, 0, 4 * SECOND, true, 5 * SECOND + 100 * MS));
-	assert_false(permits_settle(&p, 9 * SECOND));
+	assert_false(permits_advance(&p, 9 * SECOND));
 	/* What others heard here is no news. */
 	assert_false(heard(&p, 7, 6 * SECOND, false, 6 * SECOND));
 	assert_true(p.limit == 2);
@@ -90,13 +90,13 @@
 	permits_init(&p);
 	heard(&p, 2, SECOND, true, SECOND);
 	assert_false(heard(&p, 0, 2 * SECOND, true, 3 * SECOND));
-	assert_false(permits_settle(&p, 3 * SECOND + 400 * MS));
+	assert_false(permits_advance(&p, 3 * SECOND + 400 * MS));
 	assert_true(p.limit == 2);
 	/* It was none: the next answer names it again. */
 	assert_false(heard(&p, 2, 4 * SECOND, true, 4 * SECOND));
-	assert_false(permits_settle(&p, 20 * SECOND));
+	assert_false(permits_advance(&p, 20 * SECOND));
 	heard(&p, 0, 21 * SECOND, true, 21 * SECOND);
-	assert_true(permits_settle(&p, 24 * SECOND));
+	assert_true(permits_advance(&p, 24 * SECOND));
 	assert_true(p.limit == 0);
 	permits_clear(&p);
 }
@@ -127,7 +127,7 @@
 	int64_t asked_us;
 	double limit;
 	bool knows, ask;
-	struct permit_word word;
+	struct permit_report word;
 };
 
 struct sim_entry {
@@ -172,14 +172,14 @@
 tell(unsigned int i, bool ask)
 {
 	const struct rate *r = &s.entry[i].rate;
-	bool own = r->own_us != 0 && (r->own > 0 || !ask);
+	bool own = r->local_us != 0 && (r->local_limit > 0 || !ask);
 
 	post((struct note){ .kind = NOTE_WORD,
 		 .entry = i,
 		 .ask = ask,
-		 .word = { .limit = own ? r->own : r->limit,
-		     .own = own,
-		     .since_us = own ? r->own_us : s.now_us } },
+		 .word = { .limit = own ? r->local_limit : r->limit,
+		     .direct = own,
+		     .since_us = own ? r->local_us : s.now_us } },
 	    DELAY);
 }
 
@@ -203,7 +203,7 @@
 request(unsigned int i)
 {
 	struct sim_entry *e = &s.entry[i];
-	struct rate_share share = { .entries = s.n, .phase = e->phase };
+	struct rate_share share = { .gateways = s.n, .phase = e->phase };
 
 	if (rate_allows(&e->rate, side_is_heard(e) ? NULL : &share, s.now_us)) {
 		rate_sent(&e->rate, s.now_us);
@@ -229,18 +229,18 @@
 		s.first_us = s.now_us;
 	rate_answered(
 	    &e->rate, m->limit, m->asked_us, side_is_heard(e), s.now_us);
-	if (rate_is_news(&e->rate))
+	if (rate_needs_report(&e->rate))
 		tell(m->entry, false);
 }
 
 static void
 take_word(const struct note *m)
 {
-	char text[PERMIT_ENTRY_MAX];
+	char text[PERMIT_GATEWAY_MAX];
 
 	if (s.side_away)
 		return;
-	permits_heard(&s.permits, &m->word, s.now_us);
+	permits_reported(&s.permits, &m->word, s.now_us);
 	g_snprintf(text, sizeof(text), "%u", m->entry);
 	if (m->ask)
 		permits_ask(&s.permits, text, s.now_us);
@@ -261,7 +261,7 @@
 	case NOTE_LOAD:
 		e->load_us = s.now_us;
 		if (m->knows)
-			rate_told(&e->rate, m->limit, s.now_us);
+			rate_side_reported(&e->rate, m->limit, s.now_us);
 		break;
 	case NOTE_PERMIT:
 		rate_permit(&e->rate, s.now_us);
@@ -291,13 +291,13 @@
 static void
 side_turn(void)
 {
-	char text[PERMIT_ENTRY_MAX];
+	char text[PERMIT_GATEWAY_MAX];
 	bool told = s.now_us % LOAD < STEP;
 	unsigned int i;
 
 	if (s.side_away || s.now_us % TICK >= STEP)
 		return;
-	permits_settle(&s.permits, s.now_us);
+	permits_advance(&s.permits, s.now_us);
 	while (permits_next(&s.permits, text, s.now_us))
 		post((struct note){ .kind = NOTE_PERMIT,
 			 .entry = (unsigned int)atoi(text) },
@@ -308,7 +308,7 @@
 	for (i = 0; i < s.n; i++)
 		post((struct note){ .kind = NOTE_LOAD,
 			 .entry = i,
-			 .knows = s.permits.knows,
+			 .knows = s.permits.known,
 			 .limit = s.permits.limit },
 		    DELAY);
 }
@@ -426,7 +426,7 @@
 				s.side_away = !s.side_away;
 				break;
 			case 3:
-				permits_forget(&s.permits);
+				permits_reset(&s.permits);
 				break;
 			}
 			run_until(
--- a/tests/serve/test_rate.c
+++ b/tests/serve/test_rate.c
@@ -48,19 +48,19 @@
 {
 	struct rate r = { 0 };
 
-	assert_true(rate_told(&r, 3, SECOND));
-	assert_true(rate_told(&r, 0, 2 * SECOND));
+	assert_true(rate_side_reported(&r, 3, SECOND));
+	assert_true(rate_side_reported(&r, 0, 2 * SECOND));
 	assert_true(rate_answered(&r, 3, 0, true, 3 * SECOND));
-	assert_true(rate_is_news(&r));
-	assert_false(rate_told(&r, 0, 3 * SECOND + 100000));
+	assert_true(rate_needs_report(&r));
+	assert_false(rate_side_reported(&r, 0, 3 * SECOND + 100000));
 	assert_true(r.limit == 3);
-	assert_false(rate_told(&r, 3, 3 * SECOND + 200000));
-	assert_false(rate_is_news(&r));
+	assert_false(rate_side_reported(&r, 3, 3 * SECOND + 200000));
+	assert_false(rate_needs_report(&r));
 	/* Its own answer names none: the side is told, and lifts it. */
 	assert_false(rate_answered(&r, 0, 4 * SECOND, true, 5 * SECOND));
 	assert_true(r.limit == 3);
-	assert_true(rate_is_news(&r));
-	assert_true(rate_told(&r, 0, 6 * SECOND));
+	assert_true(rate_needs_report(&r));
+	assert_true(rate_side_reported(&r, 0, 6 * SECOND));
 }
 
 static void
@@ -70,7 +70,7 @@
 
 	assert_true(rate_allows(&r, NULL, SECOND));
 	assert_false(rate_ask(&r, SECOND)); /* no limit, no permit */
-	rate_told(&r, 1, SECOND);
+	rate_side_reported(&r, 1, SECOND);
 	assert_false(rate_allows(&r, NULL, SECOND));
 	assert_true(rate_ask(&r, SECOND));
 	assert_false(rate_ask(&r, SECOND + 100000));
@@ -90,7 +90,7 @@
 {
 	struct rate *r = g_new0(struct rate, n);
 	GArray *sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	struct rate_share share = { .entries = n };
+	struct rate_share share = { .gateways = n };
 	unsigned int most = 0, i;
 	int64_t from_us = 1000 * SECOND + (int64_t)seed * 777777;
 	int64_t now_us, end_us = from_us + 60 * SECOND;
@@ -163,12 +163,12 @@
 {
 	struct rate r = { 0 };
 
-	assert_true(rate_heard(&r, 2.0));
-	assert_false(rate_heard(&r, 2.0));
+	assert_true(rate_relayed(&r, 2.0));
+	assert_false(rate_relayed(&r, 2.0));
 	assert_true(r.limit == 2.0);
 	rate_answered(&r, 0, 100 * G_USEC_PER_SEC, false, 101 * G_USEC_PER_SEC);
 	assert_true(r.limit == 0);
-	assert_false(rate_heard(&r, 2.0));
+	assert_false(rate_relayed(&r, 2.0));
 	assert_true(r.limit == 0);
 }
 
--- a/tests/serve/test_relay.c
+++ b/tests/serve/test_relay.c
@@ -30,7 +30,7 @@
 {
 	struct side_relayed w = { .seq = seq,
 		.total = total,
-		.pace_permille = 2500,
+		.slowdown_permille = 2500,
 		.slow_link = true };
 
 	return w;
@@ -41,11 +41,11 @@
 {
 	GByteArray *entries = g_byte_array_new(), *wire = g_byte_array_new();
 	struct side_relayed in = word(UINT32_MAX, 12), out;
-	struct side_loads loads, read;
+	struct side_relay loads, read;
 	struct msg m = { 0 };
 	unsigned int i;
 
-	for (i = 0; i < SIDE_LOADS_MAX; i++) {
+	for (i = 0; i < SIDE_RELAY_MAX; i++) {
 		g_snprintf(
 		    in.address, sizeof(in.address), "10.200.3.%u:65535", i + 1);
 		assert_true(side_relayed_put(entries, &in));
@@ -53,16 +53,16 @@
 	g_strlcpy(in.address, "nowhere", sizeof(in.address));
 	assert_false(side_relayed_put(entries, &in));
 	loads.entries = (struct slice){ entries->data, entries->len };
-	msg_pack(wire, 0, &side_loads_desc, &loads);
+	msg_pack(wire, 0, &side_relay_desc, &loads);
 	assert_true(wire->len + 16 <= DGRAM_MAX);
 	assert_true(msg_open(&m, wire->data, wire->len, NULL));
-	assert_true(msg_read(&m, &side_loads_desc, &read, NULL));
-	assert_int_equal(side_relayed_count(&read), SIDE_LOADS_MAX);
+	assert_true(msg_read(&m, &side_relay_desc, &read, NULL));
+	assert_int_equal(side_relayed_count(&read), SIDE_RELAY_MAX);
 	side_relayed_get(&read, 41, &out);
 	assert_string_equal(out.address, "10.200.3.42:65535");
 	assert_int_equal(out.seq, UINT32_MAX);
 	assert_int_equal(out.total, 12);
-	assert_int_equal(out.pace_permille, 2500);
+	assert_int_equal(out.slowdown_permille, 2500);
 	assert_true(out.slow_link);
 	msg_close(&m);
 	g_byte_array_unref(wire);
@@ -77,19 +77,19 @@
 static void
 test_late_word_is_not_believed(void **state)
 {
-	struct tgt_policy policy = { .entries = 35 };
+	struct tgt_policy policy = { .gateways = 35 };
 	struct tgt_set *set = tgt_set_new("r1", &policy);
 	struct tgt *t = one_target(set);
 	struct side_relayed late = word(10, 0), fresh = word(12, 8);
 
-	tgt_side_heard(t, 11, SECOND);
-	tgt_load(t, 7, SECOND);
+	tgt_side_reported(t, 11, SECOND);
+	tgt_set_load(t, 7, SECOND);
 	assert_false(tgt_relayed(t, &late, 2 * SECOND));
-	assert_int_equal(t->seen, 7);
+	assert_int_equal(t->reported, 7);
 	assert_true(tgt_relayed(t, &fresh, 2 * SECOND));
-	assert_int_equal(t->seen, 8);
-	assert_int_equal(t->side_us, 2 * SECOND);
-	assert_true(t->pace > 2.4 && t->pace < 2.6);
+	assert_int_equal(t->reported, 8);
+	assert_int_equal(t->side_report_us, 2 * SECOND);
+	assert_true(t->slowdown > 2.4 && t->slowdown < 2.6);
 	assert_true(t->slow_link);
 	assert_false(tgt_relayed(t, &fresh, 3 * SECOND)); /* the same again */
 	tgt_set_free(set);
@@ -111,14 +111,14 @@
 static void
 test_side_must_have_spoken_itself(void **state)
 {
-	struct tgt_policy policy = { .entries = 35 };
+	struct tgt_policy policy = { .gateways = 35 };
 	struct tgt_set *set = tgt_set_new("r1", &policy);
 	struct tgt *t = one_target(set);
 	struct side_relayed w = word(5, 0);
 
 	assert_false(tgt_relayed(t, &w, SECOND));
-	assert_int_equal(t->side_us, 0);
-	assert_int_equal(t->seen_us, 0);
+	assert_int_equal(t->side_report_us, 0);
+	assert_int_equal(t->reported_us, 0);
 	tgt_set_free(set);
 }
 
@@ -127,16 +127,16 @@
 static void
 test_restarted_keeper(void **state)
 {
-	struct tgt_policy policy = { .entries = 35 };
+	struct tgt_policy policy = { .gateways = 35 };
 	struct tgt_set *set = tgt_set_new("r1", &policy);
 	struct tgt *t = one_target(set);
 	struct side_relayed w = word(2, 4);
 
-	tgt_side_heard(t, 5000, SECOND);
+	tgt_side_reported(t, 5000, SECOND);
 	assert_false(tgt_relayed(t, &w, SECOND));
-	tgt_side_heard(t, 1, 2 * SECOND);
+	tgt_side_reported(t, 1, 2 * SECOND);
 	assert_true(tgt_relayed(t, &w, 2 * SECOND));
-	assert_int_equal(t->seen, 4);
+	assert_int_equal(t->reported, 4);
 	tgt_set_free(set);
 }
 
--- a/tests/serve/test_roster.c
+++ b/tests/serve/test_roster.c
@@ -46,18 +46,18 @@
 {
 	GByteArray *bytes = g_byte_array_new();
 	GByteArray *wire = g_byte_array_new();
-	struct side_page page, read;
+	struct side_roster_page page, read;
 	struct msg m = { 0 };
 	bool done;
 
 	roster_page(from, index, bytes, &page);
 	page.model = slice_str("model");
-	msg_pack(wire, 0, &side_page_desc, &page);
+	msg_pack(wire, 0, &side_roster_page_desc, &page);
 	/* 16 bytes of proof go before it. */
 	assert_true(wire->len + 16 <= DGRAM_MAX);
 	assert_true(msg_open(&m, wire->data, wire->len, NULL));
-	assert_true(msg_read(&m, &side_page_desc, &read, NULL));
-	done = roster_take(to, &read);
+	assert_true(msg_read(&m, &side_roster_page_desc, &read, NULL));
+	done = roster_add_page(to, &read);
 	msg_close(&m);
 	g_byte_array_unref(wire);
 	g_byte_array_unref(bytes);
@@ -170,14 +170,14 @@
 test_malformed_page(void **state)
 {
 	struct roster *to = roster_new();
-	struct side_page page = {
+	struct side_roster_page page = {
 		.revision = 1, .digest = 1, .count = 1, .page = 1, .pages = 1
 	};
 
-	assert_false(roster_take(to, &page));
+	assert_false(roster_add_page(to, &page));
 	page.pages = 0;
 	page.page = 0;
-	assert_false(roster_take(to, &page));
+	assert_false(roster_add_page(to, &page));
 	assert_int_equal(roster_peers(to)->len, 0);
 	roster_free(to);
 }
--- a/tests/serve/test_share.c
+++ b/tests/serve/test_share.c
@@ -30,8 +30,8 @@
 open_fleet(struct fleet *f, uint64_t seed)
 {
 	struct tgt_policy policy = { .beyond_slots = 1,
-		.far_cost = 6,
-		.entries = ENTRIES,
+		.remote_cost = 6,
+		.gateways = ENTRIES,
 		.seed = seed };
 	size_t i;
 
@@ -51,7 +51,7 @@
 		    i / 200, i % 200);
 		snprintf(says.domain, sizeof(says.domain), "r%zu", i % REGIONS);
 		f->target[i] = tgt_put(f->set, &says, 0);
-		f->target[i]->entries_near = NEAR_ENTRIES;
+		f->target[i]->region_gateways = NEAR_ENTRIES;
 	}
 }
 
@@ -62,16 +62,16 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(f->target); i++) {
-		tgt_side_heard(f->target[i], 1, now_us);
-		tgt_load(f->target[i], SLOTS + 1 - room, now_us);
+		tgt_side_reported(f->target[i], 1, now_us);
+		tgt_set_load(f->target[i], SLOTS + 1 - room, now_us);
 	}
 }
 
 static struct tgt *
 choose(struct fleet *f, int64_t now_us)
 {
-	struct tgt_wish wish = { .random = (uint64_t)now_us };
-	enum tgt_why why;
+	struct tgt_criteria wish = { .random = (uint64_t)now_us };
+	enum tgt_reason why;
 
 	return tgt_choose(
 	    f->set, tgt_service(f->set, "engines"), &wish, now_us, &why);
@@ -94,7 +94,7 @@
 	for (i = 1; i <= WORDS; i++) {
 		say_free(&f, 1, i * SECOND);
 		t = choose(&f, i * SECOND);
-		near += t != NULL && t->near;
+		near += t != NULL && t->local;
 	}
 	assert_true(near >= WORDS * 95 / 100);
 	tgt_set_free(f.set);
@@ -120,7 +120,7 @@
 			size_t at = e < NEAR_ENTRIES ? 0 : 1;
 
 			say_free(&f[e], 0, i * SECOND);
-			tgt_load(f[e].target[at], SLOTS, i * SECOND);
+			tgt_set_load(f[e].target[at], SLOTS, i * SECOND);
 			taken += choose(&f[e], i * SECOND) != NULL;
 		}
 	}
@@ -143,7 +143,7 @@
 	for (i = 1; i <= WORDS; i++) {
 		say_free(&f, 3, i * SECOND);
 		for (at = 0; at < G_N_ELEMENTS(f.target); at += REGIONS)
-			tgt_load(f.target[at], SLOTS + 1, i * SECOND);
+			tgt_set_load(f.target[at], SLOTS + 1, i * SECOND);
 		far += choose(&f, i * SECOND) != NULL;
 	}
 	assert_true(far >= WORDS * 90 / 100);
--- a/tests/serve/test_tgt.c
+++ b/tests/serve/test_tgt.c
@@ -16,7 +16,7 @@
 set_up(void **state)
 {
 	static const struct tgt_policy policy = {
-		.beyond_slots = 1, .far_cost = 2, .entries = 3
+		.beyond_slots = 1, .remote_cost = 2, .gateways = 3
 	};
 
 	set = tgt_set_new("here", &policy);
@@ -45,9 +45,9 @@
 }
 
 static struct tgt *
-choose(int64_t now_us, bool repeatable, enum tgt_why *why)
+choose(int64_t now_us, bool repeatable, enum tgt_reason *why)
 {
-	struct tgt_wish wish = { .repeatable = repeatable };
+	struct tgt_criteria wish = { .repeatable = repeatable };
 
 	return tgt_choose(set, tgt_service(set, "s"), &wish, now_us, why);
 }
@@ -59,16 +59,16 @@
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
 	struct tgt_policy *p = tgt_set_policy(set);
-	enum tgt_why why;
+	enum tgt_reason why;
 
 	tgt_sent(t, 0);
 	assert_true(tgt_estimate(t, p, 0) == 3); /* three gateways alike */
-	p->entries = 1; /* all places are this one's, none is drawn for */
-	tgt_load(t, 3, SECOND);
+	p->gateways = 1; /* all places are this one's, none is drawn for */
+	tgt_set_load(t, 3, SECOND);
 	assert_true(tgt_estimate(t, p, SECOND) == 3);
 	tgt_sent(t, SECOND);
 	assert_true(tgt_estimate(t, p, SECOND) == 4);
-	tgt_load(t, 4, SECOND);
+	tgt_set_load(t, 4, SECOND);
 	assert_ptr_equal(choose(SECOND, true, &why), t);
 	tgt_sent(t, SECOND);
 	assert_null(choose(SECOND, true, &why));
@@ -88,20 +88,20 @@
 	struct tgt_policy *p = tgt_set_policy(set);
 	unsigned int word, sum = 0, sent;
 	int64_t now_us = SECOND;
-	enum tgt_why why;
+	enum tgt_reason why;
 
 	*most = 0;
 	for (word = 0; word < words; word++, now_us += 25000) {
 		sent = 0;
 		for (p->seed = 1; p->seed <= 3; p->seed++) {
-			t->side_us = now_us;
-			tgt_load(t, taken, now_us);
+			t->side_report_us = now_us;
+			tgt_set_load(t, taken, now_us);
 			while (choose(now_us, true, &why) != NULL) {
 				tgt_sent(t, now_us);
 				sent++;
 			}
 			assert_int_equal(why, TGT_FULL);
-			while (t->mine > 0)
+			while (t->local_inflight > 0)
 				tgt_ended(t, now_us);
 		}
 		sum += sent;
@@ -143,12 +143,12 @@
 {
 	struct tgt *near = put("n", "1.1.1.1:1", "near");
 	struct tgt *far = put("f", "1.1.1.2:1", "far");
-	enum tgt_why why;
+	enum tgt_reason why;
 
-	tgt_load(near, 1, SECOND);
-	tgt_load(far, 0, SECOND);
+	tgt_set_load(near, 1, SECOND);
+	tgt_set_load(far, 0, SECOND);
 	assert_ptr_equal(choose(SECOND, true, &why), near);
-	tgt_load(near, 4, SECOND);
+	tgt_set_load(near, 4, SECOND);
 	assert_ptr_equal(choose(SECOND, true, &why), far);
 }
 
@@ -160,21 +160,21 @@
 test_rest_and_probe(void **state)
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
-	enum tgt_why why;
+	enum tgt_reason why;
 	int64_t later;
 
 	tgt_outcome(t, TGT_LOST, SECOND);
 	assert_null(choose(SECOND, true, &why));
 	assert_int_equal(why, TGT_NONE);
-	later = t->rest_until_us;
+	later = t->backoff_until_us;
 	assert_null(choose(later, false, &why)); /* first what may repeat */
 	assert_ptr_equal(choose(later, true, &why), t);
 	tgt_sent(t, later);
 	assert_null(choose(later, true, &why));
-	tgt_outcome(t, TGT_SILENT, later);
+	tgt_outcome(t, TGT_TIMEOUT, later);
 	tgt_ended(t, later);
-	assert_true(t->rest_until_us - later > later - SECOND);
-	later = t->rest_until_us;
+	assert_true(t->backoff_until_us - later > later - SECOND);
+	later = t->backoff_until_us;
 	tgt_sent(t, later);
 	tgt_outcome(t, TGT_ANSWERED, later);
 	tgt_ended(t, later);
@@ -199,15 +199,15 @@
 {
 	struct tgt *bad = put("a", "1.1.1.1:1", "near");
 	struct tgt *good = put("b", "1.1.1.2:1", "near");
-	enum tgt_why why;
+	enum tgt_reason why;
 	int i;
 
 	for (i = 0; i < 20; i++) {
 		tgt_outcome(bad, TGT_ERROR, SECOND);
 		tgt_outcome(good, TGT_ANSWERED, SECOND);
 	}
-	tgt_load(bad, 0, SECOND);
-	tgt_load(good, 2, SECOND);
+	tgt_set_load(bad, 0, SECOND);
+	tgt_set_load(good, 2, SECOND);
 	assert_ptr_equal(choose(SECOND, true, &why), good);
 }
 
@@ -222,11 +222,11 @@
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
 	int i;
 
-	tgt_side(t, true, SECOND);
+	tgt_set_side_down(t, true, SECOND);
 	for (i = 0; i < 10; i++)
 		tgt_outcome(t, TGT_ERROR, SECOND);
 	assert_int_equal(t->answers, 0);
-	tgt_side(t, false, 2 * SECOND);
+	tgt_set_side_down(t, false, 2 * SECOND);
 	tgt_outcome(t, TGT_ERROR, 2 * SECOND);
 	assert_int_equal(t->answers, 1);
 }
@@ -239,7 +239,7 @@
 static void
 test_lapsed_targets(void **state)
 {
-	enum tgt_why why;
+	enum tgt_reason why;
 
 	put("a", "1.1.1.1:1", "near");
 	put("b", "1.1.1.2:1", "near");
@@ -265,7 +265,7 @@
 	struct tgt *now = put("b", "1.1.1.1:1", "near");
 
 	assert_null(tgt_find(set, "a"));
-	assert_ptr_equal(tgt_at(set, "1.1.1.1:1"), now);
+	assert_ptr_equal(tgt_by_address(set, "1.1.1.1:1"), now);
 	assert_true(before->dropped);
 	tgt_unref(before);
 }
@@ -276,7 +276,7 @@
 {
 	struct sv_target says = { .slots = 4,
 		.has_models = true,
-		.born_ms = born_ms,
+		.start_ms = born_ms,
 		.model_version = version };
 
 	g_strlcpy(says.id, "a", sizeof(says.id));
@@ -300,17 +300,17 @@
 	struct tgt *now;
 
 	tgt_sent(before, 0);
-	tgt_load(before, 4, 0);
+	tgt_set_load(before, 4, 0);
 	tgt_outcome(before, TGT_LOST, 0);
 	assert_ptr_equal(put_started(1000, 3, 1), before);
 	now = put_started(2000, 0, 2);
 	assert_ptr_not_equal(now, before);
 	assert_true(before->dropped);
 	assert_int_equal(now->failures, 0);
-	assert_int_equal(now->mine, 0);
+	assert_int_equal(now->local_inflight, 0);
 	assert_int_equal(now->version, 0);
 	assert_int_equal(now->service->ntargets, 1);
-	assert_ptr_equal(tgt_at(set, "1.1.1.1:1"), now);
+	assert_ptr_equal(tgt_by_address(set, "1.1.1.1:1"), now);
 	tgt_ended(before, 3); /* the request that went to the one before */
 	tgt_unref(before);
 }
@@ -326,15 +326,15 @@
 	struct tgt *t = put_started(1000, 3, 0);
 	struct tgt *again;
 
-	assert_ptr_equal(tgt_side_born(set, t, 1000), t);
-	assert_ptr_equal(tgt_side_born(set, t, 0), t);
+	assert_ptr_equal(tgt_side_started(set, t, 1000), t);
+	assert_ptr_equal(tgt_side_started(set, t, 0), t);
 	tgt_ref(t);
-	again = tgt_side_born(set, t, 2000);
+	again = tgt_side_started(set, t, 2000);
 	assert_ptr_not_equal(again, t);
 	tgt_unref(t);
-	again->side_us = SECOND;
+	again->side_report_us = SECOND;
 	assert_ptr_equal(put_started(1000, 3, SECOND), again);
-	assert_ptr_equal(tgt_side_born(set, again, 2000), again);
+	assert_ptr_equal(tgt_side_started(set, again, 2000), again);
 	tgt_ref(again);
 	assert_ptr_not_equal(put_started(1500, 3, 9 * SECOND), again);
 	tgt_unref(again);
@@ -356,17 +356,17 @@
 	t = put("a", "1.1.1.1:1", "near");
 	tgt_put(set, &says, 0);
 	assert_ptr_equal(tgt_find(set, "a"), t);
-	assert_ptr_equal(tgt_at(set, "1.1.1.1:1"), t);
+	assert_ptr_equal(tgt_by_address(set, "1.1.1.1:1"), t);
 }
 
 static void
 test_only_loaded_versions(void **state)
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
-	struct tgt_wish wish = { .model = "m", .version = 2 };
-	enum tgt_why why;
+	struct tgt_criteria wish = { .model = "m", .version = 2 };
+	enum tgt_reason why;
 
-	t->says.has_models = true;
+	t->record.has_models = true;
 	assert_null(tgt_choose(set, tgt_service(set, "s"), &wish, 0, &why));
 	g_strlcpy(t->model, "m", sizeof(t->model));
 	t->version = 1;
@@ -376,8 +376,8 @@
 	    tgt_choose(set, tgt_service(set, "s"), &wish, 0, &why), t);
 	/* It has just come up on what is about to be past its due: all
 	 * gateways send to it at once, and the last would begin too late. */
-	tgt_side(t, true, 0);
-	tgt_side(t, false, SECOND);
+	tgt_set_side_down(t, true, 0);
+	tgt_set_side_down(t, false, SECOND);
 	wish.version_fresh = 3;
 	assert_null(
 	    tgt_choose(set, tgt_service(set, "s"), &wish, SECOND + 1, &why));
--- a/tests/serve/test_vers.c
+++ b/tests/serve/test_vers.c
@@ -17,20 +17,20 @@
 	struct sv_version named = { .model = "m", .version = 2 };
 	int64_t due_us = 8 * SECOND;
 
-	assert_int_equal(vers_least(v, "m", 0), 0);
-	assert_true(vers_named(v, &named, false, SECOND));
-	assert_false(vers_named(v, &named, false, 2 * SECOND));
+	assert_int_equal(vers_min(v, "m", 0), 0);
+	assert_true(vers_announced(v, &named, false, SECOND));
+	assert_false(vers_announced(v, &named, false, 2 * SECOND));
 	named.version = 5;
-	assert_true(vers_named(v, &named, false, 3 * SECOND));
-	assert_int_equal(vers_least(v, "m", SECOND + due_us - 1), 0);
-	assert_int_equal(vers_least(v, "m", SECOND + due_us), 2);
-	assert_int_equal(vers_least(v, "m", 3 * SECOND + due_us), 5);
+	assert_true(vers_announced(v, &named, false, 3 * SECOND));
+	assert_int_equal(vers_min(v, "m", SECOND + due_us - 1), 0);
+	assert_int_equal(vers_min(v, "m", SECOND + due_us), 2);
+	assert_int_equal(vers_min(v, "m", 3 * SECOND + due_us), 5);
 	assert_int_equal(vers_newest(v, "m"), 5);
-	assert_int_equal(vers_end_us(v, "m", 1), SECOND + due_us);
-	assert_int_equal(vers_end_us(v, "m", 2), 3 * SECOND + due_us);
-	assert_int_equal(vers_end_us(v, "m", 5), 0);
-	assert_int_equal(vers_least(v, "other", 99 * SECOND), 0);
-	assert_int_equal(vers_least(v, NULL, 99 * SECOND), 0);
+	assert_int_equal(vers_deadline_us(v, "m", 1), SECOND + due_us);
+	assert_int_equal(vers_deadline_us(v, "m", 2), 3 * SECOND + due_us);
+	assert_int_equal(vers_deadline_us(v, "m", 5), 0);
+	assert_int_equal(vers_min(v, "other", 99 * SECOND), 0);
+	assert_int_equal(vers_min(v, NULL, 99 * SECOND), 0);
 	vers_free(v);
 }
 
@@ -47,10 +47,10 @@
 	int64_t heard_us = 0;
 
 	assert_int_equal(vers_pending(v, "m", SECOND, &heard_us), 0);
-	vers_named(v, &named, false, SECOND);
+	vers_announced(v, &named, false, SECOND);
 	assert_int_equal(vers_pending(v, "m", SECOND, &heard_us), 0);
 	named.version = 3;
-	vers_named(v, &named, false, 3 * SECOND);
+	vers_announced(v, &named, false, 3 * SECOND);
 	assert_int_equal(vers_pending(v, "m", 3 * SECOND, &heard_us), 2);
 	assert_int_equal(heard_us, SECOND);
 	assert_int_equal(vers_pending(v, "m", 9 * SECOND, &heard_us), 0);
@@ -64,8 +64,8 @@
 	struct vers *v = vers_new(8 * SECOND, 0);
 	struct sv_version named = { .model = "m", .version = 2 };
 
-	assert_true(vers_named(v, &named, true, SECOND));
-	assert_int_equal(vers_least(v, "m", SECOND), 2);
+	assert_true(vers_announced(v, &named, true, SECOND));
+	assert_int_equal(vers_min(v, "m", SECOND), 2);
 	vers_free(v);
 }
 
@@ -81,10 +81,10 @@
 	struct vers *v = vers_new(8 * SECOND, 14 * SECOND);
 	struct sv_version named = { .model = "m", .version = 2 };
 
-	assert_true(vers_named(v, &named, true, 11 * SECOND));
-	assert_int_equal(vers_least(v, "m", 11 * SECOND), 0);
-	assert_int_equal(vers_least(v, "m", 14 * SECOND - 1), 0);
-	assert_int_equal(vers_least(v, "m", 14 * SECOND), 2);
+	assert_true(vers_announced(v, &named, true, 11 * SECOND));
+	assert_int_equal(vers_min(v, "m", 11 * SECOND), 0);
+	assert_int_equal(vers_min(v, "m", 14 * SECOND - 1), 0);
+	assert_int_equal(vers_min(v, "m", 14 * SECOND), 2);
 	vers_free(v);
 }
 
@@ -99,17 +99,17 @@
 	struct vers *v = vers_new(8 * SECOND, 0);
 	struct sv_version named = { .model = "m", .version = 2 };
 
-	assert_true(vers_named(v, &named, true, 12 * SECOND));
-	assert_int_equal(vers_least(v, "m", 12 * SECOND), 2);
-	assert_true(vers_told(v, "m", 2, 10 * SECOND));
-	assert_int_equal(vers_least(v, "m", 12 * SECOND), 0);
-	assert_int_equal(vers_least(v, "m", 18 * SECOND), 2);
-	assert_false(vers_told(v, "m", 2, 11 * SECOND)); /* known by now */
-	assert_int_equal(vers_least(v, "m", 18 * SECOND), 2);
+	assert_true(vers_announced(v, &named, true, 12 * SECOND));
+	assert_int_equal(vers_min(v, "m", 12 * SECOND), 2);
+	assert_true(vers_reported(v, "m", 2, 10 * SECOND));
+	assert_int_equal(vers_min(v, "m", 12 * SECOND), 0);
+	assert_int_equal(vers_min(v, "m", 18 * SECOND), 2);
+	assert_false(vers_reported(v, "m", 2, 11 * SECOND)); /* known by now */
+	assert_int_equal(vers_min(v, "m", 18 * SECOND), 2);
 	/* The store's own news have not come: its watch is silent. */
-	assert_true(vers_told(v, "m", 3, 13 * SECOND));
+	assert_true(vers_reported(v, "m", 3, 13 * SECOND));
 	assert_int_equal(vers_newest(v, "m"), 3);
-	assert_false(vers_told(v, "m", 2, 15 * SECOND));
+	assert_false(vers_reported(v, "m", 2, 15 * SECOND));
 	vers_free(v);
 }
 
@@ -125,30 +125,30 @@
 	struct vers *v = vers_new(10 * SECOND, 26 * SECOND);
 	struct sv_version named = { .model = "m", .version = 3 };
 
-	assert_true(vers_named(v, &named, true, 21 * SECOND));
-	assert_true(vers_told(v, "m", 3, 20 * SECOND));
-	assert_true(vers_told(v, "m", 2, 18 * SECOND));
-	assert_false(vers_told(v, "m", 2, 18 * SECOND));
-	assert_int_equal(vers_least(v, "m", 28 * SECOND - 1), 0);
-	assert_int_equal(vers_least(v, "m", 28 * SECOND), 2);
-	assert_int_equal(vers_least(v, "m", 30 * SECOND), 3);
-	assert_int_equal(vers_end_us(v, "m", 1), 28 * SECOND);
+	assert_true(vers_announced(v, &named, true, 21 * SECOND));
+	assert_true(vers_reported(v, "m", 3, 20 * SECOND));
+	assert_true(vers_reported(v, "m", 2, 18 * SECOND));
+	assert_false(vers_reported(v, "m", 2, 18 * SECOND));
+	assert_int_equal(vers_min(v, "m", 28 * SECOND - 1), 0);
+	assert_int_equal(vers_min(v, "m", 28 * SECOND), 2);
+	assert_int_equal(vers_min(v, "m", 30 * SECOND), 3);
+	assert_int_equal(vers_deadline_us(v, "m", 1), 28 * SECOND);
 	assert_int_equal(vers_newest(v, "m"), 3);
 	vers_free(v);
 
 	/* One that has just started is not bound before its time. */
 	v = vers_new(10 * SECOND, 29 * SECOND);
-	assert_true(vers_named(v, &named, true, 24 * SECOND));
-	assert_true(vers_told(v, "m", 3, 20 * SECOND));
-	assert_true(vers_told(v, "m", 2, 18 * SECOND));
-	assert_int_equal(vers_end_us(v, "m", 1), 29 * SECOND);
+	assert_true(vers_announced(v, &named, true, 24 * SECOND));
+	assert_true(vers_reported(v, "m", 3, 20 * SECOND));
+	assert_true(vers_reported(v, "m", 2, 18 * SECOND));
+	assert_int_equal(vers_deadline_us(v, "m", 1), 29 * SECOND);
 	vers_free(v);
 
 	/* Nothing follows from one that is due no sooner than the next. */
 	v = vers_new(10 * SECOND, 0);
-	assert_true(vers_named(v, &named, false, 20 * SECOND));
-	assert_false(vers_told(v, "m", 2, 20 * SECOND));
-	assert_int_equal(vers_end_us(v, "m", 1), 30 * SECOND);
+	assert_true(vers_announced(v, &named, false, 20 * SECOND));
+	assert_false(vers_reported(v, "m", 2, 20 * SECOND));
+	assert_int_equal(vers_deadline_us(v, "m", 1), 30 * SECOND);
 	vers_free(v);
 }
 
@@ -165,21 +165,21 @@
 	struct sv_version named = { .model = "m", .version = 2 };
 	int64_t at;
 
-	assert_true(vers_named(v, &named, false, SECOND));
+	assert_true(vers_announced(v, &named, false, SECOND));
 	named.version = 3;
-	assert_true(vers_named(v, &named, false, 10 * SECOND));
+	assert_true(vers_announced(v, &named, false, 10 * SECOND));
 	for (at = 12 * SECOND; at <= 20 * SECOND; at += SECOND)
-		vers_hold(v, 12 * SECOND, at);
-	assert_int_equal(vers_least(v, "m", 28 * SECOND - 1), 2);
-	assert_int_equal(vers_least(v, "m", 28 * SECOND), 3);
-	vers_hold(v, 12 * SECOND, 19 * SECOND); /* never back */
-	assert_int_equal(vers_least(v, "m", 28 * SECOND), 3);
+		vers_extend(v, 12 * SECOND, at);
+	assert_int_equal(vers_min(v, "m", 28 * SECOND - 1), 2);
+	assert_int_equal(vers_min(v, "m", 28 * SECOND), 3);
+	vers_extend(v, 12 * SECOND, 19 * SECOND); /* never back */
+	assert_int_equal(vers_min(v, "m", 28 * SECOND), 3);
 	vers_free(v);
 
 	v = vers_new(8 * SECOND, 14 * SECOND);
-	assert_true(vers_named(v, &named, true, 11 * SECOND));
-	vers_hold(v, 12 * SECOND, 20 * SECOND);
-	assert_int_equal(vers_least(v, "m", 14 * SECOND), 3);
+	assert_true(vers_announced(v, &named, true, 11 * SECOND));
+	vers_extend(v, 12 * SECOND, 20 * SECOND);
+	assert_int_equal(vers_min(v, "m", 14 * SECOND), 3);
 	vers_free(v);
 }
 
--- a/tests/serve/world.h
+++ b/tests/serve/world.h
@@ -202,7 +202,7 @@
 world_open(size_t ntargets, struct sv_config *config)
 {
 	static const struct tgt_policy policy = {
-		.beyond_slots = 1, .far_cost = 1, .entries = 1
+		.beyond_slots = 1, .remote_cost = 1, .gateways = 1
 	};
 	struct fwd_conf conf = { 0 };
 	struct err err = { 0 };
--- a/tests/stage/test_stage.c
+++ b/tests/stage/test_stage.c
@@ -18,8 +18,8 @@
 		.loaded = 1,
 		.running = 9,
 		.manifest = true,
-		.whole = true,
-		.put = true };
+		.complete = true,
+		.staged = true };
 }
 
 static void
@@ -29,13 +29,13 @@
 
 	assert_int_equal(stg_next(&s, 0), STG_MANIFEST);
 	s.manifest = true;
-	assert_int_equal(stg_next(&s, 0), STG_LOOK);
-	s.looked = true;
+	assert_int_equal(stg_next(&s, 0), STG_SCAN);
+	s.scanned = true;
 	assert_int_equal(stg_next(&s, 0), STG_FETCH);
-	s.whole = true;
+	s.complete = true;
 	assert_int_equal(stg_next(&s, 0), STG_PUT);
-	s.put = true;
-	s.turn_us = 100 * SECOND; /* not waited for: nothing is lost */
+	s.staged = true;
+	s.switch_us = 100 * SECOND; /* not waited for: nothing is lost */
 	assert_int_equal(stg_next(&s, SECOND), STG_CHECK);
 	s.checked_us = SECOND;
 	assert_int_equal(stg_next(&s, SECOND), STG_ORDER);
@@ -56,9 +56,9 @@
 	struct stg_state s = serving();
 
 	s.checked_us = SECOND;
-	assert_int_equal(stg_next(&s, SECOND + STG_CHECK_KEEPS_US), STG_ORDER);
+	assert_int_equal(stg_next(&s, SECOND + STG_CHECK_VALID_US), STG_ORDER);
 	assert_int_equal(
-	    stg_next(&s, SECOND + STG_CHECK_KEEPS_US + 1), STG_CHECK);
+	    stg_next(&s, SECOND + STG_CHECK_VALID_US + 1), STG_CHECK);
 }
 
 static void
@@ -66,8 +66,8 @@
 {
 	struct stg_state s = serving();
 
-	s.turn_us = 5 * SECOND;
-	assert_int_equal(stg_next(&s, 4 * SECOND), STG_TURN);
+	s.switch_us = 5 * SECOND;
+	assert_int_equal(stg_next(&s, 4 * SECOND), STG_WAIT_SWITCH);
 	assert_int_equal(stg_next(&s, 5 * SECOND), STG_CHECK);
 	s.running = 0;
 	assert_int_equal(stg_next(&s, 4 * SECOND), STG_CHECK);
@@ -86,14 +86,14 @@
 
 	s.may_cut = true;
 	s.slots = 10;
-	assert_int_equal(stg_next(&s, SECOND), STG_CLOSE);
-	s.closed_us = SECOND;
-	assert_int_equal(stg_next(&s, SECOND + 1000), STG_CLOSE);
-	assert_int_equal(stg_next(&s, SECOND + STG_CLOSE_US), STG_CHECK);
+	assert_int_equal(stg_next(&s, SECOND), STG_DRAIN);
+	s.drain_us = SECOND;
+	assert_int_equal(stg_next(&s, SECOND + 1000), STG_DRAIN);
+	assert_int_equal(stg_next(&s, SECOND + STG_DRAIN_US), STG_CHECK);
 	s.running = 2;
 	assert_int_equal(stg_next(&s, SECOND + 1000), STG_CHECK);
 	/* Nothing to cut, or nothing that may be. */
-	s.closed_us = 0;
+	s.drain_us = 0;
 	s.running = 0;
 	assert_int_equal(stg_next(&s, SECOND), STG_CHECK);
 	s.running = 9;
@@ -109,11 +109,13 @@
 	s.checked_us = SECOND;
 	s.refused_us = SECOND;
 	assert_int_equal(stg_next(&s, SECOND + 1), STG_LOADING);
-	s.checked_us = SECOND + STG_ORDER_REST_US;
-	assert_int_equal(stg_next(&s, SECOND + STG_ORDER_REST_US), STG_ORDER);
+	s.checked_us = SECOND + STG_ORDER_BACKOFF_US;
+	assert_int_equal(
+	    stg_next(&s, SECOND + STG_ORDER_BACKOFF_US), STG_ORDER);
 	s.ordered_us = SECOND;
 	assert_int_equal(stg_next(&s, 2 * SECOND), STG_LOADING);
-	assert_int_equal(stg_next(&s, SECOND + STG_ORDER_LOST_US), STG_CHECK);
+	assert_int_equal(
+	    stg_next(&s, SECOND + STG_ORDER_TIMEOUT_US), STG_CHECK);
 }
 
 static void
@@ -139,8 +141,8 @@
 
 	assert_int_equal(stg_next(&s, 0), STG_MANIFEST);
 	s.manifest = true;
-	assert_int_equal(stg_next(&s, 0), STG_LOOK);
-	s.looked = true;
+	assert_int_equal(stg_next(&s, 0), STG_SCAN);
+	s.scanned = true;
 	assert_int_equal(stg_next(&s, 0), STG_DONE);
 }
 
@@ -148,24 +150,24 @@
 static void
 test_turns_are_spread(void **state)
 {
-	struct stg_queue q = {
-		.heard_us = 10 * SECOND, .end_us = 18 * SECOND, .n = 20
+	struct stg_schedule q = {
+		.announced_us = 10 * SECOND, .deadline_us = 18 * SECOND, .n = 20
 	};
 	int64_t before = 0, turn;
 
 	for (q.rank = 0; q.rank < q.n; q.rank++) {
-		turn = stg_turn(&q);
+		turn = stg_switch_us(&q);
 		assert_true(turn > before);
 		assert_true(turn < 17.5 * SECOND);
 		before = turn;
 	}
 	q.rank = 3;
-	q.end_us = 12 * SECOND;
-	assert_int_equal(stg_turn(&q), 10 * SECOND);
-	q.end_us = 0;
-	before = stg_turn(&q);
+	q.deadline_us = 12 * SECOND;
+	assert_int_equal(stg_switch_us(&q), 10 * SECOND);
+	q.deadline_us = 0;
+	before = stg_switch_us(&q);
 	q.rank++;
-	assert_true(stg_turn(&q) > before);
+	assert_true(stg_switch_us(&q) > before);
 }
 
 /*
@@ -177,39 +179,40 @@
 static void
 test_engines_with_more_time_go_later(void **state)
 {
-	struct stg_dues dues = { 0 };
-	struct stg_queue q = { .heard_us = 24 * SECOND, .n = 20 };
+	struct stg_deadlines dues = { 0 };
+	struct stg_schedule q = { .announced_us = 24 * SECOND, .n = 20 };
 	int64_t last_of_first;
 
-	stg_dues_add(&dues, 2, 30 * SECOND);
-	stg_dues_add(&dues, 3, 34 * SECOND);
-	stg_dues_add(&dues, 3, 99 * SECOND); /* heard again: no news */
-	q.end_us = stg_dues_end(&dues, 1);
-	q.others_us = stg_dues_of(&dues, 1);
-	assert_int_equal(q.end_us, 30 * SECOND);
+	stg_deadlines_add(&dues, 2, 30 * SECOND);
+	stg_deadlines_add(&dues, 3, 34 * SECOND);
+	stg_deadlines_add(&dues, 3, 99 * SECOND); /* heard again: no news */
+	q.deadline_us = stg_deadlines_expiry(&dues, 1);
+	q.others_us = stg_deadlines_of(&dues, 1);
+	assert_int_equal(q.deadline_us, 30 * SECOND);
 	assert_int_equal(q.others_us, 0);
 	q.rank = 19;
-	last_of_first = stg_turn(&q);
+	last_of_first = stg_switch_us(&q);
 	assert_true(last_of_first < 29.5 * SECOND);
-	q.end_us = stg_dues_end(&dues, 2);
-	q.others_us = stg_dues_of(&dues, 2);
+	q.deadline_us = stg_deadlines_expiry(&dues, 2);
+	q.others_us = stg_deadlines_of(&dues, 2);
 	q.rank = 0;
-	assert_true(stg_turn(&q) > last_of_first);
+	assert_true(stg_switch_us(&q) > last_of_first);
 	q.rank = 19;
-	assert_true(stg_turn(&q) < 33.5 * SECOND);
-	assert_int_equal(stg_dues_end(&dues, 3), 0);
+	assert_true(stg_switch_us(&q) < 33.5 * SECOND);
+	assert_int_equal(stg_deadlines_expiry(&dues, 3), 0);
 }
 
 static void
 test_only_the_last_due_times_are_kept(void **state)
 {
-	struct stg_dues dues = { 0 };
+	struct stg_deadlines dues = { 0 };
 	int64_t v;
 
 	for (v = 2; v < 20; v++)
-		stg_dues_add(&dues, v, v * SECOND);
-	assert_int_equal(stg_dues_end(&dues, 1), (20 - STG_DUES_KEPT) * SECOND);
-	assert_int_equal(stg_dues_end(&dues, 18), 19 * SECOND);
+		stg_deadlines_add(&dues, v, v * SECOND);
+	assert_int_equal(
+	    stg_deadlines_expiry(&dues, 1), (20 - STG_DEADLINES_MAX) * SECOND);
+	assert_int_equal(stg_deadlines_expiry(&dues, 18), 19 * SECOND);
 }
 
 /*
@@ -222,29 +225,29 @@
 {
 	struct stg_digests d = { .asked_us = 10 * SECOND };
 
-	assert_true(stg_digests_due(&d) > 10 * SECOND + SECOND / 2);
+	assert_true(stg_digests_read_us(&d) > 10 * SECOND + SECOND / 2);
 	d.members = 204;
 	d.ahead = 3;
-	assert_int_equal(stg_digests_due(&d), 0); /* one of the few */
-	d.rest_us = 11 * SECOND; /* the origin failed it */
-	assert_int_equal(stg_digests_due(&d), 11 * SECOND);
+	assert_int_equal(stg_digests_read_us(&d), 0); /* one of the few */
+	d.backoff_until_us = 11 * SECOND; /* the origin failed it */
+	assert_int_equal(stg_digests_read_us(&d), 11 * SECOND);
 	d.ahead = 4;
-	assert_true(stg_digests_due(&d) > 10 * SECOND + SECOND / 2);
+	assert_true(stg_digests_read_us(&d) > 10 * SECOND + SECOND / 2);
 	d.ahead = 203; /* in the end all ask */
-	assert_true(stg_digests_due(&d) < 13 * SECOND);
+	assert_true(stg_digests_read_us(&d) < 13 * SECOND);
 }
 
 static void
 test_the_one_named_before(void **state)
 {
-	struct stg_dues dues = { 0 };
+	struct stg_deadlines dues = { 0 };
 	int64_t due_us = 0;
 
-	assert_int_equal(stg_dues_before(&dues, 5, &due_us), 0);
-	stg_dues_add(&dues, 3, 7 * SECOND);
-	stg_dues_add(&dues, 5, 9 * SECOND);
-	assert_int_equal(stg_dues_before(&dues, 3, &due_us), 0);
-	assert_int_equal(stg_dues_before(&dues, 5, &due_us), 3);
+	assert_int_equal(stg_deadlines_before(&dues, 5, &due_us), 0);
+	stg_deadlines_add(&dues, 3, 7 * SECOND);
+	stg_deadlines_add(&dues, 5, 9 * SECOND);
+	assert_int_equal(stg_deadlines_before(&dues, 3, &due_us), 0);
+	assert_int_equal(stg_deadlines_before(&dues, 5, &due_us), 3);
 	assert_int_equal(due_us, 7 * SECOND);
 }
 
@@ -255,10 +258,10 @@
 static void
 test_an_older_version_heard_of_together(void **state)
 {
-	struct stg_rival r = { .loaded = 1,
+	struct stg_overlap r = { .loaded = 1,
 		.older_left = 5,
-		.older_due_us = 36 * SECOND,
-		.newest_heard_us = 26 * SECOND };
+		.older_deadline_us = 36 * SECOND,
+		.newest_announced_us = 26 * SECOND };
 
 	assert_false(stg_keeps_older(26 * SECOND - 75000, 26 * SECOND));
 	assert_true(stg_keeps_older(24 * SECOND, 26 * SECOND));
@@ -267,7 +270,7 @@
 	r.older_left = 0;
 	assert_false(stg_fetches_older(&r, 26 * SECOND));
 	r.older_left = 5;
-	r.older_whole = true;
+	r.older_complete = true;
 	assert_false(stg_fetches_older(&r, 26 * SECOND));
 }
 
@@ -282,11 +285,11 @@
 test_an_overdue_version_that_is_almost_here(void **state)
 {
 	/* Of the newest not even the digests are known. */
-	struct stg_rival r = { .older_left = 5,
+	struct stg_overlap r = { .older_left = 5,
 		.older_total = 96,
-		.older_due_us = 26 * SECOND,
-		.newest_due_us = 28 * SECOND,
-		.newest_heard_us = 20 * SECOND };
+		.older_deadline_us = 26 * SECOND,
+		.newest_deadline_us = 28 * SECOND,
+		.newest_announced_us = 20 * SECOND };
 
 	assert_true(stg_fetches_older(&r, 26.5 * SECOND));
 	assert_false(stg_fetches_older(&r, 27.5 * SECOND));
@@ -304,16 +307,16 @@
 static void
 test_a_turn_before_the_newest_is_used(void **state)
 {
-	struct stg_rival r = { .older_whole = true,
+	struct stg_overlap r = { .older_complete = true,
 		.loaded = 1,
-		.older_turn_us = 25 * SECOND,
-		.older_due_us = 30 * SECOND,
-		.newest_heard_us = 24 * SECOND,
+		.older_switch_us = 25 * SECOND,
+		.older_deadline_us = 30 * SECOND,
+		.newest_announced_us = 24 * SECOND,
 		.total = 64 };
 
 	assert_false(stg_prefers_older(&r, 24 * SECOND));
 	assert_true(stg_prefers_older(&r, 25 * SECOND));
-	r.older_turn_us = 28 * SECOND;
+	r.older_switch_us = 28 * SECOND;
 	r.have = 60;
 	assert_false(stg_prefers_older(&r, 28 * SECOND));
 }
@@ -326,11 +329,11 @@
 static void
 test_the_older_version_when_the_newest_is_late(void **state)
 {
-	struct stg_rival r = { .older_whole = true,
+	struct stg_overlap r = { .older_complete = true,
 		.loaded = 1,
-		.older_turn_us = 14 * SECOND,
-		.older_due_us = 17 * SECOND,
-		.newest_heard_us = 12 * SECOND,
+		.older_switch_us = 14 * SECOND,
+		.older_deadline_us = 17 * SECOND,
+		.newest_announced_us = 12 * SECOND,
 		.have = 0,
 		.total = 64 };
 
@@ -340,7 +343,7 @@
 	assert_false(stg_prefers_older(&r, 15 * SECOND));
 	r.have = 0;
 	assert_true(stg_prefers_older(&r, 16 * SECOND));
-	r.older_whole = false;
+	r.older_complete = false;
 	assert_false(stg_prefers_older(&r, 16 * SECOND));
 }
 
@@ -348,9 +351,9 @@
 static void
 test_an_empty_engine_takes_the_older(void **state)
 {
-	struct stg_rival r = { .older_whole = true,
+	struct stg_overlap r = { .older_complete = true,
 		.loaded = 0,
-		.newest_heard_us = 10 * SECOND,
+		.newest_announced_us = 10 * SECOND,
 		.have = 0,
 		.total = 64 };
 
--- a/tests/store/test_store.c
+++ b/tests/store/test_store.c
@@ -36,7 +36,7 @@
 		return err_set(
 		    err, ERR_INVALID, VERDICT_MAY_HAVE_RUN, "no revision");
 	}
-	out->at = g_ascii_strtoll(lines[0] + 3, NULL, 10);
+	out->revision = g_ascii_strtoll(lines[0] + 3, NULL, 10);
 	out->more = strstr(lines[0], "more") != NULL;
 	for (i = 1; lines[i] != NULL && lines[i][0] != '\0'; i++) {
 		words = g_strsplit(lines[i], " ", -1);
@@ -68,7 +68,7 @@
 static struct hserver *server;
 static struct hlimits limits = { 8192, 8192, 5000000, 5000000 };
 static struct store *store;
-static struct mirror *mirror;
+static struct store_cache *store_cache;
 static struct ctr_set *counters;
 static struct hreq *call; /* that waits for the test's answer */
 static bool called, up;
@@ -130,7 +130,7 @@
 	g_string_append(seen, is_up ? "up " : "down ");
 }
 
-static const struct mirror_ops mirror_ops = {
+static const struct store_cache_ops store_cache_ops = {
 	.put = on_put,
 	.removed = on_removed,
 	.synced = on_synced,
@@ -162,7 +162,7 @@
 	    .dialect = &dialect,
 	    .counters = counters,
 	    .seed = 1,
-	    .silence_us = 1200000 });
+	    .stall_timeout_us = 1200000 });
 }
 
 static int
@@ -182,7 +182,7 @@
 	store = open_store(address);
 	seen = g_string_new(NULL);
 	called = false;
-	mirror = mirror_new(store, &kind, &mirror_ops, NULL);
+	store_cache = store_cache_new(store, &kind, &store_cache_ops, NULL);
 	return 0;
 }
 
@@ -237,7 +237,7 @@
 {
 	int64_t begun_us;
 
-	mirror_set_gather(mirror, 200000);
+	store_cache_set_batch_delay(store_cache, 200000);
 	answer("after=", 200, "at 7\na 3\n");
 	begun_us = clk_now_us(clk_system());
 	answer("watch=7", 200, "at 9\na 8\nb 9\n");
@@ -321,16 +321,16 @@
 {
 	answer("after=", 200, "at 5\na 3\n");
 	turn_until(&called);
-	assert_int_equal(store_away_us(store), 0);
+	assert_int_equal(store_down_since_us(store), 0);
 	called = false;
 	turn_until(&called); /* after one failure */
-	assert_int_equal(store_away_us(store), 0);
+	assert_int_equal(store_down_since_us(store), 0);
 	called = false;
 	turn_until(&called); /* after two */
-	assert_true(store_away_us(store) > 0);
-	assert_true(store_away_us(store) < clk_now_us(clk_system()));
+	assert_true(store_down_since_us(store) > 0);
+	assert_true(store_down_since_us(store) < clk_now_us(clk_system()));
 	answer("watch=5", 200, "at 6\nb 6\n");
-	assert_int_equal(store_away_us(store), 0);
+	assert_int_equal(store_down_since_us(store), 0);
 }
 
 /*
@@ -386,8 +386,8 @@
 	two = open_server(address, &either);
 	both = open_store(address);
 	answer_with = 503;
-	(void)mirror_new(both, &second, &mirror_ops, NULL);
-	(void)mirror_new(both, &kind, &mirror_ops, NULL);
+	(void)store_cache_new(both, &second, &store_cache_ops, NULL);
+	(void)store_cache_new(both, &kind, &store_cache_ops, NULL);
 	turn_ms(1500);
 	assert_true(asked_of[0] + asked_of[1] >= 4);
 	assert_in_range(MIN(asked_of[0], asked_of[1]), 1, 2);
