--- a/lib/serve/records.c
+++ b/lib/serve/records.c
@@ -1,4 +1,4 @@
-/* Typed records: making and freeing. */
+/* Typed records: lookup and freeing. */
 
 #include <string.h>
 
@@ -55,7 +55,7 @@
 }
 
 static bool
-leads_to(const struct sv_route *route, const char *service)
+uses_service(const struct sv_route *route, const char *service)
 {
 	size_t i;
 
@@ -74,7 +74,7 @@
 
 	for (i = 0; i < c->nroutes; i++) {
 		route = &c->routes[i];
-		if (!leads_to(route, service))
+		if (!uses_service(route, service))
 			continue;
 		if (route->kind != SV_STREAM || !route->resumable ||
 		    route->attempts < 2)
--- a/lib/serve/roster.c
+++ b/lib/serve/roster.c
@@ -1,30 +1,30 @@
-/* Rosters: their identity, pages, and how pages become a roster again. */
+/* Rosters: identity, division into pages, and reassembly. */
 
 #include <string.h>
 
 #include "serve/roster.h"
 
-/* Index of a domain in a page's names that says: not among them. */
+/* Index of a peer whose domain is not among the page's names. */
 #define NO_DOMAIN UINT8_MAX
 
-/* Pages of one roster, as they come in. */
-struct intake {
+/* Pages received of one roster. */
+struct reassembly {
 	struct roster_id id;
-	GPtrArray *pages; /* GArray of struct roster_peer; NULL: not here yet */
-	guint left;
+	GPtrArray *pages; /* GArray of struct roster_peer; NULL: missing */
+	guint missing;
 };
 
 struct roster {
 	struct roster_id id;
 	GArray *peers;
-	struct intake intake;
+	struct reassembly reassembly;
 };
 
 static void
-intake_clear(struct intake *in)
+reassembly_clear(struct reassembly *in)
 {
 	g_clear_pointer(&in->pages, g_ptr_array_unref);
-	in->left = 0;
+	in->missing = 0;
 }
 
 struct roster *
@@ -41,7 +41,7 @@
 {
 	if (r == NULL)
 		return;
-	intake_clear(&r->intake);
+	reassembly_clear(&r->reassembly);
 	g_array_unref(r->peers);
 	g_free(r);
 }
@@ -116,7 +116,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Pages out                                                           */
+/* Division into pages                                                 */
 /* ------------------------------------------------------------------ */
 
 unsigned int
@@ -125,7 +125,7 @@
 	return (r->peers->len + SIDE_PAGE_PEERS - 1) / SIDE_PAGE_PEERS;
 }
 
-/* Place of `domain` among a page's names, added where there is room. */
+/* Index of `domain` among a page's names; appends it if there is room. */
 static uint8_t
 domain_index(GString *names, const char *domain)
 {
@@ -181,7 +181,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Pages in                                                            */
+/* Reassembly                                                          */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -192,13 +192,13 @@
 }
 
 static void
-begin_intake(struct intake *in, const struct roster_id *id, guint pages)
+reassembly_begin(struct reassembly *in, const struct roster_id *id, guint pages)
 {
-	intake_clear(in);
+	reassembly_clear(in);
 	in->id = *id;
 	in->pages = g_ptr_array_new_with_free_func(free_page);
 	g_ptr_array_set_size(in->pages, (gint)pages);
-	in->left = pages;
+	in->missing = pages;
 }
 
 static bool
@@ -234,9 +234,9 @@
 }
 
 static void
-complete(struct roster *r)
+replace_roster(struct roster *r)
 {
-	struct intake *in = &r->intake;
+	struct reassembly *in = &r->reassembly;
 	GArray *peers = g_array_new(FALSE, TRUE, sizeof(struct roster_peer));
 	const GArray *page;
 	guint i;
@@ -248,7 +248,7 @@
 	g_array_unref(r->peers);
 	r->peers = peers;
 	r->id = in->id;
-	intake_clear(in);
+	reassembly_clear(in);
 }
 
 bool
@@ -256,23 +256,23 @@
 {
 	struct roster_id id = { (int64_t)page->revision, page->digest,
 		page->count };
-	struct intake *in = &r->intake;
+	struct reassembly *in = &r->reassembly;
 
 	if (page->page >= page->pages || !roster_is_newer(&id, &r->id))
 		return false;
 	if (in->pages == NULL || !is_same(&in->id, &id) ||
 	    in->pages->len != page->pages) {
-		/* Pages of an older one may still be on their way. */
+		/* Pages of an older roster may still arrive. */
 		if (in->pages != NULL && !roster_is_newer(&id, &in->id))
 			return false;
-		begin_intake(in, &id, (guint)page->pages);
+		reassembly_begin(in, &id, (guint)page->pages);
 	}
 	if (in->pages->pdata[page->page] != NULL)
 		return false;
 	in->pages->pdata[page->page] = read_page(page);
-	in->left--;
-	if (in->left > 0)
+	in->missing--;
+	if (in->missing > 0)
 		return false;
-	complete(r);
+	replace_roster(r);
 	return true;
 }
--- a/lib/serve/roster.h
+++ b/lib/serve/roster.h
@@ -2,14 +2,16 @@
 #define SERVE_ROSTER_H
 
 /*
- * roster: the keepers of one model, as gateways learn them from the store and
- * keepers from gateways. A view only names the newest roster; a keeper that
- * has an older one asks for it and gets it in pages. So a list that has not
- * changed costs nothing, and a datagram's size does not bound its length.
+ * roster: the sidecars of one model, which gateways learn from the store and
+ * sidecars from gateways. A desired state message only identifies the newest
+ * roster; a sidecar that has an older one requests it and receives it in pages.
+ * So an unchanged list costs nothing, and its length is not bounded by the size
+ * of a datagram.
  *
- * Gateways may differ while some are cut off from the store. A roster bears
- * the store's revision at which it was read: keepers only take newer ones, so
- * two gateways that disagree cannot make them go back and forth. Pure.
+ * Gateways may disagree while some are cut off from the store. A roster carries
+ * the store's revision at which it was read, and sidecars accept only newer
+ * ones, so two gateways that disagree cannot make them alternate between two
+ * rosters. Pure.
  */
 
 #include "serve/side.h"
@@ -31,16 +33,18 @@
 struct roster *roster_new(void);
 void roster_free(struct roster *r);
 struct roster_id roster_id(const struct roster *r);
-/* struct roster_peer, by address; valid until the next change. */
+/* struct roster_peer, sorted by address; valid until the next change. */
 const GArray *roster_peers(const struct roster *r);
 
-/* Takes `peers` over, in any order, as read at the store's `revision`. True
- * when they differ from before; otherwise the roster stays as it was. */
+/* Takes ownership of `peers`, in any order, as read at the store's
+ * `revision`. True if they differ from the present ones; otherwise the
+ * roster does not change. */
 bool roster_set(struct roster *r, GArray *peers, int64_t revision);
 
 /*
- * Whether `a` is to replace `b`. While the store's list comes in by pages its
- * revision stands still and the roster only grows, so the longer is newer.
+ * Whether `a` replaces `b`. While the store's list is read page by page its
+ * revision does not change and the roster only grows, so of the same revision
+ * the longer one is newer.
  */
 bool roster_is_newer(const struct roster_id *a, const struct roster_id *b);
 
@@ -49,13 +53,11 @@
 /* ------------------------------------------------------------------ */
 
 unsigned int roster_pages(const struct roster *r);
-/* Fills `out` with page `index`; its slices borrow from `bytes`. */
+/* Fills `out` with page `index`; its slices point into `bytes`. */
 void roster_page(const struct roster *r, unsigned int index, GByteArray *bytes,
     struct side_roster_page *out);
-/*
- * Takes a page in, in any order and from any gateway. True when that completed
- * a roster that is newer than what `r` held, and `r` now is that one.
- */
+/* Adds a page, in any order and from any gateway. True if that completed a
+ * roster newer than that of `r`, which it has replaced. */
 bool roster_add_page(struct roster *r, const struct side_roster_page *page);
 
 #endif
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -1,4 +1,4 @@
-/* Messages between gateways and keepers. */
+/* Messages between gateways and sidecars. */
 
 #include <arpa/inet.h>
 #include <string.h>
@@ -6,15 +6,15 @@
 #include "http/sock.h"
 #include "serve/side.h"
 
-#define TEXT_MAX 63
+#define STRING_MAX 63
 #define COUNT_MAX (1u << 20)
 #define LIMIT_MILLI_MAX UINT32_MAX
-#define PAGES_MAX 1000 /* of a roster: 120,000 keepers */
+#define PAGES_MAX 1000 /* of a roster: 120,000 sidecars */
 
-static const struct msg_field view_fields[] = {
-	MSG_FIELD(struct side_desired, region, MSG_STR, TEXT_MAX),
+static const struct msg_field desired_fields[] = {
+	MSG_FIELD(struct side_desired, region, MSG_STR, STRING_MAX),
 	MSG_FIELD(struct side_desired, start, MSG_U64, 0),
-	MSG_FIELD(struct side_desired, model, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_desired, model, MSG_STR, STRING_MAX),
 	MSG_FIELD(struct side_desired, version, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_desired, age_ms, MSG_U64, INT64_MAX / 1000),
 	MSG_FIELD(struct side_desired, deadline_ms, MSG_U64, INT64_MAX / 1000),
@@ -22,8 +22,8 @@
 	MSG_FIELD(struct side_desired, older_age_ms, MSG_U64, INT64_MAX / 1000),
 	MSG_FIELD(struct side_desired, older_root, MSG_DIGEST, 0),
 	MSG_FIELD(struct side_desired, root, MSG_DIGEST, 0),
-	MSG_FIELD(struct side_desired, origin, MSG_STR, TEXT_MAX),
-	MSG_FIELD(struct side_desired, origin_domain, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_desired, origin, MSG_STR, STRING_MAX),
+	MSG_FIELD(struct side_desired, origin_domain, MSG_STR, STRING_MAX),
 	MSG_FIELD(struct side_desired, chunks, MSG_U64, COUNT_MAX),
 	MSG_FIELD(struct side_desired, chunk_bytes, MSG_U64, COUNT_MAX),
 	MSG_FIELD(struct side_desired, slots, MSG_U64, COUNT_MAX),
@@ -34,10 +34,10 @@
 	MSG_FIELD(struct side_desired, roster_count, MSG_U64, COUNT_MAX),
 };
 const struct msg_desc side_desired_desc =
-    MSG_DESC(SIDE_DESIRED, "view", struct side_desired, view_fields);
+    MSG_DESC(SIDE_DESIRED, "view", struct side_desired, desired_fields);
 
-static const struct msg_field load_fields[] = {
-	MSG_FIELD(struct side_load, address, MSG_STR, TEXT_MAX),
+static const struct msg_field status_fields[] = {
+	MSG_FIELD(struct side_load, address, MSG_STR, STRING_MAX),
 	MSG_FIELD(struct side_load, engine, MSG_U64, SIDE_ENGINE_UP),
 	MSG_FIELD(struct side_load, start_ms, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_load, running, MSG_U64, COUNT_MAX),
@@ -53,22 +53,22 @@
 	MSG_FIELD(struct side_load, seq, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_load, older, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_load, older_age_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_load, remote_gateway, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_load, remote_gateway, MSG_STR, STRING_MAX),
 	MSG_FIELD(struct side_load, limit_known, MSG_U64, 1),
 	MSG_FIELD(struct side_load, limit_milli, MSG_U64, LIMIT_MILLI_MAX),
 	MSG_FIELD(struct side_load, slow_link, MSG_U64, 1),
 };
 const struct msg_desc side_load_desc =
-    MSG_DESC(SIDE_LOAD, "load", struct side_load, load_fields);
+    MSG_DESC(SIDE_LOAD, "load", struct side_load, status_fields);
 
-static const struct msg_field ask_fields[] = {
-	MSG_FIELD(struct side_roster_request, model, MSG_STR, TEXT_MAX),
+static const struct msg_field roster_request_fields[] = {
+	MSG_FIELD(struct side_roster_request, model, MSG_STR, STRING_MAX),
 };
-const struct msg_desc side_roster_request_desc = MSG_DESC(
-    SIDE_ROSTER_REQUEST, "ask", struct side_roster_request, ask_fields);
+const struct msg_desc side_roster_request_desc = MSG_DESC(SIDE_ROSTER_REQUEST,
+    "ask", struct side_roster_request, roster_request_fields);
 
-static const struct msg_field page_fields[] = {
-	MSG_FIELD(struct side_roster_page, model, MSG_STR, TEXT_MAX),
+static const struct msg_field roster_page_fields[] = {
+	MSG_FIELD(struct side_roster_page, model, MSG_STR, STRING_MAX),
 	MSG_FIELD(struct side_roster_page, revision, MSG_U64, INT64_MAX),
 	MSG_FIELD(struct side_roster_page, digest, MSG_U64, 0),
 	MSG_FIELD(struct side_roster_page, count, MSG_U64, COUNT_MAX),
@@ -78,18 +78,18 @@
 	MSG_FIELD(struct side_roster_page, peers, MSG_BIN,
 	    SIDE_PAGE_PEERS *SIDE_PEER_BYTES),
 };
-const struct msg_desc side_roster_page_desc =
-    MSG_DESC(SIDE_ROSTER_PAGE, "page", struct side_roster_page, page_fields);
+const struct msg_desc side_roster_page_desc = MSG_DESC(
+    SIDE_ROSTER_PAGE, "page", struct side_roster_page, roster_page_fields);
 
-static const struct msg_field loads_fields[] = {
+static const struct msg_field relay_fields[] = {
 	MSG_FIELD(struct side_relay, entries, MSG_BIN,
 	    SIDE_RELAY_MAX *SIDE_RELAYED_BYTES),
 };
 const struct msg_desc side_relay_desc =
-    MSG_DESC(SIDE_RELAY, "loads", struct side_relay, loads_fields);
+    MSG_DESC(SIDE_RELAY, "loads", struct side_relay, relay_fields);
 
 static const struct msg_field rate_fields[] = {
-	MSG_FIELD(struct side_rate, address, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_rate, address, MSG_STR, STRING_MAX),
 	MSG_FIELD(struct side_rate, limit_milli, MSG_U64, LIMIT_MILLI_MAX),
 	MSG_FIELD(struct side_rate, direct, MSG_U64, 1),
 	MSG_FIELD(struct side_rate, age_ms, MSG_U64, INT64_MAX / 1000),
@@ -99,23 +99,23 @@
     MSG_DESC(SIDE_RATE, "rate", struct side_rate, rate_fields);
 
 static const struct msg_field permit_fields[] = {
-	MSG_FIELD(struct side_permit, address, MSG_STR, TEXT_MAX),
+	MSG_FIELD(struct side_permit, address, MSG_STR, STRING_MAX),
 };
 const struct msg_desc side_permit_desc =
     MSG_DESC(SIDE_PERMIT, "permit", struct side_permit, permit_fields);
 
-static const struct msg_field ends_fields[] = {
+static const struct msg_field termination_fields[] = {
 	MSG_FIELD(struct side_terminations, entries, MSG_BIN,
 	    SIDE_TERMINATIONS_MAX *SIDE_TERMINATION_BYTES),
 };
-const struct msg_desc side_terminations_desc =
-    MSG_DESC(SIDE_TERMINATIONS, "ends", struct side_terminations, ends_fields);
+const struct msg_desc side_terminations_desc = MSG_DESC(
+    SIDE_TERMINATIONS, "ends", struct side_terminations, termination_fields);
 
 /* ------------------------------------------------------------------ */
-/* Entries of `loads`                                                  */
+/* Entries of `side_relay`                                             */
 /* ------------------------------------------------------------------ */
 
-/* An entry as it is sent. */
+/* Wire format of an entry. */
 struct wire_relayed {
 	struct in_addr ip;
 	uint16_t port;
@@ -151,20 +151,20 @@
 }
 
 size_t
-side_relayed_count(const struct side_relay *loads)
+side_relayed_count(const struct side_relay *relay)
 {
-	return loads->entries.len / SIDE_RELAYED_BYTES;
+	return relay->entries.len / SIDE_RELAYED_BYTES;
 }
 
 void
 side_relayed_get(
-    const struct side_relay *loads, size_t i, struct side_relayed *out)
+    const struct side_relay *relay, size_t i, struct side_relayed *out)
 {
 	struct wire_relayed wire;
 	struct sockaddr_in at = { .sin_family = AF_INET };
 
 	memcpy(
-	    &wire, loads->entries.data + i * SIDE_RELAYED_BYTES, sizeof(wire));
+	    &wire, relay->entries.data + i * SIDE_RELAYED_BYTES, sizeof(wire));
 	at.sin_addr = wire.ip;
 	at.sin_port = wire.port;
 	sock_text(&at, out->address, sizeof(out->address));
@@ -175,25 +175,25 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Entries of `ends`                                                   */
+/* Entries of `side_terminations`                                      */
 /* ------------------------------------------------------------------ */
 
-/* An entry as it is sent. */
-struct wire_end {
-	uint64_t content, target;
+/* Wire format of an entry. */
+struct wire_termination {
+	uint64_t fingerprint, target;
 	uint32_t age_ms;
 	uint8_t weight;
 } __attribute__((packed));
 
-G_STATIC_ASSERT(sizeof(struct wire_end) == SIDE_TERMINATION_BYTES);
+G_STATIC_ASSERT(sizeof(struct wire_termination) == SIDE_TERMINATION_BYTES);
 
 void
 side_termination_put(
     GByteArray *entries, const struct sus_end *end, int64_t now_us)
 {
 	int64_t age_ms = MAX(0, now_us - end->at_us) / 1000;
-	struct wire_end wire = {
-		.content = GUINT64_TO_BE(end->content),
+	struct wire_termination wire = {
+		.fingerprint = GUINT64_TO_BE(end->content),
 		.target = GUINT64_TO_BE(end->target),
 		.age_ms = htonl((uint32_t)MIN(age_ms, UINT32_MAX)),
 		.weight = (uint8_t)end->weight,
@@ -203,20 +203,20 @@
 }
 
 size_t
-side_terminations_count(const struct side_terminations *ends)
+side_terminations_count(const struct side_terminations *terminations)
 {
-	return ends->entries.len / SIDE_TERMINATION_BYTES;
+	return terminations->entries.len / SIDE_TERMINATION_BYTES;
 }
 
 void
-side_termination_get(const struct side_terminations *ends, size_t i,
+side_termination_get(const struct side_terminations *terminations, size_t i,
     int64_t now_us, struct sus_end *out)
 {
-	struct wire_end wire;
+	struct wire_termination wire;
 
-	memcpy(&wire, ends->entries.data + i * SIDE_TERMINATION_BYTES,
+	memcpy(&wire, terminations->entries.data + i * SIDE_TERMINATION_BYTES,
 	    sizeof(wire));
-	out->content = GUINT64_FROM_BE(wire.content);
+	out->content = GUINT64_FROM_BE(wire.fingerprint);
 	out->target = GUINT64_FROM_BE(wire.target);
 	out->at_us = now_us - (int64_t)ntohl(wire.age_ms) * 1000;
 	out->weight = MIN(wire.weight, SUS_SILENT);
--- a/lib/serve/side.h
+++ b/lib/serve/side.h
@@ -2,28 +2,29 @@
 #define SERVE_SIDE_H
 
 /*
- * side: what gateways and keepers tell each other, by datagrams. Lost ones are
- * made up for by the next.
+ * side: datagrams between gateways and sidecars. The next datagram replaces one
+ * that is lost.
  *
- * A gateway tells every keeper what should be loaded (`view`). A keeper that
- * lacks the roster named there asks for it (`ask`) and gets it (`page`).
- * Keepers tell gateways that spoke to them lately what their engine does and
- * how full it is (`load`): those of their region each change, others only what
- * decides whether requests can go there at all. How full a region's engines
- * are, its gateways tell those of other regions for all of them at once
- * (`loads`): were each keeper to tell each gateway, that would grow with the
- * square of the deployment and fill the thin links between regions.
+ * A gateway sends every sidecar its desired state, which includes the identity
+ * of the roster. A sidecar that lacks this roster requests it and gets it in
+ * pages. Sidecars send status reports on their engine and its load to the
+ * gateways that sent them something lately: to those of their region at each
+ * change, to others only what decides whether requests can go there at all. The
+ * load of a region's engines is relayed by its gateways to those of other
+ * regions, for all engines together: if each sidecar reported to each gateway,
+ * the traffic would grow with the square of the deployment and fill the narrow
+ * links between regions.
  *
- * While a target names a rate limit, gateways tell a keeper of it and ask for
- * permits (`rate`), and the keeper gives them (`permit`), one a request. It is
- * the keeper beside the target; for one without, a keeper on which the gateways
- * agree. A keeper's loads name its own engine's limit, so that all gateways hold
- * to it.
+ * While a target has a rate limit, gateways report it to a sidecar and request
+ * permits, and the sidecar grants them, one for each request. It is the sidecar
+ * beside the target or, for a target without one, a sidecar on which the
+ * gateways agree. A sidecar's status reports state its own engine's limit, so
+ * that all gateways apply it.
  *
- * When a target ends, gateways tell of the requests that were under way there
- * (`ends`), by their fingerprints, to a few keepers on which they agree for each
- * content. These count over all gateways, and tell all of them of a request that
- * is to be held, and each gateway that they have not heard before.
+ * When a target terminates, gateways report the requests that were in flight
+ * there, by their fingerprints, to a few sidecars on which they agree for each
+ * fingerprint. These count over all gateways, and notify all gateways, and each
+ * new one, of a request that is to be blocked.
  */
 
 #include "common/common.h"
@@ -40,46 +41,48 @@
 	SIDE_TERMINATIONS = 98,
 };
 
-/* Bytes of a peer in a page: IPv4, port, index of its domain. */
+/* Bytes of a peer in a page: IPv4 address, port, index of its domain. */
 #define SIDE_PEER_BYTES 7
-#define SIDE_PAGE_PEERS 120 /* what one datagram holds beside the rest */
-#define SIDE_DOMAINS_MAX 200 /* bytes of all their names */
+#define SIDE_PAGE_PEERS 120 /* fit in one datagram with the other fields */
+#define SIDE_DOMAINS_MAX 200 /* bytes of all names together */
 
 struct side_desired {
 	struct slice region; /* of the gateway */
-	uint64_t start; /* of the gateway: another number each time */
+	uint64_t start; /* of the gateway process; differs at each start */
 	struct slice model;
 	uint64_t version; /* to be loaded */
-	uint64_t age_ms; /* since its name was heard of first */
-	uint64_t
-	    deadline_ms; /* from then on, no request begins on older ones */
-	/* The one named before it, while that is not due yet; 0: none. A
-	 * keeper that has just started helps to bring it, too. */
+	uint64_t age_ms; /* since it was first announced */
+	/* Until its deadline, after which no request begins on older ones. */
+	uint64_t deadline_ms;
+	/* The version announced before it, until its deadline; 0: none. A
+	 * sidecar that has just started helps to distribute it, too. */
 	uint64_t older;
 	uint64_t older_age_ms;
 	struct digest older_root; /* or none */
-	struct digest root; /* of that version, as keepers found; or none */
+	/* Of that version, as the sidecars found it; or none. */
+	struct digest root;
 	struct slice origin; /* "ip:port", or empty */
 	struct slice origin_domain;
 	uint64_t chunks, chunk_bytes;
 	uint64_t slots; /* of an engine */
-	uint64_t may_cut; /* 1: requests that an engine cuts go on elsewhere */
+	/* 1: requests that an engine cuts continue elsewhere. */
+	uint64_t may_cut;
 	uint64_t store_down; /* 1: the store does not answer this gateway */
-	/* The keepers of the same model, as this gateway knows them. */
+	/* The sidecars of the same model, as this gateway knows them. */
 	uint64_t roster_revision, roster_digest, roster_count;
 };
 
-/* A keeper wants the roster of its model. */
+/* A sidecar requests the roster of its model. */
 struct side_roster_request {
 	struct slice model;
 };
 
-/* A part of a roster. */
+/* A page of a roster. */
 struct side_roster_page {
 	struct slice model;
-	uint64_t revision, digest, count; /* of the whole */
+	uint64_t revision, digest, count; /* of the complete roster */
 	uint64_t page, pages;
-	struct slice domains; /* names, with commas between */
+	struct slice domains; /* names, separated by commas */
 	struct slice peers;
 };
 
@@ -92,68 +95,75 @@
 struct side_load {
 	struct slice address; /* of the engine */
 	uint64_t engine; /* enum side_engine */
-	uint64_t start_ms; /* the engine's start, Unix time; 0: not told */
+	uint64_t start_ms; /* the engine's start, Unix time; 0: not known */
 	uint64_t running, waiting;
-	uint64_t version; /* of the service's model, loaded; 0: none */
-	uint64_t slowdown_permille; /* of its steps against the stated */
-	uint64_t wanted; /* the newest version that it was told of; 0: none */
-	uint64_t wanted_age_ms; /* since its name was heard of first */
-	uint64_t older; /* the one named before it, also when due; 0: none */
+	uint64_t version; /* loaded version of the service's model; 0: none */
+	/* Step time relative to the configured one; 0: not known. */
+	uint64_t slowdown_permille;
+	uint64_t wanted; /* newest version announced to it; 0: none */
+	uint64_t wanted_age_ms; /* since it was first announced */
+	/* The version announced before `wanted`, also past its deadline; 0:
+	 * none. */
+	uint64_t older;
 	uint64_t older_age_ms;
-	struct slice root; /* as read from the origin; empty: not here */
-	uint64_t gateways; /* that the keeper hears */
-	uint64_t without_store; /* of these, that the store does not answer */
-	uint64_t local_gateways; /* of these, in the keeper's region */
-	uint64_t seq; /* grows with each load while the keeper runs */
-	/* A gateway of another region, another each time, to gateways of the keeper's
-	 * region: so they come to know all that they have to tell. Empty: none. */
+	struct slice root; /* as read from the origin; empty: not read */
+	/* Number of gateways that the sidecar receives from. */
+	uint64_t gateways;
+	/* Of these, those that the store does not answer. */
+	uint64_t without_store;
+	uint64_t local_gateways; /* of these, those in the sidecar's region */
+	uint64_t seq; /* grows with each report while the sidecar runs */
+	/* Address of a gateway of a remote region, a different one in each
+	 * report to gateways of the sidecar's region, so that these learn
+	 * all gateways to which they relay. Empty: none. */
 	struct slice remote_gateway; /* "ip:port" */
 	/* The engine's rate limit, in thousandths of a request a second; 0:
-	 * none. Not known while the keeper was told nothing. */
+	 * none. Not known while no gateway has reported it. */
 	uint64_t limit_known, limit_milli;
-	uint64_t
-	    slow_link; /* 1: what comes to the keeper's host comes slowly */
+	/* 1: inbound traffic of the sidecar's host is slow. */
+	uint64_t slow_link;
 };
 
-/* A gateway tells of a target's rate limit. */
+/* A gateway reports a target's rate limit. */
 struct side_rate {
 	struct slice address; /* of the target */
-	uint64_t limit_milli; /* as in a load */
-	uint64_t direct; /* 1: an answer to it said so; 0: it heard of it */
-	uint64_t age_ms; /* since the moment for which that holds */
-	uint64_t want_permit; /* 1: it wants a permit */
+	uint64_t limit_milli; /* as in a status report */
+	uint64_t direct; /* 1: from an answer to this gateway; 0: relayed */
+	uint64_t age_ms; /* since the time as of which that holds */
+	uint64_t want_permit; /* 1: also requests a permit */
 };
 
-/* The gateway may send the target one request more. */
+/* The gateway may send the target one more request. */
 struct side_permit {
 	struct slice address; /* of the target */
 };
 
-/* How full one engine is, as its keeper told a gateway of its region. */
+/* Load of one engine, as its sidecar reported it to a gateway of its region. */
 struct side_relayed {
 	char address[24]; /* of the engine */
-	uint32_t seq; /* low bits of the load's */
+	uint32_t seq; /* low bits of the status report's */
 	unsigned int total; /* running and waiting */
 	unsigned int slowdown_permille;
 	bool slow_link;
 };
 
-/* Bytes of one of them: IPv4, port, seq, total, pace, flags; network order. */
+/* Encoded size: IPv4 address, port, seq, total, slowdown, flags; network
+ * order. */
 #define SIDE_RELAYED_BYTES 16
-#define SIDE_RELAY_MAX 65 /* what one datagram holds */
+#define SIDE_RELAY_MAX 65 /* fit in one datagram */
 
 struct side_relay {
 	struct slice entries;
 };
 
-/* Requests that were under way at targets that ended, or were cleared. */
+/* Requests that were in flight at targets that terminated, or were cleared. */
 struct side_terminations {
 	struct slice entries;
 };
 
-/* Bytes of one: content, target, age in ms, weight; network order. */
+/* Encoded size: fingerprint, target, age in ms, weight; network order. */
 #define SIDE_TERMINATION_BYTES 21
-#define SIDE_TERMINATIONS_MAX 48 /* what one datagram holds */
+#define SIDE_TERMINATIONS_MAX 48 /* fit in one datagram */
 
 extern const struct msg_desc side_desired_desc;
 extern const struct msg_desc side_load_desc;
@@ -164,17 +174,17 @@
 extern const struct msg_desc side_permit_desc;
 extern const struct msg_desc side_terminations_desc;
 
-/* Appends one entry to those of a `loads`; false: malformed address. */
+/* Appends one entry to those of a `side_relay`; false: malformed address. */
 bool side_relayed_put(GByteArray *entries, const struct side_relayed *one);
-size_t side_relayed_count(const struct side_relay *loads);
+size_t side_relayed_count(const struct side_relay *relay);
 void side_relayed_get(
-    const struct side_relay *loads, size_t i, struct side_relayed *out);
+    const struct side_relay *relay, size_t i, struct side_relayed *out);
 void side_termination_put(
     GByteArray *entries, const struct sus_end *end, int64_t now_us);
-size_t side_terminations_count(const struct side_terminations *ends);
-void side_termination_get(const struct side_terminations *ends, size_t i,
-    int64_t now_us, struct sus_end *out);
-/* Whether load `a` was told after load `b`; sequences may wrap around. */
+size_t side_terminations_count(const struct side_terminations *terminations);
+void side_termination_get(const struct side_terminations *terminations,
+    size_t i, int64_t now_us, struct sus_end *out);
+/* Whether sequence number `a` is after `b`; they may wrap around. */
 bool side_seq_after(uint32_t a, uint32_t b);
 
 #endif
--- a/lib/serve/tgt.h
+++ b/lib/serve/tgt.h
@@ -36,8 +36,8 @@
 	uint64_t prefill_tokens;
 	int64_t side_report_us; /* last report of its sidecar; 0: none */
 	uint32_t side_seq; /* of that report */
-	bool
-	    gateway_announced; /* its sidecar was sent this gateway's address */
+	/* Its sidecar was sent this gateway's address. */
+	bool gateway_announced;
 	/* Gateways in its region, as its sidecar reported; 0: not known. */
 	unsigned int region_gateways;
 	/* Last time its sidecar reported it up again; 0: not known. */
@@ -82,8 +82,8 @@
 	struct tgt_root roots[2]; /* of the last two versions, newest first */
 	struct tgt_list targets;
 	unsigned int ntargets;
-	int64_t
-	    side_report_us; /* last report of any of their sidecars; 0: none */
+	/* Last report of any of their sidecars; 0: none. */
+	int64_t side_report_us;
 	/* From the settings; 0 slots: as published by each target. */
 	bool configured; /* the settings contain this service */
 	bool has_engine;
--- a/lib/serve/vers.c
+++ b/lib/serve/vers.c
@@ -1,21 +1,21 @@
-/* Which version of the weights may serve. */
+/* Minimum versions of the weights. */
 
 #include <string.h>
 
 #include "serve/vers.h"
 
 struct vers {
-	int64_t due_us, bound_us;
+	int64_t grace_us, enforce_us;
 	GHashTable *models; /* name -> struct vers_model */
 };
 
 struct vers *
-vers_new(int64_t due_us, int64_t bound_us)
+vers_new(int64_t grace_us, int64_t enforce_us)
 {
 	struct vers *v = g_new0(struct vers, 1);
 
-	v->due_us = due_us;
-	v->bound_us = bound_us;
+	v->grace_us = grace_us;
+	v->enforce_us = enforce_us;
 	v->models =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	return v;
@@ -42,78 +42,79 @@
 }
 
 bool
-vers_announced(
-    struct vers *v, const struct sv_version *named, bool old, int64_t heard_us)
+vers_announced(struct vers *v, const struct sv_version *announced, bool old,
+    int64_t announced_us)
 {
-	struct vers_model *m = model_of(v, named->model);
+	struct vers_model *m = model_of(v, announced->model);
 	unsigned int n = m->nannounced;
 
-	if (n > 0 && m->announced[n - 1].version >= named->version)
+	if (n > 0 && m->announced[n - 1].version >= announced->version)
 		return false;
 	if (n == VERS_PENDING_MAX) {
 		memmove(&m->announced[0], &m->announced[1],
 		    (VERS_PENDING_MAX - 1) * sizeof(m->announced[0]));
 		n--;
 	}
-	m->announced[n].version = named->version;
-	m->announced[n].heard_us = heard_us;
-	m->announced[n].guessed = old;
+	m->announced[n].version = announced->version;
+	m->announced[n].announced_us = announced_us;
+	m->announced[n].estimated = old;
 	if (old)
-		m->announced[n].heard_us =
-		    MAX(heard_us, v->bound_us) - v->due_us;
+		m->announced[n].announced_us =
+		    MAX(announced_us, v->enforce_us) - v->grace_us;
 	m->nannounced = n + 1;
 	return true;
 }
 
 /*
- * A version from between those known. Whoever lists the store after two were
- * named is told only the last; what is loaded may have to end with the first.
- * One that is due no sooner than the next says nothing that this does not.
+ * Inserts a version older than the newest known one. A process that lists the
+ * store after two announcements sees only the last, but what is loaded may have
+ * to stop serving at the deadline of the first. A version whose deadline is not
+ * before the next one's adds nothing.
  */
 static bool
 insert_older(const struct vers *v, struct vers_model *m, int64_t version,
-    int64_t told_us)
+    int64_t reported_us)
 {
-	int64_t heard_us = MAX(told_us, v->bound_us - v->due_us);
+	int64_t announced_us = MAX(reported_us, v->enforce_us - v->grace_us);
 	unsigned int at = 0;
 
 	while (at < m->nannounced && m->announced[at].version < version)
 		at++;
 	if (at == m->nannounced || m->nannounced == VERS_PENDING_MAX ||
-	    heard_us >= m->announced[at].heard_us)
+	    announced_us >= m->announced[at].announced_us)
 		return false;
 	memmove(&m->announced[at + 1], &m->announced[at],
 	    (m->nannounced - at) * sizeof(m->announced[0]));
 	m->announced[at].version = version;
-	m->announced[at].heard_us = heard_us;
-	m->announced[at].guessed = false;
+	m->announced[at].announced_us = announced_us;
+	m->announced[at].estimated = false;
 	m->nannounced++;
 	return true;
 }
 
 bool
 vers_reported(
-    struct vers *v, const char *model, int64_t version, int64_t heard_us)
+    struct vers *v, const char *model, int64_t version, int64_t announced_us)
 {
-	struct sv_version named = { .version = version };
+	struct sv_version announced = { .version = version };
 	struct vers_model *m = model_of(v, model);
 	unsigned int i;
 
 	for (i = 0; i < m->nannounced; i++) {
 		if (m->announced[i].version != version)
 			continue;
-		if (!m->announced[i].guessed ||
-		    heard_us <= m->announced[i].heard_us)
+		if (!m->announced[i].estimated ||
+		    announced_us <= m->announced[i].announced_us)
 			return false;
-		m->announced[i].heard_us = heard_us;
-		m->announced[i].guessed = false;
+		m->announced[i].announced_us = announced_us;
+		m->announced[i].estimated = false;
 		return true;
 	}
 	if (m->nannounced > 0 &&
 	    m->announced[m->nannounced - 1].version > version)
-		return insert_older(v, m, version, heard_us);
-	g_strlcpy(named.model, model, sizeof(named.model));
-	return vers_announced(v, &named, false, heard_us);
+		return insert_older(v, m, version, announced_us);
+	g_strlcpy(announced.model, model, sizeof(announced.model));
+	return vers_announced(v, &announced, false, announced_us);
 }
 
 void
@@ -128,11 +129,12 @@
 	while (g_hash_table_iter_next(&iter, NULL, &model)) {
 		m = model;
 		for (i = 0; i < m->nannounced; i++) {
-			if (m->announced[i].guessed ||
-			    m->announced[i].heard_us + v->due_us <= from_us)
+			if (m->announced[i].estimated ||
+			    m->announced[i].announced_us + v->grace_us <=
+				from_us)
 				continue;
-			m->announced[i].heard_us =
-			    MAX(m->announced[i].heard_us, until_us);
+			m->announced[i].announced_us =
+			    MAX(m->announced[i].announced_us, until_us);
 		}
 	}
 }
@@ -145,8 +147,8 @@
 	int64_t least = 0;
 	unsigned int i;
 
-	for (i = 0; m != NULL && v->due_us > 0 && i < m->nannounced; i++) {
-		if (m->announced[i].heard_us + v->due_us <= at_us)
+	for (i = 0; m != NULL && v->grace_us > 0 && i < m->nannounced; i++) {
+		if (m->announced[i].announced_us + v->grace_us <= at_us)
 			least = m->announced[i].version;
 	}
 	return least;
@@ -159,9 +161,9 @@
 	    model == NULL ? NULL : g_hash_table_lookup(v->models, model);
 	unsigned int i;
 
-	for (i = 0; m != NULL && v->due_us > 0 && i < m->nannounced; i++) {
+	for (i = 0; m != NULL && v->grace_us > 0 && i < m->nannounced; i++) {
 		if (m->announced[i].version > loaded)
-			return m->announced[i].heard_us + v->due_us;
+			return m->announced[i].announced_us + v->grace_us;
 	}
 	return 0;
 }
@@ -177,8 +179,8 @@
 }
 
 int64_t
-vers_pending(
-    const struct vers *v, const char *model, int64_t now_us, int64_t *heard_us)
+vers_pending(const struct vers *v, const char *model, int64_t now_us,
+    int64_t *announced_us)
 {
 	const struct vers_model *m = g_hash_table_lookup(v->models, model);
 	unsigned int at;
@@ -186,9 +188,10 @@
 	if (m == NULL || m->nannounced < 2)
 		return 0;
 	at = m->nannounced - 2;
-	if (v->due_us > 0 && m->announced[at].heard_us + v->due_us <= now_us)
+	if (v->grace_us > 0 &&
+	    m->announced[at].announced_us + v->grace_us <= now_us)
 		return 0;
-	*heard_us = m->announced[at].heard_us;
+	*announced_us = m->announced[at].announced_us;
 	return m->announced[at].version;
 }
 
@@ -199,5 +202,5 @@
 
 	return m == NULL || m->nannounced == 0
 	    ? 0
-	    : m->announced[m->nannounced - 1].heard_us;
+	    : m->announced[m->nannounced - 1].announced_us;
 }
