--- a/lib/stage/stage.c
+++ b/lib/stage/stage.c
@@ -1,26 +1,27 @@
-/* What a keeper does next for its engine. */
+/* Next step of a sidecar for its engine. */
 
 #include <string.h>
 
 #include "stage/stage.h"
 
-/* Pieces of a version take about so long to reach all hosts: a host's link
- * carries one copy in two seconds. */
-#define SPREAD_US 3000000
-/* Before the due time the last engine has begun to change. Gateways send
- * requests to what it holds until some 0.3 s before that, so each engine is out
- * of service for the same time, however late it begins. */
-#define MARGIN_US 500000
-/* Pieces that are left take so long once they come at all. */
-#define SPREAD_LEFT_US 2300000
-/* Idle time that a change of version costs an engine: running requests end,
- * and their places stay empty meanwhile. */
-#define IDLE_WORTH_US 800000
-/* A version that was named so long before the next has most of its pieces on
- * the way when the next one comes. */
+/* Time in which a version's chunks reach all hosts: a host's link carries
+ * one copy in two seconds. */
+#define DISTRIBUTE_US 3000000
+/* The last engine begins to switch this long before the deadline. Gateways
+ * send requests to what it has loaded until some 0.3 s before the deadline,
+ * so each engine is out of service for the same time, however late it
+ * begins. */
+#define DEADLINE_MARGIN_US 500000
+/* Time for the remaining chunks once transfers make progress. */
+#define DISTRIBUTE_REST_US 2300000
+/* Idle time that a switch of version costs an engine: running requests end,
+ * and their slots stay empty meanwhile. */
+#define SWITCH_COST_US 800000
+/* Most chunks of a version announced this long before the next are in
+ * transfer when the next one is announced. */
 #define OLDER_LEAD_US 1000000
-/* Between engines, where nothing is due. */
-#define PACE_US 1000000
+/* Time between engines where there is no deadline. */
+#define SWITCH_INTERVAL_US 1000000
 
 static const char *const names[STG_STEPS] = {
 	[STG_IDLE] = "idle",
@@ -49,7 +50,7 @@
 	    step == STG_ORDER || step == STG_LOADING;
 }
 
-/* The engine has it: what is left is to hold the pieces for others. */
+/* The engine has loaded it: what remains is to store the chunks for others. */
 static enum stg_step
 next_loaded(const struct stg_state *s)
 {
@@ -59,7 +60,7 @@
 }
 
 static bool
-is_closed(const struct stg_state *s, int64_t now_us)
+is_drained(const struct stg_state *s, int64_t now_us)
 {
 	if (!s->may_cut || s->loaded == 0 || s->running == 0)
 		return true;
@@ -78,11 +79,11 @@
 		return STG_LOADING;
 	if (!s->staged)
 		return STG_PUT;
-	/* An engine that serves waits for its turn; one that holds nothing or
-	 * has nothing to do loses nothing by changing at once. */
+	/* An engine that serves waits for its scheduled time; one that has
+	 * nothing loaded or no requests loses nothing by switching at once. */
 	if (s->loaded != 0 && s->running > 0 && now_us < s->switch_us)
 		return STG_WAIT_SWITCH;
-	if (!is_closed(s, now_us))
+	if (!is_drained(s, now_us))
 		return STG_DRAIN;
 	if (s->checked_us == 0 || now_us - s->checked_us > STG_CHECK_VALID_US)
 		return STG_CHECK;
@@ -100,7 +101,8 @@
 		return next_loaded(s);
 	if (!s->manifest)
 		return STG_MANIFEST;
-	/* An engine that restarted may still have the pieces beside it. */
+	/* The staging area of an engine that restarted may still have the
+	 * chunks. */
 	if (!s->complete && !s->scanned && s->loaded == 0)
 		return STG_SCAN;
 	if (!s->complete)
@@ -109,13 +111,14 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Due times                                                           */
+/* Deadlines                                                           */
 /* ------------------------------------------------------------------ */
 
 void
-stg_deadlines_add(struct stg_deadlines *d, int64_t version, int64_t due_us)
+stg_deadlines_add(struct stg_deadlines *d, int64_t version, int64_t deadline_us)
 {
-	if (due_us == 0 || (d->n > 0 && d->at[d->n - 1].version >= version))
+	if (deadline_us == 0 ||
+	    (d->n > 0 && d->at[d->n - 1].version >= version))
 		return;
 	if (d->n == STG_DEADLINES_MAX) {
 		memmove(&d->at[0], &d->at[1],
@@ -123,7 +126,7 @@
 		d->n--;
 	}
 	d->at[d->n].version = version;
-	d->at[d->n].due_us = due_us;
+	d->at[d->n].deadline_us = deadline_us;
 	d->n++;
 }
 
@@ -134,7 +137,7 @@
 
 	for (i = 0; i < d->n; i++) {
 		if (d->at[i].version > loaded)
-			return d->at[i].due_us;
+			return d->at[i].deadline_us;
 	}
 	return 0;
 }
@@ -146,14 +149,14 @@
 
 	for (i = 0; i < d->n; i++) {
 		if (d->at[i].version == loaded)
-			return d->at[i].due_us;
+			return d->at[i].deadline_us;
 	}
 	return 0;
 }
 
 int64_t
 stg_deadlines_before(
-    const struct stg_deadlines *d, int64_t version, int64_t *due_us)
+    const struct stg_deadlines *d, int64_t version, int64_t *deadline_us)
 {
 	unsigned int i = d->n;
 
@@ -161,7 +164,7 @@
 		i--;
 	if (i == 0)
 		return 0;
-	*due_us = d->at[i - 1].due_us;
+	*deadline_us = d->at[i - 1].deadline_us;
 	return d->at[i - 1].version;
 }
 
@@ -170,17 +173,17 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * The origin takes few connections and is slow: this many keepers read a
- * version's digests there; the others wait for these to agree and take them
- * from peers, and ask the origin only when that has not come about. One that
- * does not know the others yet, as just after its start, is none of the few:
- * after a start of everything all would ask, and the origin's link be taken
- * for a second by what one of them needs to read.
+ * The origin accepts few connections and is slow: this many sidecars read a
+ * version's digests there. The others wait until these agree, take the digests
+ * from peers, and ask the origin only if that does not happen. A sidecar that
+ * does not know the others yet, as just after its start, is not one of the few:
+ * after a restart of all processes each would ask, and the origin's link would
+ * be busy for a second with what one of them needs to read.
  */
 #define DIGEST_READERS 4
 #define DIGEST_ALONE_US 700000
 #define DIGEST_STEP_US 50000
-#define DIGEST_SPREAD_US 2000000
+#define DIGEST_STAGGER_MAX_US 2000000
 
 int64_t
 stg_digests_read_us(const struct stg_digests *d)
@@ -189,7 +192,8 @@
 
 	if (d->members > 0 && d->ahead < DIGEST_READERS)
 		return d->backoff_until_us;
-	wait_us += MIN((int64_t)d->ahead * DIGEST_STEP_US, DIGEST_SPREAD_US);
+	wait_us +=
+	    MIN((int64_t)d->ahead * DIGEST_STEP_US, DIGEST_STAGGER_MAX_US);
 	return MAX(d->backoff_until_us, d->asked_us + wait_us);
 }
 
@@ -197,68 +201,68 @@
 /* Two versions                                                        */
 /* ------------------------------------------------------------------ */
 
-/* When the newest will be whole here, from its progress. */
+/* Estimated time at which the newest is complete here, from its progress. */
 static int64_t
-whole_at_us(const struct stg_overlap *r, int64_t now_us)
+complete_at_us(const struct stg_overlap *o, int64_t now_us)
 {
 	double left = 1;
 
-	if (r->total > 0)
-		left = 1 - (double)r->have / (double)r->total;
-	return MAX(r->newest_announced_us + SPREAD_US,
-	    now_us + (int64_t)(left * SPREAD_LEFT_US));
+	if (o->total > 0)
+		left = 1 - (double)o->have / (double)o->total;
+	return MAX(o->newest_announced_us + DISTRIBUTE_US,
+	    now_us + (int64_t)(left * DISTRIBUTE_REST_US));
 }
 
 bool
-stg_keeps_older(int64_t older_heard_us, int64_t newest_heard_us)
+stg_keeps_older(int64_t older_announced_us, int64_t newest_announced_us)
 {
-	return newest_heard_us - older_heard_us >= OLDER_LEAD_US;
+	return newest_announced_us - older_announced_us >= OLDER_LEAD_US;
 }
 
 bool
-stg_fetches_older(const struct stg_overlap *r, int64_t now_us)
+stg_fetches_older(const struct stg_overlap *o, int64_t now_us)
 {
 	int64_t fetch_us, serve_us;
 
-	if (r->older_complete || r->older_left == 0 ||
-	    r->older_deadline_us == 0)
+	if (o->older_complete || o->older_left == 0 ||
+	    o->older_deadline_us == 0)
 		return false;
-	if (now_us < r->older_deadline_us)
+	if (now_us < o->older_deadline_us)
 		return true;
-	if (r->older_total == 0 || r->newest_deadline_us == 0)
+	if (o->older_total == 0 || o->newest_deadline_us == 0)
 		return false;
-	fetch_us = (int64_t)((double)MIN(r->older_left, r->older_total) /
-	    (double)r->older_total * SPREAD_LEFT_US);
-	serve_us = r->newest_deadline_us - now_us - fetch_us - IDLE_WORTH_US;
+	fetch_us = (int64_t)((double)MIN(o->older_left, o->older_total) /
+	    (double)o->older_total * DISTRIBUTE_REST_US);
+	serve_us = o->newest_deadline_us - now_us - fetch_us - SWITCH_COST_US;
 	return serve_us > fetch_us;
 }
 
 bool
-stg_prefers_older(const struct stg_overlap *r, int64_t now_us)
+stg_prefers_older(const struct stg_overlap *o, int64_t now_us)
 {
-	if (!r->older_complete)
+	if (!o->older_complete)
 		return false;
-	if (r->loaded != 0 && now_us < r->older_switch_us)
+	if (o->loaded != 0 && now_us < o->older_switch_us)
 		return false;
-	return whole_at_us(r, now_us) > now_us + IDLE_WORTH_US;
+	return complete_at_us(o, now_us) > now_us + SWITCH_COST_US;
 }
 
 /* ------------------------------------------------------------------ */
-/* Turns                                                               */
+/* Switch times                                                        */
 /* ------------------------------------------------------------------ */
 
 int64_t
-stg_switch_us(const struct stg_schedule *q)
+stg_switch_us(const struct stg_schedule *s)
 {
-	int64_t from_us = q->announced_us + SPREAD_US;
+	int64_t from_us = s->announced_us + DISTRIBUTE_US;
 	int64_t span_us;
 
-	if (q->deadline_us == 0)
-		return from_us + (int64_t)q->rank * PACE_US;
-	if (q->others_us != 0)
-		from_us = MAX(from_us, q->others_us - MARGIN_US);
-	span_us = q->deadline_us - MARGIN_US - from_us;
-	if (span_us <= 0 || q->n == 0)
-		return q->announced_us;
-	return from_us + span_us * (int64_t)q->rank / (int64_t)q->n;
+	if (s->deadline_us == 0)
+		return from_us + (int64_t)s->rank * SWITCH_INTERVAL_US;
+	if (s->others_us != 0)
+		from_us = MAX(from_us, s->others_us - DEADLINE_MARGIN_US);
+	span_us = s->deadline_us - DEADLINE_MARGIN_US - from_us;
+	if (span_us <= 0 || s->n == 0)
+		return s->announced_us;
+	return from_us + span_us * (int64_t)s->rank / (int64_t)s->n;
 }
--- a/lib/stage/stage.h
+++ b/lib/stage/stage.h
@@ -2,12 +2,12 @@
 #define STAGE_H
 
 /*
- * stage: what a keeper does next for the engine beside it, so that it comes
- * to hold the wanted version whole and unspoilt. Pure: the keeper fills in
- * what it knows and carries out the step.
+ * stage: the next step of a sidecar for the engine beside it, until the engine
+ * has loaded the wanted version completely and uncorrupted. Pure: the sidecar
+ * fills in its state and carries out the step.
  *
- * An engine loads what lies in its staging place without checking it, and
- * what lies there can rot. So every piece is checked against its digest right
+ * An engine loads what is in its staging area without a check, and data there
+ * can become corrupt. So every chunk is verified against its digest immediately
  * before the order to load.
  */
 
@@ -16,153 +16,159 @@
 enum stg_step {
 	STG_IDLE, /* nothing is wanted, or the engine does not answer */
 	STG_MANIFEST, /* fetch the digests of the wanted version */
-	STG_SCAN, /* look for its pieces in the staging place */
-	STG_FETCH, /* pieces are on their way */
-	STG_PUT, /* put pieces into the staging place */
-	STG_WAIT_SWITCH, /* other engines change version first */
-	STG_DRAIN, /* gateways send it nothing more; its requests end */
-	STG_CHECK, /* read all pieces back */
+	STG_SCAN, /* look for its chunks in the staging area */
+	STG_FETCH, /* chunks are being transferred */
+	STG_PUT, /* write chunks to the staging area */
+	STG_WAIT_SWITCH, /* wait until the scheduled switch time */
+	STG_DRAIN, /* gateways send it no new requests; its current ones end */
+	STG_CHECK, /* read back and verify all chunks */
 	STG_ORDER, /* order the engine to load */
-	STG_LOADING, /* the order is being carried out */
-	STG_DONE, /* the engine holds the wanted version */
+	STG_LOADING, /* the order is in progress */
+	STG_DONE, /* the engine has loaded the wanted version */
 	STG_STEPS,
 };
 
 const char *stg_step_name(enum stg_step step);
-/* Whether an order follows within moments: the engine is kept closed. */
+/* Whether an order follows within moments: gateways send the engine nothing. */
 bool stg_leads_to_order(enum stg_step step);
 
 struct stg_state {
 	int64_t wanted; /* version; 0: none */
-	/* The engine, as it last answered. */
+	/* The engine, as of its last answer. */
 	bool up;
 	int64_t loaded; /* version; 0: none */
-	bool busy; /* with an order */
+	bool busy; /* carries out an order */
 	unsigned int running; /* requests */
-	/* The wanted version, here. */
+	/* The wanted version on this host. */
 	bool manifest;
-	bool scanned; /* the staging place was looked through for it */
-	bool complete; /* all pieces are held and checked */
-	bool staged; /* all pieces lie in the staging place, as far as known */
-	int64_t checked_us; /* all were read back and good; 0: not yet */
+	bool scanned; /* the staging area was searched for its chunks */
+	bool complete; /* all chunks are stored and verified */
+	bool staged; /* all chunks are in the staging area, as far as known */
+	/* All chunks were read back and valid; 0: not yet. */
+	int64_t checked_us;
 	int64_t ordered_us; /* an order was accepted; 0: none */
 	int64_t refused_us; /* the last order was refused; 0: no */
 	unsigned int slots; /* of the engine; 0: not known */
-	int64_t drain_us; /* gateways were told to send nothing; 0: no */
-	/* Requests that are cut go on at other engines. */
+	int64_t drain_us; /* gateways were asked to send nothing; 0: no */
+	/* Requests that are cut continue at other engines. */
 	bool may_cut;
-	/* When it may begin to change from one version to another. */
+	/* Time at which it may begin to switch between versions. */
 	int64_t switch_us;
 };
 
-/* A piece that turns bad is to be noticed within three seconds: pieces that
- * were checked longer ago are checked again. */
+/* A corrupt chunk must be detected within three seconds: chunks that were
+ * verified longer ago than this are verified again. */
 #define STG_CHECK_VALID_US 700000
-/* After a refused order, before the next. */
+/* Time from a refused order to the next. */
 #define STG_ORDER_BACKOFF_US 400000
-/* An accepted order that shows no effect for so long is given again. It waits
- * for running streams, which last six seconds at most. */
+/* An accepted order without an effect for this long is given again. The
+ * engine waits for running streams, which last six seconds at most. */
 #define STG_ORDER_TIMEOUT_US 9000000
 
 /*
- * An engine that is ordered to load once its requests have ended stands almost
- * empty while the longest of them run: 1.1 to 2.9 s, 2.0 s in the mean. Where
- * cut requests go on elsewhere, it gets no new ones first, and those that are
- * left after this time, or once only this share of its places is taken, are
- * cut. A request that goes on elsewhere costs a second reading of its prompt,
- * about as much as its place is worth in that time.
+ * An engine that is ordered to load once its requests have ended is almost
+ * empty while the longest of them run: 1.1 to 2.9 s, 2.0 s on average. Where
+ * cut requests continue elsewhere, it first gets no new ones, and those still
+ * running after this time, or once they take only this share of its slots, are
+ * cut. A request that continues elsewhere costs a second reading of its prompt,
+ * about as much as its slot is worth in that time.
  */
 #define STG_DRAIN_US 800000
 #define STG_DRAIN_SHARE 0.25
-/* An engine that gateways were told to leave alone and that still has no
- * accepted order after so long is opened again: it serves what it holds. */
+/* An engine that gateways were asked to avoid and that has no accepted order
+ * after this time is made available again: it serves what it has loaded. */
 #define STG_DRAIN_MAX_US 3000000
 
 enum stg_step stg_next(const struct stg_state *s, int64_t now_us);
 
-/*
- * Versions that were named, and from when on no request may begin on anything
- * older than each.
- */
-#define STG_DEADLINES_MAX 4 /* several may be named before the first is due */
+/* Several versions may be announced before the first deadline. */
+#define STG_DEADLINES_MAX 4
 
+/* Announced versions and their deadlines: the time from which no request may
+ * begin on anything older. */
 struct stg_deadlines {
 	struct {
-		int64_t version, due_us;
+		int64_t version, deadline_us;
 	} at[STG_DEADLINES_MAX]; /* oldest first */
 	unsigned int n;
 };
 
 void stg_deadlines_add(
-    struct stg_deadlines *d, int64_t version, int64_t due_us);
-/* When `loaded` may not serve any more; 0: no such time is known. */
+    struct stg_deadlines *d, int64_t version, int64_t deadline_us);
+/* Time from which `loaded` may not serve; 0: none is known. */
 int64_t stg_deadlines_expiry(const struct stg_deadlines *d, int64_t loaded);
-/* The one named before `version`, and when it is due; 0: not known. */
+/* The version announced before `version`, and its deadline; 0: not known. */
 int64_t stg_deadlines_before(
-    const struct stg_deadlines *d, int64_t version, int64_t *due_us);
-/* When everything before `loaded` may not serve any more; 0: not known. */
+    const struct stg_deadlines *d, int64_t version, int64_t *deadline_us);
+/* Time from which nothing older than `loaded` may serve; 0: not known. */
 int64_t stg_deadlines_of(const struct stg_deadlines *d, int64_t loaded);
 
-/* When a keeper reads a version's digests from the origin itself. */
+/* When a sidecar reads a version's digests from the origin itself. */
 struct stg_digests {
-	unsigned int members; /* keepers of the model; 0: not known yet */
-	unsigned int ahead; /* of these, before this one */
-	int64_t asked_us; /* the digests were needed first */
-	int64_t backoff_until_us; /* the origin is not asked before */
+	unsigned int members; /* sidecars of the model; 0: not known yet */
+	unsigned int ahead; /* number of these that rank before this one */
+	int64_t asked_us; /* when the digests were first needed */
+	int64_t backoff_until_us; /* no request to the origin before then */
 };
 
 int64_t stg_digests_read_us(const struct stg_digests *d);
 
-/* Two versions were named one after the other. */
+/* Two versions were announced in short succession. */
 struct stg_overlap {
 	bool older_complete;
-	/* Pieces of it that are at no host yet; all while that is unknown. */
+	/* Chunks of the older one that no host has yet; all while that is not known. */
 	uint64_t older_left, older_total;
 	int64_t loaded; /* 0: the engine serves with neither */
-	int64_t older_switch_us; /* the engine may change to the older then */
-	int64_t older_deadline_us, newest_deadline_us; /* 0: no bound */
+	/* The engine may switch to the older one then. */
+	int64_t older_switch_us;
+	int64_t older_deadline_us, newest_deadline_us; /* 0: no deadline */
 	int64_t newest_announced_us;
-	uint64_t have, total; /* pieces of the newest, here; 0 of 0: unknown */
+	/* Chunks of the newest on this host; 0 of 0: not known. */
+	uint64_t have, total;
 };
 
 /*
- * Whether a version that is not loaded yet stays wanted when the next is named.
- * Not where both are heard of at nearly the same time, as after the store's
- * return: the older one would only hold up the newest.
+ * Whether a version that is not loaded yet stays wanted when the next one is
+ * announced. Not if both announcements arrive at nearly the same time, as at
+ * the end of a store outage: the older one would only delay the newest.
  */
-bool stg_keeps_older(int64_t older_heard_us, int64_t newest_heard_us);
+bool stg_keeps_older(int64_t older_announced_us, int64_t newest_announced_us);
 
 /*
  * Whether the older one is fetched first: the origin's link is narrow, and two
- * versions that share it are both late. Once hosts have all of its pieces the
- * origin is free for the newest. When the older one is overdue, nothing serves
- * until either comes: it goes first where engines serve with it for longer,
- * until the newest is due, than the newest comes later by it.
+ * versions that share it are both late. Once hosts have all chunks of the older
+ * one, the origin is free for the newest. After the older one's deadline
+ * nothing serves until either arrives: the older one goes first if engines
+ * serve with it for longer, until the newest's deadline, than it delays the
+ * newest.
  */
-bool stg_fetches_older(const struct stg_overlap *r, int64_t now_us);
+bool stg_fetches_older(const struct stg_overlap *o, int64_t now_us);
 
 /*
- * Whether the engine changes to the older one first. All engines that pass
- * over it must leave what they hold before it is due, at nearly the same time
- * when the newest comes late. So an engine whose turn for the older one comes
- * before the newest can be here takes it; those that are left then are fewer.
+ * Whether the engine switches to the older one first. All engines that skip it
+ * must leave their loaded version before the older one's deadline, at nearly
+ * the same time if the newest is late. So an engine whose scheduled switch time
+ * for the older one comes before the newest can arrive switches to it; fewer
+ * engines remain for that moment.
  */
-bool stg_prefers_older(const struct stg_overlap *r, int64_t now_us);
+bool stg_prefers_older(const struct stg_overlap *o, int64_t now_us);
 
 struct stg_schedule {
-	int64_t announced_us; /* of the version that engines change to */
-	int64_t deadline_us; /* what this one holds serves until then; 0: on */
-	/* Engines that hold older weights than this one must have changed by
+	/* Announcement of the version that engines switch to. */
+	int64_t announced_us;
+	/* What this engine has loaded may serve until then; 0: no limit. */
+	int64_t deadline_us;
+	/* Engines with older weights than this one must have switched by
 	 * then and go first; 0: there are none. */
 	int64_t others_us;
-	unsigned int rank, n; /* this engine among all */
+	unsigned int rank, n; /* position of this engine among all */
 };
 
 /*
- * When this engine begins to change: evenly over the time that is left after
- * the pieces have spread, so that as few as possible are out of service
- * together.
+ * When this engine begins to switch: the engines are spread evenly over the
+ * time that is left after the chunks have been distributed, so that as few as
+ * possible are out of service together.
  */
-int64_t stg_switch_us(const struct stg_schedule *q);
+int64_t stg_switch_us(const struct stg_schedule *s);
 
 #endif
--- a/lib/store/store.c
+++ b/lib/store/store.c
@@ -1,4 +1,4 @@
-/* Client of the object store: mirrors of its kinds. */
+/* Client of the object store: caches of its kinds. */
 
 #include <string.h>
 
@@ -6,53 +6,54 @@
 #include "store/store.h"
 
 /*
- * A connection can fall silent for good while the socket's probes are still
- * answered: news then stop without an error, and settings grow old unnoticed.
- * Only an answer that is due and does not come shows it. A watch waits at most
- * for what the silence may last, less this for its answer and the next call;
- * each is paid for as one call, so shorter ones cost more.
+ * A connection can stall for good while the socket's keepalive probes are still
+ * answered: updates then stop without an error, and settings become stale
+ * unnoticed. Only a missing answer at its deadline shows it. A watch waits at
+ * most for the stall timeout, less this time for its answer and the next call;
+ * each watch is paid for as one call, so shorter ones cost more.
  */
 #define WATCH_ANSWER_US 800000
 #define WATCH_WAIT_MIN_US 500000
 /*
  * The store answers within milliseconds, or some hundred when it is slow. A
- * call that it took in while it was silent hangs for good; the time until it
- * is given up is time without settings after its return. So many failures double
- * it, for a store that is slower still.
+ * call that it accepted while it was stalled hangs for good, and the time until
+ * the call is given up is time without settings after the store's return. This
+ * many failures double the timeout, for a store that is slower still.
  */
 #define CALL_TIMEOUT_TRIES 3
 #define CALL_TIMEOUT_US 600000
 #define CALL_TIMEOUT_MAX_US 2500000
-/* Watches that find out whether the store is back do not wait for changes. */
+/* Watches that probe whether the store is up again do not wait for changes. */
 #define PROBE_WAIT_MS 100
-/* Calls to a store that does not answer cost as much as others: one mirror
- * tries again soon, and its first answer wakes the others. */
-#define REST_FIRST_US 150000
-#define REST_MAX_US 400000
-#define REST_FOLLOWER_US 2000000
-/* Calls that fail in a row before the store counts as away. A process that
- * stood still finds all its calls timed out at once, and the next answered. */
-#define AWAY_FAILURES 2
+/* Calls to a store that does not answer cost as much as others: only one
+ * cache retries soon, and its first answer wakes the others. */
+#define BACKOFF_FIRST_US 150000
+#define BACKOFF_MAX_US 400000
+#define BACKOFF_FOLLOWER_US 2000000
+/* Consecutive failures from which the store counts as down. A process that
+ * stalled finds that all its calls have timed out at once, and the next ones
+ * are answered. */
+#define DOWN_FAILURES 2
 #define BODY_MAX (8u << 20) /* a page is about 1 MB */
 
 struct store {
 	struct store_conf conf;
 	char *address;
 	struct rng rng;
-	LIST_HEAD(mirrors, store_cache) mirrors;
+	LIST_HEAD(caches, store_cache) caches;
 	struct ctr *calls, *failed, *unreadable;
 };
 
 enum store_cache_state {
-	MIRROR_LIST,
-	MIRROR_WATCH,
-	MIRROR_REST, /* until the timer */
+	CACHE_LIST,
+	CACHE_WATCH,
+	CACHE_BACKOFF, /* until the timer fires */
 };
 
 struct known {
 	int64_t revision;
-	unsigned int listing; /* the listing that last had it */
-	bool told; /* its value was readable, and passed on */
+	unsigned int listing; /* the last listing that contained it */
+	bool reported; /* its value was readable and was reported */
 };
 
 struct store_cache {
@@ -66,203 +67,205 @@
 	struct evl_timer timer;
 	GHashTable *known; /* name -> struct known */
 	unsigned int listing;
-	char *after; /* last name of the pages so far */
+	char *after; /* last name of the pages received so far */
 	int64_t list_at; /* revision of the first page */
 	int64_t at;
-	int64_t made_us;
-	int64_t heard_us;
-	int64_t gather_us;
-	int64_t rest_us;
-	unsigned int failures; /* in a row */
+	int64_t created_us;
+	int64_t answered_us;
+	int64_t batch_delay_us;
+	int64_t backoff_us;
+	unsigned int failures; /* consecutive */
 	bool synced;
-	bool watching; /* `at` is good to watch from */
+	bool watching; /* `at` is valid to watch from */
 	bool down;
 };
 
-static void next_call(struct store_cache *m);
+static void next_call(struct store_cache *c);
 
 static int64_t
-now_us(const struct store_cache *m)
+now_us(const struct store_cache *c)
 {
-	return evl_now_us(m->store->conf.loop);
+	return evl_now_us(c->store->conf.loop);
 }
 
 /* ------------------------------------------------------------------ */
-/* The store's silence and return                                      */
+/* Outages of the store                                                */
 /* ------------------------------------------------------------------ */
 
 static void
-set_link(struct store_cache *m, bool up, const char *why)
+set_link(struct store_cache *c, bool up, const char *why)
 {
-	if (m->down == !up)
+	if (c->down == !up)
 		return;
-	m->down = !up;
-	if (m->ops.link != NULL)
-		m->ops.link(up, why, m->ctx);
+	c->down = !up;
+	if (c->ops.link != NULL)
+		c->ops.link(up, why, c->ctx);
 }
 
 int64_t
 store_down_since_us(const struct store *s)
 {
-	const struct store_cache *m;
-	int64_t heard_us = 0;
+	const struct store_cache *c;
+	int64_t answered_us = 0;
 	unsigned int failures = 0;
 
-	LIST_FOREACH (m, &s->mirrors, link) {
-		if (!m->down)
+	LIST_FOREACH (c, &s->caches, link) {
+		if (!c->down)
 			return 0;
-		heard_us = MAX(heard_us, MAX(m->heard_us, m->made_us));
-		failures = MAX(failures, m->failures);
+		answered_us =
+		    MAX(answered_us, MAX(c->answered_us, c->created_us));
+		failures = MAX(failures, c->failures);
 	}
-	return failures < AWAY_FAILURES ? 0 : heard_us;
+	return failures < DOWN_FAILURES ? 0 : answered_us;
 }
 
-/* The one of the mirrors without an answer that tries for all. */
+/* Whether this cache is the one, among those without an answer, that probes
+ * the store for all. */
 static bool
-is_prober(const struct store_cache *m)
+is_prober(const struct store_cache *c)
 {
 	const struct store_cache *other;
 
-	LIST_FOREACH (other, &m->store->mirrors, link) {
+	LIST_FOREACH (other, &c->store->caches, link) {
 		if (other->down)
-			return other == m;
+			return other == c;
 	}
 	return true;
 }
 
 static int64_t
-call_timeout_us(const struct store_cache *m)
+call_timeout_us(const struct store_cache *c)
 {
 	return MIN((int64_t)CALL_TIMEOUT_US
-		<< MIN(m->failures / CALL_TIMEOUT_TRIES, 8),
+		<< MIN(c->failures / CALL_TIMEOUT_TRIES, 8),
 	    CALL_TIMEOUT_MAX_US);
 }
 
 static void
-rest(struct store_cache *m, const char *why)
+back_off(struct store_cache *c, const char *why)
 {
 	int64_t jitter;
 
-	ctr_add(m->store->failed, 1);
-	m->failures++;
-	set_link(m, false, why);
-	if (!is_prober(m))
-		m->rest_us = REST_FOLLOWER_US;
-	else if (m->rest_us == 0)
-		m->rest_us = REST_FIRST_US;
+	ctr_add(c->store->failed, 1);
+	c->failures++;
+	set_link(c, false, why);
+	if (!is_prober(c))
+		c->backoff_us = BACKOFF_FOLLOWER_US;
+	else if (c->backoff_us == 0)
+		c->backoff_us = BACKOFF_FIRST_US;
 	else
-		m->rest_us = MIN(2 * m->rest_us, REST_MAX_US);
+		c->backoff_us = MIN(2 * c->backoff_us, BACKOFF_MAX_US);
 	jitter =
-	    (int64_t)rng_below(&m->store->rng, (uint64_t)m->rest_us / 4 + 1);
-	m->state = MIRROR_REST;
+	    (int64_t)rng_below(&c->store->rng, (uint64_t)c->backoff_us / 4 + 1);
+	c->state = CACHE_BACKOFF;
 	evl_timer_set(
-	    m->store->conf.loop, &m->timer, now_us(m) + m->rest_us - jitter);
+	    c->store->conf.loop, &c->timer, now_us(c) + c->backoff_us - jitter);
 }
 
-/* One mirror was answered: those that rest need not wait longer. */
+/* One cache got an answer: those in backoff retry at once. */
 static void
-answered(struct store_cache *m)
+answered(struct store_cache *c)
 {
 	struct store_cache *other;
 
-	m->heard_us = now_us(m);
-	m->rest_us = 0;
-	m->failures = 0;
-	if (!m->down)
+	c->answered_us = now_us(c);
+	c->backoff_us = 0;
+	c->failures = 0;
+	if (!c->down)
 		return;
-	set_link(m, true, "answered");
-	LIST_FOREACH (other, &m->store->mirrors, link) {
-		if (other->state == MIRROR_REST)
+	set_link(c, true, "answered");
+	LIST_FOREACH (other, &c->store->caches, link) {
+		if (other->state == CACHE_BACKOFF)
 			evl_timer_set(
-			    m->store->conf.loop, &other->timer, now_us(m));
+			    c->store->conf.loop, &other->timer, now_us(c));
 	}
 }
 
 /* ------------------------------------------------------------------ */
-/* What an answer says                                                 */
+/* Contents of answers                                                 */
 /* ------------------------------------------------------------------ */
 
 static void
-tell_removed(
-    struct store_cache *m, struct known *k, const char *name, bool lapsed)
+report_removed(
+    struct store_cache *c, struct known *k, const char *name, bool expired)
 {
-	if (k->told)
-		m->ops.removed(name, lapsed, m->ctx);
-	k->told = false;
+	if (k->reported)
+		c->ops.removed(name, expired, c->ctx);
+	k->reported = false;
 }
 
-/* Another writer's entry, or a spoilt one. What it said before, when it was
- * good, is not believed any longer; the others hold. */
+/* A malformed object, or one of an unrelated writer. Its previous value, if
+ * it had a valid one, no longer counts; other objects are unaffected. */
 static void
-take_unreadable(
-    struct store_cache *m, struct known *k, const struct store_item *item)
+handle_unreadable(
+    struct store_cache *c, struct known *k, const struct store_item *item)
 {
-	ctr_add(m->store->unreadable, 1);
-	log_warn("store: %s/%s: %s", m->kind->name, item->name, item->why);
-	tell_removed(m, k, item->name, false);
+	ctr_add(c->store->unreadable, 1);
+	log_warn("store: %s/%s: %s", c->kind->name, item->name, item->why);
+	report_removed(c, k, item->name, false);
 }
 
 static void
-take_item(struct store_cache *m, struct store_item *item)
+handle_item(struct store_cache *c, struct store_item *item)
 {
-	struct known *k = g_hash_table_lookup(m->known, item->name);
+	struct known *k = g_hash_table_lookup(c->known, item->name);
 
 	if (k != NULL && item->revision < k->revision) {
-		/* News that another answer has overtaken. */
+		/* An update older than one in another answer. */
 		if (item->value != NULL)
-			m->kind->free(item->value);
+			c->kind->free(item->value);
 		return;
 	}
 	if (item->removed) {
 		if (k != NULL)
-			tell_removed(m, k, item->name, false);
-		g_hash_table_remove(m->known, item->name);
+			report_removed(c, k, item->name, false);
+		g_hash_table_remove(c->known, item->name);
 		return;
 	}
 	if (k != NULL && item->revision == k->revision) {
-		k->listing = m->listing;
+		k->listing = c->listing;
 		if (item->value != NULL)
-			m->kind->free(item->value);
+			c->kind->free(item->value);
 		return;
 	}
 	if (k == NULL) {
 		k = g_new0(struct known, 1);
-		g_hash_table_insert(m->known, g_strdup(item->name), k);
+		g_hash_table_insert(c->known, g_strdup(item->name), k);
 	}
 	k->revision = item->revision;
-	k->listing = m->listing;
+	k->listing = c->listing;
 	if (item->value == NULL) {
-		take_unreadable(m, k, item);
+		handle_unreadable(c, k, item);
 		return;
 	}
-	k->told = true;
-	m->ops.put(item->name, item->value, m->ctx);
+	k->reported = true;
+	c->ops.put(item->name, item->value, c->ctx);
 }
 
-/* What the listing did not have is gone. */
+/* Removes what the listing did not contain. */
 static void
-sweep(struct store_cache *m)
+remove_unlisted(struct store_cache *c)
 {
 	GHashTableIter iter;
 	gpointer name, value;
 	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
 	guint i;
 
-	g_hash_table_iter_init(&iter, m->known);
+	g_hash_table_iter_init(&iter, c->known);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		if (((struct known *)value)->listing != m->listing)
+		if (((struct known *)value)->listing != c->listing)
 			g_ptr_array_add(gone, g_strdup(name));
 	}
 	for (i = 0; i < gone->len; i++) {
-		tell_removed(m, g_hash_table_lookup(m->known, gone->pdata[i]),
+		report_removed(c, g_hash_table_lookup(c->known, gone->pdata[i]),
 		    gone->pdata[i], true);
-		g_hash_table_remove(m->known, gone->pdata[i]);
+		g_hash_table_remove(c->known, gone->pdata[i]);
 	}
 	g_ptr_array_unref(gone);
 }
 
 static void
-take_items(struct store_cache *m, struct store_page *page)
+handle_items(struct store_cache *c, struct store_page *page)
 {
 	struct store_item *item;
 	guint i;
@@ -270,17 +273,17 @@
 	for (i = 0; i < page->items->len; i++) {
 		item = &g_array_index(page->items, struct store_item, i);
 		if (i + 1 == page->items->len && page->more) {
-			g_free(m->after);
-			m->after = g_strdup(item->name);
+			g_free(c->after);
+			c->after = g_strdup(item->name);
 		}
-		take_item(m, item);
+		handle_item(c, item);
 		g_free(item->name);
 	}
 	g_array_set_size(page->items, 0);
 }
 
 static void
-drop_items(struct store_cache *m, struct store_page *page)
+drop_items(struct store_cache *c, struct store_page *page)
 {
 	struct store_item *item;
 	guint i;
@@ -288,64 +291,64 @@
 	for (i = 0; i < page->items->len; i++) {
 		item = &g_array_index(page->items, struct store_item, i);
 		if (item->value != NULL)
-			m->kind->free(item->value);
+			c->kind->free(item->value);
 		g_free(item->name);
 	}
 }
 
 static void
-begin_list(struct store_cache *m)
+begin_list(struct store_cache *c)
 {
-	m->state = MIRROR_LIST;
-	m->watching = false;
-	m->listing++;
-	m->list_at = 0;
-	g_clear_pointer(&m->after, g_free);
+	c->state = CACHE_LIST;
+	c->watching = false;
+	c->listing++;
+	c->list_at = 0;
+	g_clear_pointer(&c->after, g_free);
 }
 
-/* On to the next watch, when what comes meanwhile has gathered. */
+/* Starts the next watch after the batch delay. */
 static void
-gather(struct store_cache *m)
+schedule_watch(struct store_cache *c)
 {
-	if (m->gather_us == 0)
-		next_call(m);
+	if (c->batch_delay_us == 0)
+		next_call(c);
 	else
-		evl_timer_set(
-		    m->store->conf.loop, &m->timer, now_us(m) + m->gather_us);
+		evl_timer_set(c->store->conf.loop, &c->timer,
+		    now_us(c) + c->batch_delay_us);
 }
 
 static void
-take_page(struct store_cache *m, struct store_page *page)
+handle_page(struct store_cache *c, struct store_page *page)
 {
-	if (page->revision < m->at) {
-		/* An answer from the past: what is known here is newer. */
-		drop_items(m, page);
-		begin_list(m);
-		rest(m, "stale answer");
+	if (page->revision < c->at) {
+		/* A stale answer: the local state is newer. */
+		drop_items(c, page);
+		begin_list(c);
+		back_off(c, "stale answer");
 		return;
 	}
-	answered(m);
-	take_items(m, page);
-	if (m->state == MIRROR_WATCH) {
-		m->at = page->revision;
-		gather(m);
+	answered(c);
+	handle_items(c, page);
+	if (c->state == CACHE_WATCH) {
+		c->at = page->revision;
+		schedule_watch(c);
 		return;
 	}
-	if (m->list_at == 0)
-		m->list_at = page->revision;
+	if (c->list_at == 0)
+		c->list_at = page->revision;
 	if (page->more) {
-		next_call(m);
+		next_call(c);
 		return;
 	}
-	/* Changes made while the pages came are in the watch's events. */
-	m->at = m->list_at;
-	sweep(m);
-	m->synced = true;
-	m->watching = true;
-	m->state = MIRROR_WATCH;
-	if (m->ops.synced != NULL)
-		m->ops.synced(m->ctx);
-	gather(m);
+	/* Changes made while the pages were read are in the watch's events. */
+	c->at = c->list_at;
+	remove_unlisted(c);
+	c->synced = true;
+	c->watching = true;
+	c->state = CACHE_WATCH;
+	if (c->ops.synced != NULL)
+		c->ops.synced(c->ctx);
+	schedule_watch(c);
 }
 
 /* ------------------------------------------------------------------ */
@@ -353,20 +356,20 @@
 /* ------------------------------------------------------------------ */
 
 static void
-read_answer(struct store_cache *m, const struct hfetch_answer *a)
+read_answer(struct store_cache *c, const struct hfetch_answer *a)
 {
 	struct store_page page = { 0 };
 	struct err err = { 0 };
 
 	page.items = g_array_new(FALSE, FALSE, sizeof(struct store_item));
-	if (m->store->conf.dialect->read_page(
-		m->kind, a->body, a->len, &page, &err))
-		take_page(m, &page);
+	if (c->store->conf.dialect->read_page(
+		c->kind, a->body, a->len, &page, &err))
+		handle_page(c, &page);
 	else {
-		drop_items(m, &page);
-		log_warn("store: answer about %s not readable: %s",
-		    m->kind->name, err.message);
-		rest(m, "unreadable answer");
+		drop_items(c, &page);
+		log_warn("store: malformed answer about %s: %s", c->kind->name,
+		    err.message);
+		back_off(c, "unreadable answer");
 	}
 	g_array_unref(page.items);
 }
@@ -374,76 +377,76 @@
 static void
 on_answer(const struct hfetch_answer *a, void *ctx)
 {
-	struct store_cache *m = ctx;
+	struct store_cache *c = ctx;
 	char why[32];
 
-	m->call = NULL;
-	/* Kept connections may be as silent as the one that was used. */
+	c->call = NULL;
+	/* Pooled connections may have stalled as well. */
 	if (a->status == 0)
-		hpool_forget(m->store->conf.pool, m->store->address);
+		hpool_forget(c->store->conf.pool, c->store->address);
 	if (a->status == 200) {
-		read_answer(m, a);
-	} else if (a->status == 410 && m->state == MIRROR_WATCH) {
-		begin_list(m); /* the history from there on is gone */
-		next_call(m);
+		read_answer(c, a);
+	} else if (a->status == 410 && c->state == CACHE_WATCH) {
+		begin_list(c); /* the history from there on is gone */
+		next_call(c);
 	} else if (a->status == 0) {
-		rest(m, a->why);
+		back_off(c, a->why);
 	} else {
 		g_snprintf(why, sizeof(why), "status_%u", a->status);
-		rest(m, why);
+		back_off(c, why);
 	}
 }
 
 static int64_t
-watch_wait_ms(const struct store_cache *m)
+watch_wait_ms(const struct store_cache *c)
 {
-	int64_t wait_us = m->store->conf.stall_timeout_us - WATCH_ANSWER_US;
+	int64_t wait_us = c->store->conf.stall_timeout_us - WATCH_ANSWER_US;
 
-	if (m->down)
+	if (c->down)
 		return PROBE_WAIT_MS;
 	return MAX(wait_us, WATCH_WAIT_MIN_US) / 1000;
 }
 
 static void
-next_call(struct store_cache *m)
+next_call(struct store_cache *c)
 {
-	const struct store_conf *conf = &m->store->conf;
-	bool watch = m->state == MIRROR_WATCH;
-	int64_t wait_ms = watch ? watch_wait_ms(m) : 0;
+	const struct store_conf *conf = &c->store->conf;
+	bool watch = c->state == CACHE_WATCH;
+	int64_t wait_ms = watch ? watch_wait_ms(c) : 0;
 	char *path;
 
 	if (watch)
-		path = conf->dialect->watch_path(m->kind, m->at, wait_ms);
+		path = conf->dialect->watch_path(c->kind, c->at, wait_ms);
 	else
-		path = conf->dialect->list_path(m->kind, m->after);
-	m->call = hfetch_start(conf->loop, conf->pool,
-	    &(struct hfetch_conf){ .address = m->store->address,
+		path = conf->dialect->list_path(c->kind, c->after);
+	c->call = hfetch_start(conf->loop, conf->pool,
+	    &(struct hfetch_conf){ .address = c->store->address,
 		.method = "GET",
 		.path = path,
-		.timeout_us = wait_ms * 1000 + call_timeout_us(m),
+		.timeout_us = wait_ms * 1000 + call_timeout_us(c),
 		.answer_max = BODY_MAX,
 		.done = on_answer,
-		.ctx = m });
-	ctr_add(m->store->calls, 1);
+		.ctx = c });
+	ctr_add(c->store->calls, 1);
 	g_free(path);
 }
 
 static void
 on_timer(struct evl_timer *t)
 {
-	struct store_cache *m = CONTAINER_OF(t, struct store_cache, timer);
+	struct store_cache *c = CONTAINER_OF(t, struct store_cache, timer);
 
-	/* After a rest: go on watching from where the news stopped, unless it
-	 * was a listing that failed. */
-	if (m->watching)
-		m->state = MIRROR_WATCH;
+	/* After a backoff: continues to watch from the last revision, unless
+	 * a listing failed. */
+	if (c->watching)
+		c->state = CACHE_WATCH;
 	else
-		begin_list(m);
-	next_call(m);
+		begin_list(c);
+	next_call(c);
 }
 
 /* ------------------------------------------------------------------ */
-/* Making                                                              */
+/* Creation                                                            */
 /* ------------------------------------------------------------------ */
 
 struct store *
@@ -454,7 +457,7 @@
 	s->conf = *conf;
 	s->address = g_strdup(conf->address);
 	rng_seed(&s->rng, conf->seed);
-	LIST_INIT(&s->mirrors);
+	LIST_INIT(&s->caches);
 	s->calls = ctr_get(conf->counters, "store_calls");
 	s->failed = ctr_get(conf->counters, "store_calls_failed");
 	s->unreadable = ctr_get(conf->counters, "store_entries_unreadable");
@@ -471,16 +474,16 @@
 void
 store_free(struct store *s)
 {
-	struct store_cache *m;
-
-	while ((m = LIST_FIRST(&s->mirrors)) != NULL) {
-		LIST_REMOVE(m, link);
-		if (m->call != NULL)
-			hfetch_cancel(m->call);
-		evl_timer_stop(s->conf.loop, &m->timer);
-		g_hash_table_unref(m->known);
-		g_free(m->after);
-		g_free(m);
+	struct store_cache *c;
+
+	while ((c = LIST_FIRST(&s->caches)) != NULL) {
+		LIST_REMOVE(c, link);
+		if (c->call != NULL)
+			hfetch_cancel(c->call);
+		evl_timer_stop(s->conf.loop, &c->timer);
+		g_hash_table_unref(c->known);
+		g_free(c->after);
+		g_free(c);
 	}
 	g_free(s->address);
 	g_free(s);
@@ -490,43 +493,43 @@
 store_cache_new(struct store *s, const struct store_kind *kind,
     const struct store_cache_ops *ops, void *ctx)
 {
-	struct store_cache *m = g_new0(struct store_cache, 1);
-
-	m->store = s;
-	m->kind = kind;
-	m->ops = *ops;
-	m->ctx = ctx;
-	m->timer.fire = on_timer;
-	m->made_us = now_us(m);
-	m->gather_us = kind->batch_delay_us;
-	m->known =
+	struct store_cache *c = g_new0(struct store_cache, 1);
+
+	c->store = s;
+	c->kind = kind;
+	c->ops = *ops;
+	c->ctx = ctx;
+	c->timer.fire = on_timer;
+	c->created_us = now_us(c);
+	c->batch_delay_us = kind->batch_delay_us;
+	c->known =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	LIST_INSERT_HEAD(&s->mirrors, m, link);
-	begin_list(m);
-	next_call(m);
-	return m;
+	LIST_INSERT_HEAD(&s->caches, c, link);
+	begin_list(c);
+	next_call(c);
+	return c;
 }
 
 void
-store_cache_set_batch_delay(struct store_cache *m, int64_t gather_us)
+store_cache_set_batch_delay(struct store_cache *c, int64_t batch_delay_us)
 {
-	m->gather_us = gather_us;
+	c->batch_delay_us = batch_delay_us;
 }
 
 bool
-store_cache_synced(const struct store_cache *m)
+store_cache_synced(const struct store_cache *c)
 {
-	return m->synced;
+	return c->synced;
 }
 
 int64_t
-store_cache_answered_us(const struct store_cache *m)
+store_cache_answered_us(const struct store_cache *c)
 {
-	return m->heard_us;
+	return c->answered_us;
 }
 
 int64_t
-store_cache_revision(const struct store_cache *m)
+store_cache_revision(const struct store_cache *c)
 {
-	return m->at;
+	return c->at;
 }
--- a/lib/store/store.h
+++ b/lib/store/store.h
@@ -2,14 +2,14 @@
 #define STORE_H
 
 /*
- * store: the client of the deployment's object store. A mirror holds one
- * kind of objects as the store has them: it lists (page by page), then
- * watches from the revision of the list, lists again when the history is
- * gone, and keeps its last state while the store is away. It only reads:
- * nothing that these processes know has to outlive them.
+ * store: the client of the deployment's object store. A cache holds the objects
+ * of one kind as the store has them: it lists them page by page, then watches
+ * from the revision of the list, lists again when the history from there on is
+ * gone, and retains its last state while the store is down. It only reads: no
+ * state of these processes has to outlive them.
  *
- * Paths and bodies are the dialect's; waiting, backing off and what is
- * believed are decided here.
+ * Paths and bodies are the dialect's; timeouts, backoff and the validity of
+ * answers are decided here.
  */
 
 #include "common/common.h"
@@ -20,32 +20,32 @@
 	char *name;
 	int64_t revision;
 	bool removed;
-	void *value; /* decoded spec; NULL when removed or not readable */
-	char why[96]; /* not readable */
+	void *value; /* decoded spec; NULL if removed or unreadable */
+	char why[96]; /* why it is unreadable */
 };
 
 struct store_kind {
 	const char *name; /* in paths */
-	/* Least time from one answer to the next watch, where nobody sets it:
-	 * see store_cache_set_batch_delay. */
+	/* Default of store_cache_set_batch_delay. */
 	int64_t batch_delay_us;
-	/* Decodes one object; `node` is the dialect's. NULL on refusal. */
+	/* Decodes one object; `node` is the dialect's. NULL if it is
+	 * invalid. */
 	void *(*decode)(const char *name, void *node, struct err *err);
 	void (*free)(void *value);
 };
 
 struct store_page {
 	GArray *items; /* struct store_item */
-	bool more; /* pages follow, from `items`' last name */
+	bool more; /* more pages follow, after the last name in `items` */
 	int64_t revision; /* the store's revision */
 };
 
 struct store_dialect {
-	/* Paths; g_free. `after` may be NULL. */
+	/* Paths, to be freed with g_free. `after` may be NULL. */
 	char *(*list_path)(const struct store_kind *kind, const char *after);
 	char *(*watch_path)(
 	    const struct store_kind *kind, int64_t since, int64_t wait_ms);
-	/* An answer to either: a page of objects, or of events. */
+	/* Decodes an answer to either: a page of objects, or of events. */
 	bool (*read_page)(const struct store_kind *kind, const void *body,
 	    size_t len, struct store_page *out, struct err *err);
 };
@@ -57,31 +57,31 @@
 	const char *address; /* "ip:port" */
 	const struct store_dialect *dialect;
 	struct ctr_set *counters;
-	uint64_t seed; /* of the spread of retries */
-	/* A connection that falls silent is to be found within this. */
+	uint64_t seed; /* of the jitter of retries */
+	/* Time within which a stalled connection is to be detected. */
 	int64_t stall_timeout_us;
 };
 
 struct store *store_new(const struct store_conf *conf);
 void store_free(struct store *s);
 void store_set_address(struct store *s, const char *address);
-/* Time of the last answer, or of the mirrors' making when there was none, while
- * the store answers nothing that is asked of it and this is no matter of one
- * lost call; 0: it answers. */
+/* Time of the last answer, or of the creation of the caches if there was
+ * none, while the store answers no call and more than one call has failed;
+ * 0: the store answers. */
 int64_t store_down_since_us(const struct store *s);
 
 /* ------------------------------------------------------------------ */
-/* Mirrors                                                             */
+/* Caches                                                              */
 /* ------------------------------------------------------------------ */
 
 struct store_cache_ops {
-	/* An object is new or has changed. Takes the value. One that was
-	 * readable and no longer is counts as removed. */
+	/* An object is new or has changed. Takes ownership of the value. An
+	 * object that becomes unreadable counts as removed. */
 	void (*put)(const char *name, void *value, void *ctx);
-	/* `lapsed`: found missing on a fresh list after a time without news,
-	 * rather than told by an event. */
-	void (*removed)(const char *name, bool lapsed, void *ctx);
-	/* All of the kind is known, as of now. May be NULL. */
+	/* `expired`: found missing from a new list after an interruption of
+	 * the updates, rather than removed by an event. */
+	void (*removed)(const char *name, bool expired, void *ctx);
+	/* A list is complete. May be NULL. */
 	void (*synced)(void *ctx);
 	/* The store stopped answering, or answers again. May be NULL. */
 	void (*link)(bool up, const char *why, void *ctx);
@@ -92,14 +92,15 @@
     const struct store_kind *kind, const struct store_cache_ops *ops,
     void *ctx);
 /*
- * Least time from one answer to the next watch: changes that come close
- * together are paid for as one call. Part of the time in which they must be in
- * force; the rest is for an answer that is lost and the next call.
+ * Minimum time from one answer to the next watch: changes that come close
+ * together cost one call. It is part of the time in which changes must become
+ * active; the rest is for a lost answer and the next call.
  */
-void store_cache_set_batch_delay(struct store_cache *m, int64_t gather_us);
-bool store_cache_synced(const struct store_cache *m); /* has been whole once */
-/* Time of the last word from the store about this kind; 0: none yet. */
-int64_t store_cache_answered_us(const struct store_cache *m);
-int64_t store_cache_revision(const struct store_cache *m);
+void store_cache_set_batch_delay(struct store_cache *c, int64_t batch_delay_us);
+/* Has been complete once. */
+bool store_cache_synced(const struct store_cache *c);
+/* Time of the store's last answer about this kind; 0: none yet. */
+int64_t store_cache_answered_us(const struct store_cache *c);
+int64_t store_cache_revision(const struct store_cache *c);
 
 #endif
