--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -37,29 +37,29 @@
     MSG_DESC(SIDE_DESIRED, "view", struct side_desired, desired_fields);
 
 static const struct msg_field status_fields[] = {
-	MSG_FIELD(struct side_load, address, MSG_STR, STRING_MAX),
-	MSG_FIELD(struct side_load, engine, MSG_U64, SIDE_ENGINE_UP),
-	MSG_FIELD(struct side_load, start_ms, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_load, running, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_load, waiting, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_load, version, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_load, slowdown_permille, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_load, wanted, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_load, wanted_age_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_load, root, MSG_BIN, DIGEST_BYTES),
-	MSG_FIELD(struct side_load, gateways, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_load, without_store, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_load, local_gateways, MSG_U64, COUNT_MAX),
-	MSG_FIELD(struct side_load, seq, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_load, older, MSG_U64, INT64_MAX),
-	MSG_FIELD(struct side_load, older_age_ms, MSG_U64, INT64_MAX / 1000),
-	MSG_FIELD(struct side_load, remote_gateway, MSG_STR, STRING_MAX),
-	MSG_FIELD(struct side_load, limit_known, MSG_U64, 1),
-	MSG_FIELD(struct side_load, limit_milli, MSG_U64, LIMIT_MILLI_MAX),
-	MSG_FIELD(struct side_load, slow_link, MSG_U64, 1),
+	MSG_FIELD(struct side_report, address, MSG_STR, STRING_MAX),
+	MSG_FIELD(struct side_report, engine, MSG_U64, SIDE_ENGINE_UP),
+	MSG_FIELD(struct side_report, start_ms, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_report, running, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_report, waiting, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_report, version, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_report, slowdown_permille, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_report, wanted, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_report, wanted_age_ms, MSG_U64, INT64_MAX / 1000),
+	MSG_FIELD(struct side_report, root, MSG_BIN, DIGEST_BYTES),
+	MSG_FIELD(struct side_report, gateways, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_report, without_store, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_report, local_gateways, MSG_U64, COUNT_MAX),
+	MSG_FIELD(struct side_report, seq, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_report, older, MSG_U64, INT64_MAX),
+	MSG_FIELD(struct side_report, older_age_ms, MSG_U64, INT64_MAX / 1000),
+	MSG_FIELD(struct side_report, remote_gateway, MSG_STR, STRING_MAX),
+	MSG_FIELD(struct side_report, limit_known, MSG_U64, 1),
+	MSG_FIELD(struct side_report, limit_milli, MSG_U64, LIMIT_MILLI_MAX),
+	MSG_FIELD(struct side_report, slow_link, MSG_U64, 1),
 };
-const struct msg_desc side_load_desc =
-    MSG_DESC(SIDE_LOAD, "load", struct side_load, status_fields);
+const struct msg_desc side_report_desc =
+    MSG_DESC(SIDE_REPORT, "load", struct side_report, status_fields);
 
 static const struct msg_field roster_request_fields[] = {
 	MSG_FIELD(struct side_roster_request, model, MSG_STR, STRING_MAX),
--- a/lib/serve/side.h
+++ b/lib/serve/side.h
@@ -32,7 +32,7 @@
 
 enum {
 	SIDE_DESIRED = 90,
-	SIDE_LOAD = 91,
+	SIDE_REPORT = 91,
 	SIDE_ROSTER_REQUEST = 92,
 	SIDE_ROSTER_PAGE = 93,
 	SIDE_RELAY = 97, /* 94 had no flags in its entries */
@@ -92,7 +92,7 @@
 	SIDE_ENGINE_UP,
 };
 
-struct side_load {
+struct side_report {
 	struct slice address; /* of the engine */
 	uint64_t engine; /* enum side_engine */
 	uint64_t start_ms; /* the engine's start, Unix time; 0: not known */
@@ -166,7 +166,7 @@
 #define SIDE_TERMINATIONS_MAX 48 /* fit in one datagram */
 
 extern const struct msg_desc side_desired_desc;
-extern const struct msg_desc side_load_desc;
+extern const struct msg_desc side_report_desc;
 extern const struct msg_desc side_roster_request_desc;
 extern const struct msg_desc side_roster_page_desc;
 extern const struct msg_desc side_relay_desc;
--- a/programs/entry/gateway.h
+++ b/programs/entry/gateway.h
@@ -60,13 +60,13 @@
 /* gateway_relay.c: how full this region's engines are, told to other regions */
 void gateway_relay_open(struct gateway *g);
 /* A keeper of this region names a gateway of another. */
-void gateway_relay_mate(struct gateway *g, const struct side_load *load);
+void gateway_relay_mate(struct gateway *g, const struct side_report *load);
 void gateway_relay_take(struct gateway *g, const struct side_relay *loads);
 
 /* gateway_rate.c: rate limits of targets, and keepers' permits */
 void gateway_rate_open(struct gateway *g);
 void gateway_rate_load(
-    struct gateway *g, struct tgt *t, const struct side_load *load);
+    struct gateway *g, struct tgt *t, const struct side_report *load);
 /* A keeper passes on the limit of a target without one. */
 void gateway_rate_told(struct gateway *g, const struct side_rate *rate);
 void gateway_rate_permit(struct gateway *g, const struct side_permit *permit);
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -16,7 +16,7 @@
 
 /* True when the keeper's word on a root is news. */
 static bool
-note_root(struct tgt *t, const struct side_load *load)
+note_root(struct tgt *t, const struct side_report *load)
 {
 	struct digest root;
 
@@ -47,7 +47,7 @@
 }
 
 static void
-note_engine(struct gateway *g, struct tgt *t, const struct side_load *load)
+note_engine(struct gateway *g, struct tgt *t, const struct side_report *load)
 {
 	int64_t now_us = evl_now_us(g->st.loop);
 	bool down = load->engine != SIDE_ENGINE_UP;
@@ -97,7 +97,7 @@
  */
 static void
 note_wanted(struct gateway *g, const struct tgt_service *service,
-    const struct side_load *load)
+    const struct side_report *load)
 {
 	const char *model = service->engine.model;
 
@@ -109,7 +109,7 @@
 #define ALL_AWAY_GATEWAYS 2
 
 static void
-take_load(struct gateway *g, const struct side_load *load)
+take_load(struct gateway *g, const struct side_report *load)
 {
 	char address[SV_ADDRESS_MAX];
 	int64_t now_us = evl_now_us(g->st.loop);
@@ -144,14 +144,14 @@
 on_message(const char *from, const struct msg *m, void *ctx)
 {
 	struct gateway *g = ctx;
-	struct side_load load;
+	struct side_report load;
 	struct side_relay loads;
 	struct side_roster_request ask;
 	struct side_permit permit;
 	struct side_terminations ends;
 	struct side_rate rate;
 
-	if (msg_read(m, &side_load_desc, &load, NULL))
+	if (msg_read(m, &side_report_desc, &load, NULL))
 		take_load(g, &load);
 	else if (msg_read(m, &side_relay_desc, &loads, NULL))
 		gateway_relay_take(g, &loads);
--- a/programs/entry/gateway_rate.c
+++ b/programs/entry/gateway_rate.c
@@ -47,7 +47,7 @@
 
 void
 gateway_rate_load(
-    struct gateway *g, struct tgt *t, const struct side_load *load)
+    struct gateway *g, struct tgt *t, const struct side_report *load)
 {
 	double before = t->rate.limit;
 	double limit = rate_of_milli(load->limit_milli);
--- a/programs/entry/gateway_relay.c
+++ b/programs/entry/gateway_relay.c
@@ -24,7 +24,7 @@
 };
 
 void
-gateway_relay_mate(struct gateway *g, const struct side_load *load)
+gateway_relay_mate(struct gateway *g, const struct side_report *load)
 {
 	struct gateway_mate *mate;
 	char address[SV_ADDRESS_MAX];
--- a/programs/side/keeper_gateways.c
+++ b/programs/side/keeper_gateways.c
@@ -205,7 +205,7 @@
 
 /* The versions that are wanted, and how long they are. */
 static void
-fill_wanted(const struct keeper *k, struct side_load *load)
+fill_wanted(const struct keeper *k, struct side_report *load)
 {
 	const struct keeper_copy *newest = k->newest;
 	int64_t older_due_us = 0;
@@ -225,11 +225,11 @@
 
 static void
 fill_load(
-    struct keeper *k, const struct keeper_told *now, struct side_load *load)
+    struct keeper *k, const struct keeper_told *now, struct side_report *load)
 {
 	guint i;
 
-	*load = (struct side_load){
+	*load = (struct side_report){
 		.address = slice_str(cfg_str(k->st.cfg, "engine.address")),
 		.engine = now->engine,
 		.start_ms = (uint64_t)MAX(0, k->engine.start_ms),
@@ -254,7 +254,7 @@
 
 /* Names a gateway of another region, the next one each time. */
 static void
-name_gateway(struct keeper *k, struct side_load *load)
+name_gateway(struct keeper *k, struct side_report *load)
 {
 	const struct keeper_gateway *g;
 	guint i;
@@ -272,7 +272,7 @@
 /* Sends `load` to those of one side (near or far) that are due. */
 static bool
 tell(struct keeper *k, const struct tell_plan *plan, bool near,
-    const struct side_load *load)
+    const struct side_report *load)
 {
 	GByteArray *packed = NULL;
 	struct keeper_gateway *g;
@@ -284,11 +284,11 @@
 		if (g->near != near || !is_due(k, plan, g))
 			continue;
 		if (packed == NULL)
-			packed = dgram_pack(k->dgram, &side_load_desc, load);
+			packed = dgram_pack(k->dgram, &side_report_desc, load);
 		if (packed == NULL)
 			break;
 		dgram_send_packed(
-		    k->dgram, g->address, &side_load_desc, packed);
+		    k->dgram, g->address, &side_report_desc, packed);
 		g->told_us = keeper_now(k);
 		told = true;
 	}
@@ -302,7 +302,7 @@
 {
 	struct keeper_told now = what_to_tell(k);
 	struct tell_plan plan;
-	struct side_load load;
+	struct side_report load;
 	bool told_far;
 
 	drop_silent(k);
