--- a/tests/serve/test_permit.c
+++ b/tests/serve/test_permit.c
@@ -1,4 +1,4 @@
-/* Permits by a target's rate limit, for many entries, in simulated time. */
+/* Permits under a target's rate limit, for many gateways, in simulated time. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,137 +16,137 @@
 #define MS INT64_C(1000)
 
 static bool
-heard(
-    struct permits *p, double limit, int64_t since_us, bool own, int64_t at_us)
+report(struct permits *p, double limit, int64_t since_us, bool direct,
+    int64_t at_us)
 {
 	return permits_reported(p,
 	    &(struct permit_report){
-		.limit = limit, .since_us = since_us, .direct = own },
+		.limit = limit, .since_us = since_us, .direct = direct },
 	    at_us);
 }
 
 /* ------------------------------------------------------------------ */
-/* The pool                                                            */
+/* Permit pool                                                         */
 /* ------------------------------------------------------------------ */
 
 static void
-test_in_the_order_of_asking(void **state)
+test_permits_in_request_order(void **state)
 {
-	char entry[PERMIT_GATEWAY_MAX];
+	char gateway[PERMIT_GATEWAY_MAX];
 	struct permits p;
 
 	permits_init(&p);
-	heard(&p, 1, SECOND, true, SECOND);
+	report(&p, 1, SECOND, true, SECOND);
 	permits_ask(&p, "a", SECOND);
 	permits_ask(&p, "b", SECOND);
 	permits_ask(&p, "a", SECOND + 900 * MS);
 	permits_ask(&p, "b", SECOND + 900 * MS);
-	assert_false(permits_next(&p, entry, SECOND + 900 * MS));
-	assert_true(permits_next(&p, entry, 2 * SECOND));
-	assert_string_equal(entry, "a");
-	assert_false(permits_next(&p, entry, 2 * SECOND));
-	/* Who asked no more has no use for it. */
+	assert_false(permits_next(&p, gateway, SECOND + 900 * MS));
+	assert_true(permits_next(&p, gateway, 2 * SECOND));
+	assert_string_equal(gateway, "a");
+	assert_false(permits_next(&p, gateway, 2 * SECOND));
+	/* An abandoned request gets no permit. */
 	permits_ask(&p, "c", 3 * SECOND);
-	assert_true(permits_next(&p, entry, 3 * SECOND));
-	assert_string_equal(entry, "c");
+	assert_true(permits_next(&p, gateway, 3 * SECOND));
+	assert_string_equal(gateway, "c");
 	permits_clear(&p);
 }
 
-/* An answer that was begun before the limit was named, or word of it by an entry
- * that stood still, does not end the limit. */
+/* Guards against ending a limit by an answer that began before the limit was
+ * stated, or by a late report of a gateway that stalled. */
 static void
-test_older_words_change_nothing(void **state)
+test_older_reports_are_ignored(void **state)
 {
 	struct permits p;
 
 	permits_init(&p);
-	assert_true(heard(&p, 2, 5 * SECOND, true, 5 * SECOND));
-	assert_false(heard(&p, 0, 4 * SECOND, true, 5 * SECOND + 100 * MS));
+	assert_true(report(&p, 2, 5 * SECOND, true, 5 * SECOND));
+	assert_false(report(&p, 0, 4 * SECOND, true, 5 * SECOND + 100 * MS));
 	assert_false(permits_advance(&p, 9 * SECOND));
-	/* What others heard here is no news. */
-	assert_false(heard(&p, 7, 6 * SECOND, false, 6 * SECOND));
+	/* A relayed report is ignored once the limit is known. */
+	assert_false(report(&p, 7, 6 * SECOND, false, 6 * SECOND));
 	assert_true(p.limit == 2);
 	permits_clear(&p);
 }
 
-/* The side starts again and knows nothing: any entry's belief will do. */
+/* The sidecar restarts without any state: it accepts any gateway's report. */
 static void
-test_a_fresh_pool_believes_what_others_heard(void **state)
+test_new_pool_accepts_relayed_reports(void **state)
 {
 	struct permits p;
 
 	permits_init(&p);
-	assert_true(heard(&p, 3, SECOND, false, SECOND));
+	assert_true(report(&p, 3, SECOND, false, SECOND));
 	assert_true(p.limit == 3);
-	assert_true(heard(&p, 1, 2 * SECOND, true, 2 * SECOND));
+	assert_true(report(&p, 1, 2 * SECOND, true, 2 * SECOND));
 	permits_clear(&p);
 }
 
 static void
-test_an_ended_limit_is_lifted_by_steps(void **state)
+test_ended_limit_is_lifted_in_steps(void **state)
 {
 	struct permits p;
 
 	permits_init(&p);
-	heard(&p, 2, SECOND, true, SECOND);
-	assert_false(heard(&p, 0, 2 * SECOND, true, 3 * SECOND));
+	report(&p, 2, SECOND, true, SECOND);
+	assert_false(report(&p, 0, 2 * SECOND, true, 3 * SECOND));
 	assert_false(permits_advance(&p, 3 * SECOND + 400 * MS));
 	assert_true(p.limit == 2);
-	/* It was none: the next answer names it again. */
-	assert_false(heard(&p, 2, 4 * SECOND, true, 4 * SECOND));
+	/* It has not ended: the next answer states it again. */
+	assert_false(report(&p, 2, 4 * SECOND, true, 4 * SECOND));
 	assert_false(permits_advance(&p, 20 * SECOND));
-	heard(&p, 0, 21 * SECOND, true, 21 * SECOND);
+	report(&p, 0, 21 * SECOND, true, 21 * SECOND);
 	assert_true(permits_advance(&p, 24 * SECOND));
 	assert_true(p.limit == 0);
 	permits_clear(&p);
 }
 
 /* ------------------------------------------------------------------ */
-/* Entries that share one target                                       */
+/* Gateways that share one target                                      */
 /* ------------------------------------------------------------------ */
 
-#define ENTRIES_MAX 35
+#define GATEWAYS_MAX 35
 #define STEP 5 * MS
 #define DELAY 2 * MS
-#define ANSWER 150 * MS
-#define TICK 30 * MS
-#define LOAD 250 * MS
-#define SILENT 900 * MS
-
-enum note_kind {
-	NOTE_ANSWER,
-	NOTE_WORD,
-	NOTE_LOAD,
-	NOTE_PERMIT
+#define ANSWER_DELAY 150 * MS
+#define SIDECAR_INTERVAL 30 * MS
+#define REPORT_INTERVAL 250 * MS
+#define REPORT_TIMEOUT 900 * MS
+
+enum message_kind {
+	MESSAGE_ANSWER,
+	MESSAGE_RATE,
+	MESSAGE_STATUS,
+	MESSAGE_PERMIT
 };
 
-struct note { /* on its way */
+struct message { /* in transit */
 	int64_t at_us;
-	enum note_kind kind;
-	unsigned int entry;
-	int64_t asked_us;
+	enum message_kind kind;
+	unsigned int gateway;
+	int64_t sent_us;
 	double limit;
-	bool knows, ask;
-	struct permit_report word;
+	bool known, ask;
+	struct permit_report report;
 };
 
-struct sim_entry {
+struct sim_gateway {
 	struct rate rate;
 	double phase, demand; /* requests a second */
-	int64_t load_us; /* the side was last heard */
-	int64_t still_until_us;
-	int64_t told_us; /* an answer named the limit first; 0: none did */
+	int64_t report_us; /* last report of the sidecar */
+	int64_t stalled_until_us;
+	int64_t learned_us; /* an answer first stated the limit; 0: none did */
 };
 
 struct sim {
 	int64_t now_us;
 	unsigned int n;
-	struct sim_entry entry[ENTRIES_MAX];
+	struct sim_gateway gateway[GATEWAYS_MAX];
 	struct permits permits;
-	bool side_away;
-	double limit, told_limit;
-	int64_t first_us; /* the limit was first named */
-	GArray *notes, *arrivals;
+	bool sidecar_down;
+	double limit, reported_limit;
+	int64_t first_stated_us; /* the limit was first stated */
+	GArray *messages, *arrivals;
 	unsigned int sent, over, most;
 	struct rng rng;
 };
@@ -154,43 +154,44 @@
 static struct sim s;
 
 static void
-post(struct note note, int64_t delay_us)
+post(struct message message, int64_t delay_us)
 {
-	note.at_us = s.now_us + delay_us;
+	message.at_us = s.now_us + delay_us;
 	/* One datagram in twenty is lost. */
-	if (note.kind == NOTE_ANSWER || rng_below(&s.rng, 20) > 0)
-		g_array_append_val(s.notes, note);
+	if (message.kind == MESSAGE_ANSWER || rng_below(&s.rng, 20) > 0)
+		g_array_append_val(s.messages, message);
 }
 
 static bool
-side_is_heard(const struct sim_entry *e)
+sidecar_is_alive(const struct sim_gateway *e)
 {
-	return e->load_us != 0 && s.now_us - e->load_us <= SILENT;
+	return e->report_us != 0 && s.now_us - e->report_us <= REPORT_TIMEOUT;
 }
 
 static void
-tell(unsigned int i, bool ask)
+send_rate(unsigned int i, bool ask)
 {
-	const struct rate *r = &s.entry[i].rate;
-	bool own = r->local_us != 0 && (r->local_limit > 0 || !ask);
+	const struct rate *r = &s.gateway[i].rate;
+	bool direct = r->local_us != 0 && (r->local_limit > 0 || !ask);
 
-	post((struct note){ .kind = NOTE_WORD,
-		 .entry = i,
+	post((struct message){ .kind = MESSAGE_RATE,
+		 .gateway = i,
 		 .ask = ask,
-		 .word = { .limit = own ? r->local_limit : r->limit,
-		     .direct = own,
-		     .since_us = own ? r->local_us : s.now_us } },
+		 .report = { .limit = direct ? r->local_limit : r->limit,
+		     .direct = direct,
+		     .since_us = direct ? r->local_us : s.now_us } },
 	    DELAY);
 }
 
-/* By the rule: at most one and a half times the limit and five, of entries that
- * were told half a second ago, from three seconds after the first naming. */
+/* The requirement: at most one and a half times the limit, plus five, from
+ * gateways that learned it at least half a second ago, from three seconds
+ * after it was first stated. */
 static void
-judge(const struct sim_entry *e)
+check_limit(const struct sim_gateway *e)
 {
 	s.sent++;
-	if (e->told_us == 0 || s.now_us - e->told_us < SECOND / 2 ||
-	    s.now_us - s.first_us < 3 * SECOND || s.limit == 0)
+	if (e->learned_us == 0 || s.now_us - e->learned_us < SECOND / 2 ||
+	    s.now_us - s.first_stated_us < 3 * SECOND || s.limit == 0)
 		return;
 	g_array_append_val(s.arrivals, s.now_us);
 	while (s.now_us - g_array_index(s.arrivals, int64_t, 0) > 4 * SECOND)
@@ -202,68 +203,69 @@
 static void
 request(unsigned int i)
 {
-	struct sim_entry *e = &s.entry[i];
+	struct sim_gateway *e = &s.gateway[i];
 	struct rate_share share = { .gateways = s.n, .phase = e->phase };
 
-	if (rate_allows(&e->rate, side_is_heard(e) ? NULL : &share, s.now_us)) {
+	if (rate_allows(
+		&e->rate, sidecar_is_alive(e) ? NULL : &share, s.now_us)) {
 		rate_sent(&e->rate, s.now_us);
-		judge(e);
-		post((struct note){ .kind = NOTE_ANSWER,
-			 .entry = i,
+		check_limit(e);
+		post((struct message){ .kind = MESSAGE_ANSWER,
+			 .gateway = i,
 			 .limit = s.limit,
-			 .asked_us = s.now_us },
-		    ANSWER);
+			 .sent_us = s.now_us },
+		    ANSWER_DELAY);
 	}
-	if (side_is_heard(e) && rate_ask(&e->rate, s.now_us))
-		tell(i, true);
+	if (sidecar_is_alive(e) && rate_ask(&e->rate, s.now_us))
+		send_rate(i, true);
 }
 
 static void
-take_answer(const struct note *m)
+handle_answer(const struct message *m)
 {
-	struct sim_entry *e = &s.entry[m->entry];
+	struct sim_gateway *e = &s.gateway[m->gateway];
 
-	if (m->limit > 0 && e->told_us == 0)
-		e->told_us = s.now_us;
-	if (m->limit > 0 && s.first_us == 0)
-		s.first_us = s.now_us;
+	if (m->limit > 0 && e->learned_us == 0)
+		e->learned_us = s.now_us;
+	if (m->limit > 0 && s.first_stated_us == 0)
+		s.first_stated_us = s.now_us;
 	rate_answered(
-	    &e->rate, m->limit, m->asked_us, side_is_heard(e), s.now_us);
+	    &e->rate, m->limit, m->sent_us, sidecar_is_alive(e), s.now_us);
 	if (rate_needs_report(&e->rate))
-		tell(m->entry, false);
+		send_rate(m->gateway, false);
 }
 
 static void
-take_word(const struct note *m)
+handle_rate(const struct message *m)
 {
 	char text[PERMIT_GATEWAY_MAX];
 
-	if (s.side_away)
+	if (s.sidecar_down)
 		return;
-	permits_reported(&s.permits, &m->word, s.now_us);
-	g_snprintf(text, sizeof(text), "%u", m->entry);
+	permits_reported(&s.permits, &m->report, s.now_us);
+	g_snprintf(text, sizeof(text), "%u", m->gateway);
 	if (m->ask)
 		permits_ask(&s.permits, text, s.now_us);
 }
 
 static void
-take(const struct note *m)
+handle(const struct message *m)
 {
-	struct sim_entry *e = &s.entry[m->entry];
+	struct sim_gateway *e = &s.gateway[m->gateway];
 
 	switch (m->kind) {
-	case NOTE_ANSWER:
-		take_answer(m);
+	case MESSAGE_ANSWER:
+		handle_answer(m);
 		break;
-	case NOTE_WORD:
-		take_word(m);
+	case MESSAGE_RATE:
+		handle_rate(m);
 		break;
-	case NOTE_LOAD:
-		e->load_us = s.now_us;
-		if (m->knows)
+	case MESSAGE_STATUS:
+		e->report_us = s.now_us;
+		if (m->known)
 			rate_side_reported(&e->rate, m->limit, s.now_us);
 		break;
-	case NOTE_PERMIT:
+	case MESSAGE_PERMIT:
 		rate_permit(&e->rate, s.now_us);
 		break;
 	}
@@ -272,43 +274,43 @@
 static void
 deliver(void)
 {
-	struct note m;
+	struct message m;
 	guint i = 0;
 
-	while (i < s.notes->len) {
-		m = g_array_index(s.notes, struct note, i);
+	while (i < s.messages->len) {
+		m = g_array_index(s.messages, struct message, i);
 		if (m.at_us > s.now_us ||
-		    (m.kind != NOTE_WORD &&
-			s.entry[m.entry].still_until_us > s.now_us)) {
+		    (m.kind != MESSAGE_RATE &&
+			s.gateway[m.gateway].stalled_until_us > s.now_us)) {
 			i++;
 			continue;
 		}
-		g_array_remove_index(s.notes, i);
-		take(&m);
+		g_array_remove_index(s.messages, i);
+		handle(&m);
 	}
 }
 
 static void
-side_turn(void)
+run_sidecar(void)
 {
 	char text[PERMIT_GATEWAY_MAX];
-	bool told = s.now_us % LOAD < STEP;
+	bool report_due = s.now_us % REPORT_INTERVAL < STEP;
 	unsigned int i;
 
-	if (s.side_away || s.now_us % TICK >= STEP)
+	if (s.sidecar_down || s.now_us % SIDECAR_INTERVAL >= STEP)
 		return;
 	permits_advance(&s.permits, s.now_us);
 	while (permits_next(&s.permits, text, s.now_us))
-		post((struct note){ .kind = NOTE_PERMIT,
-			 .entry = (unsigned int)atoi(text) },
+		post((struct message){ .kind = MESSAGE_PERMIT,
+			 .gateway = (unsigned int)atoi(text) },
 		    DELAY);
-	if (!told && s.permits.limit == s.told_limit)
+	if (!report_due && s.permits.limit == s.reported_limit)
 		return;
-	s.told_limit = s.permits.limit;
+	s.reported_limit = s.permits.limit;
 	for (i = 0; i < s.n; i++)
-		post((struct note){ .kind = NOTE_LOAD,
-			 .entry = i,
-			 .knows = s.permits.known,
+		post((struct message){ .kind = MESSAGE_STATUS,
+			 .gateway = i,
+			 .known = s.permits.known,
 			 .limit = s.permits.limit },
 		    DELAY);
 }
@@ -320,17 +322,17 @@
 
 	for (; s.now_us < end_us; s.now_us += STEP) {
 		deliver();
-		side_turn();
+		run_sidecar();
 		for (i = 0; i < s.n; i++) {
-			if (s.entry[i].still_until_us <= s.now_us &&
+			if (s.gateway[i].stalled_until_us <= s.now_us &&
 			    (double)rng_below(&s.rng, 1000000) <
-				s.entry[i].demand * STEP)
+				s.gateway[i].demand * STEP)
 				request(i);
 		}
 	}
 }
 
-/* Half of the demand comes by the first entry, a quarter by the second. */
+/* Half of the demand arrives at the first gateway, a quarter at the second. */
 static void
 sim_open(unsigned int n, double demand, uint64_t seed)
 {
@@ -339,13 +341,13 @@
 	memset(&s, 0, sizeof(s));
 	rng_seed(&s.rng, seed);
 	permits_init(&s.permits);
-	s.notes = g_array_new(FALSE, FALSE, sizeof(struct note));
+	s.messages = g_array_new(FALSE, FALSE, sizeof(struct message));
 	s.arrivals = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	s.n = n;
 	s.now_us = 1000 * SECOND;
 	for (i = 0; i < n; i++) {
-		s.entry[i].phase = (double)rng_below(&s.rng, 1000) / 1000;
-		s.entry[i].demand =
+		s.gateway[i].phase = (double)rng_below(&s.rng, 1000) / 1000;
+		s.gateway[i].demand =
 		    i < 2 ? demand / (2 << i) : demand / 4 / (n - 2);
 	}
 }
@@ -354,41 +356,41 @@
 sim_close(void)
 {
 	permits_clear(&s.permits);
-	g_array_unref(s.notes);
+	g_array_unref(s.messages);
 	g_array_unref(s.arrivals);
 }
 
 static void
-restart_entry(unsigned int i)
+restart_gateway(unsigned int i)
 {
-	s.entry[i].rate = (struct rate){ 0 };
-	s.entry[i].load_us = 0;
-	s.entry[i].told_us = 0;
+	s.gateway[i].rate = (struct rate){ 0 };
+	s.gateway[i].report_us = 0;
+	s.gateway[i].learned_us = 0;
 }
 
 /*
- * An engine in need names a limit and gets several times as much: many entries
- * send to it, unevenly, and each knows only its own requests. With one pool they
- * hold to it together, and what the engine takes is used.
+ * Many gateways send to an overloaded engine, unevenly, and each knows only its
+ * own requests; without a common pool the engine gets several times its limit.
+ * With one pool the gateways together stay within the limit and use it.
  */
 static void
-test_many_entries_one_limit(void **state)
+test_many_gateways_share_one_limit(void **state)
 {
-	static const unsigned int entries[] = { 3, 5, 35 };
+	static const unsigned int gateways[] = { 3, 5, 35 };
 	static const double limits[] = { 0.25, 1, 2.2, 10, 50 };
 	unsigned int before;
 	size_t i, j;
 
-	for (i = 0; i < G_N_ELEMENTS(entries); i++) {
+	for (i = 0; i < G_N_ELEMENTS(gateways); i++) {
 		for (j = 0; j < G_N_ELEMENTS(limits); j++) {
-			sim_open(entries[i], 400, i * 10 + j);
+			sim_open(gateways[i], 400, i * 10 + j);
 			run_until(s.now_us + 2 * SECOND);
 			s.limit = limits[j];
 			run_until(s.now_us + 4 * SECOND);
 			before = s.sent;
 			run_until(s.now_us + 40 * SECOND);
 			assert_int_equal(s.over, 0);
-			/* Four fifths of what it takes are used. */
+			/* Four fifths of the limit are used. */
 			assert_true(
 			    s.sent - before + 1 >= 0.8 * 40 * limits[j]);
 			sim_close();
@@ -396,12 +398,10 @@
 	}
 }
 
-/*
- * Meanwhile entries start again and know nothing, stand still and wake with old
- * words, the side stops and starts again, and the limit changes and ends.
- */
+/* Meanwhile gateways restart without state or stall and resume with old
+ * messages, the sidecar stops and restarts, and the limit changes and ends. */
 static void
-test_under_trouble(void **state)
+test_limit_under_faults(void **state)
 {
 	unsigned int seed, i;
 	double limit;
@@ -416,14 +416,14 @@
 
 			switch (rng_below(&s.rng, 4)) {
 			case 0:
-				restart_entry(one);
+				restart_gateway(one);
 				break;
 			case 1:
-				s.entry[one].still_until_us = s.now_us +
+				s.gateway[one].stalled_until_us = s.now_us +
 				    (int64_t)rng_below(&s.rng, 3000) * MS;
 				break;
 			case 2:
-				s.side_away = !s.side_away;
+				s.sidecar_down = !s.sidecar_down;
 				break;
 			case 3:
 				permits_reset(&s.permits);
@@ -433,18 +433,18 @@
 			    s.now_us + (int64_t)rng_below(&s.rng, 2000) * MS);
 		}
 		assert_int_equal(s.over, 0);
-		/* It ends, and the target gets its traffic back. */
-		s.side_away = false;
+		/* The limit ends, and the target's traffic returns. */
+		s.sidecar_down = false;
 		s.limit = 0;
 		run_until(s.now_us + 15 * SECOND);
 		i = s.sent;
 		run_until(s.now_us + 2 * SECOND);
 		assert_true(s.sent - i > 200);
-		/* A lower one than before. */
-		s.first_us = 0;
+		/* A lower limit than before. */
+		s.first_stated_us = 0;
 		g_array_set_size(s.arrivals, 0);
 		for (i = 0; i < s.n; i++)
-			s.entry[i].told_us = 0;
+			s.gateway[i].learned_us = 0;
 		s.limit = limit / 4;
 		run_until(s.now_us + 10 * SECOND);
 		assert_int_equal(s.over, 0);
@@ -456,12 +456,12 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_in_the_order_of_asking),
-		cmocka_unit_test(test_older_words_change_nothing),
-		cmocka_unit_test(test_a_fresh_pool_believes_what_others_heard),
-		cmocka_unit_test(test_an_ended_limit_is_lifted_by_steps),
-		cmocka_unit_test(test_many_entries_one_limit),
-		cmocka_unit_test(test_under_trouble),
+		cmocka_unit_test(test_permits_in_request_order),
+		cmocka_unit_test(test_older_reports_are_ignored),
+		cmocka_unit_test(test_new_pool_accepts_relayed_reports),
+		cmocka_unit_test(test_ended_limit_is_lifted_in_steps),
+		cmocka_unit_test(test_many_gateways_share_one_limit),
+		cmocka_unit_test(test_limit_under_faults),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/serve/test_rate.c
+++ b/tests/serve/test_rate.c
@@ -1,4 +1,4 @@
-/* A target's rate limit, as its answers tell it. */
+/* A target's rate limit, as its answers state it. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,11 +12,12 @@
 #define SECOND 1000000
 
 /*
- * A target names a limit, and a longer answer that it had begun before comes
- * in after. Taken as the limit's end, that would let everything through again.
+ * Guards against taking a longer answer, which began before the limit was
+ * stated and arrives after it, for the end of the limit: all requests would be
+ * admitted again.
  */
 static void
-test_an_answer_from_before_ends_nothing(void **state)
+test_earlier_answer_does_not_end_a_limit(void **state)
 {
 	struct rate r = { 0 };
 
@@ -30,7 +31,7 @@
 }
 
 static void
-test_a_limit_that_changes(void **state)
+test_limit_changes(void **state)
 {
 	struct rate r = { 0 };
 
@@ -40,11 +41,12 @@
 }
 
 /*
- * An entry without traffic hears of the limit from the side, and of its end. The
- * side's word from before it heard of an answer here ends nothing.
+ * A gateway without traffic learns a limit, and its end, from the sidecar. A
+ * report that the sidecar sent before it knew of an answer to this gateway does
+ * not end the limit.
  */
 static void
-test_the_side_tells(void **state)
+test_sidecar_reports_limit(void **state)
 {
 	struct rate r = { 0 };
 
@@ -56,7 +58,8 @@
 	assert_true(r.limit == 3);
 	assert_false(rate_side_reported(&r, 3, 3 * SECOND + 200000));
 	assert_false(rate_needs_report(&r));
-	/* Its own answer names none: the side is told, and lifts it. */
+	/* An answer to this gateway states no limit: the sidecar gets a
+	 * report, and lifts the limit. */
 	assert_false(rate_answered(&r, 0, 4 * SECOND, true, 5 * SECOND));
 	assert_true(r.limit == 3);
 	assert_true(rate_needs_report(&r));
@@ -64,7 +67,7 @@
 }
 
 static void
-test_one_request_a_permit(void **state)
+test_one_request_per_permit(void **state)
 {
 	struct rate r = { 0 };
 
@@ -74,19 +77,21 @@
 	assert_false(rate_allows(&r, NULL, SECOND));
 	assert_true(rate_ask(&r, SECOND));
 	assert_false(rate_ask(&r, SECOND + 100000));
-	assert_true(rate_ask(&r, SECOND + 200000)); /* the first was lost */
+	/* The first request was lost. */
+	assert_true(rate_ask(&r, SECOND + 200000));
 	rate_permit(&r, 2 * SECOND);
 	assert_true(rate_allows(&r, NULL, 2 * SECOND + 900000));
-	assert_false(rate_allows(&r, NULL, 2 * SECOND + 1100000)); /* lapsed */
+	assert_false(rate_allows(&r, NULL, 2 * SECOND + 1100000)); /* expired */
 	rate_permit(&r, 3 * SECOND);
 	rate_sent(&r, 3 * SECOND);
 	assert_false(rate_allows(&r, NULL, 3 * SECOND));
 }
 
-/* Requests of `n` entries in turns by the clock, each with one to send at any
- * moment from `from_us` on; the most in any four seconds, and all in 60 s. */
+/* Requests of `n` gateways in time slots, each with one to send at any
+ * moment from `from_us` on: the most in any four seconds, and all in 60 s. */
 static unsigned int
-sent_in_turns(unsigned int n, double limit, uint64_t seed, unsigned int *all)
+sent_in_time_slots(
+    unsigned int n, double limit, uint64_t seed, unsigned int *all)
 {
 	struct rate *r = g_new0(struct rate, n);
 	GArray *sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -119,33 +124,33 @@
 }
 
 /*
- * A plain target without a side names a limit. Each entry finds that it has had
- * no request there for long; were each to send one at once, 35 would come where
- * 11 are allowed.
+ * A target without a sidecar states a limit, and each gateway has sent it no
+ * request for long: if each sent one at once, 35 would arrive where 11 are
+ * allowed.
  */
 static void
-test_turns_by_the_clock(void **state)
+test_time_slots(void **state)
 {
-	static const unsigned int entries[] = { 1, 5, 9, 35, 100 };
+	static const unsigned int gateways[] = { 1, 5, 9, 35, 100 };
 	static const double limits[] = { 0.25, 1, 2.2, 10, 40 };
 	unsigned int most, all;
 	size_t i, j;
 
-	for (i = 0; i < G_N_ELEMENTS(entries); i++) {
+	for (i = 0; i < G_N_ELEMENTS(gateways); i++) {
 		for (j = 0; j < G_N_ELEMENTS(limits); j++) {
-			most = sent_in_turns(
-			    entries[i], limits[j], 1 + i * 10 + j, &all);
+			most = sent_in_time_slots(
+			    gateways[i], limits[j], 1 + i * 10 + j, &all);
 			assert_true(most <= 1.5 * 4 * limits[j] + 5);
-			/* And what it takes is used. */
-			assert_true(all >= 0.5 * 60 * limits[j] - entries[i]);
+			/* And the limit is used. */
+			assert_true(all >= 0.5 * 60 * limits[j] - gateways[i]);
 		}
 	}
 }
 
-/* What a side says back must be the limit that was told, to the last bit, or each
- * answer seems to name another. */
+/* A limit must survive its encoding exactly. Otherwise each answer would
+ * seem to state another limit than the sidecar reported. */
 static void
-test_limits_between_processes(void **state)
+test_limit_encoding(void **state)
 {
 	static const double limits[] = { 0.25, 0.29, 1.1, 2.2, 4.35, 1000.001 };
 	size_t i;
@@ -156,10 +161,11 @@
 	assert_int_equal(rate_to_milli(1e12), UINT32_MAX);
 }
 
-/* Guards against a process that starts and knows no limit until its first
- * answer; its own answers go before what others say. */
+/* Guards against a process that does not know a limit from its start until
+ * its first answer. Answers to this gateway take precedence over relayed
+ * limits. */
 static void
-test_others_word_counts_until_the_first_answer(void **state)
+test_relayed_limit_until_first_answer(void **state)
 {
 	struct rate r = { 0 };
 
@@ -176,14 +182,13 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_an_answer_from_before_ends_nothing),
-		cmocka_unit_test(test_a_limit_that_changes),
-		cmocka_unit_test(test_the_side_tells),
-		cmocka_unit_test(test_one_request_a_permit),
-		cmocka_unit_test(test_turns_by_the_clock),
-		cmocka_unit_test(test_limits_between_processes),
-		cmocka_unit_test(
-		    test_others_word_counts_until_the_first_answer),
+		cmocka_unit_test(test_earlier_answer_does_not_end_a_limit),
+		cmocka_unit_test(test_limit_changes),
+		cmocka_unit_test(test_sidecar_reports_limit),
+		cmocka_unit_test(test_one_request_per_permit),
+		cmocka_unit_test(test_time_slots),
+		cmocka_unit_test(test_limit_encoding),
+		cmocka_unit_test(test_relayed_limit_until_first_answer),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/serve/test_roster.c
+++ b/tests/serve/test_roster.c
@@ -1,4 +1,4 @@
-/* Rosters: pages of any number of keepers, and which roster replaces which. */
+/* Rosters: pages of any number of sidecars, and which roster replaces which. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -40,7 +40,7 @@
 	return r;
 }
 
-/* Sends one page as a datagram, and has it taken in. */
+/* Encodes one page as a datagram, and adds it at the receiver. */
 static bool
 pass_page(const struct roster *from, unsigned int index, struct roster *to)
 {
@@ -53,7 +53,7 @@
 	roster_page(from, index, bytes, &page);
 	page.model = slice_str("model");
 	msg_pack(wire, 0, &side_roster_page_desc, &page);
-	/* 16 bytes of proof go before it. */
+	/* 16 bytes of authentication precede it. */
 	assert_true(wire->len + 16 <= DGRAM_MAX);
 	assert_true(msg_open(&m, wire->data, wire->len, NULL));
 	assert_true(msg_read(&m, &side_roster_page_desc, &read, NULL));
@@ -76,9 +76,9 @@
 }
 
 /*
- * A deployment grows from 120 hosts to 204 and on. When a list had to fit in
- * one datagram, hosts beyond the 140th were in nobody's list: no one fetched
- * from them, and no turn counted them.
+ * Guards against a roster that must fit in one datagram: in a deployment that
+ * grew from 120 hosts to 204, hosts beyond the 140th were in no roster, so
+ * nobody fetched from them, and no switch schedule counted them.
  */
 static void
 test_any_number_of_peers(void **state)
@@ -101,10 +101,8 @@
 	}
 }
 
-/*
- * The second of three pages is lost and the roster is asked for again, of
- * another gateway: its pages fill the gap, in whatever order they come.
- */
+/* The second of three pages is lost and the roster is requested again, from
+ * another gateway: its pages complete the roster, in any order. */
 static void
 test_lost_page(void **state)
 {
@@ -114,7 +112,7 @@
 
 	assert_false(pass_page(a, 0, to));
 	assert_false(pass_page(a, 2, to));
-	assert_false(pass_page(b, 2, to)); /* twice */
+	assert_false(pass_page(b, 2, to)); /* a duplicate */
 	assert_true(pass_page(b, 1, to));
 	assert_same(a, to);
 	roster_free(a);
@@ -123,9 +121,10 @@
 }
 
 /*
- * A gateway that is cut off from the store knows fewer hosts than the others.
- * Were keepers to take whatever they heard last, each view would change their
- * peers, drop connections and count other turns, several times a second.
+ * Guards against sidecars that accept whichever roster came last. A gateway
+ * that is cut off from the store knows fewer hosts than the others: each
+ * desired state would change the sidecars' peers, drop connections and change
+ * the switch schedule, several times a second.
  */
 static void
 test_older_roster_is_not_taken(void **state)
@@ -139,7 +138,8 @@
 	assert_true(roster_is_newer(&new_id, &old_id));
 	assert_false(roster_is_newer(&old_id, &new_id));
 	assert_false(pass_page(fresh, 0, to));
-	assert_false(pass_page(cut_off, 0, to)); /* halfway: no way back */
+	/* Does not interrupt a newer one. */
+	assert_false(pass_page(cut_off, 0, to));
 	assert_true(pass_page(fresh, 1, to));
 	assert_false(pass_page(cut_off, 0, to));
 	assert_same(fresh, to);
@@ -148,8 +148,8 @@
 	roster_free(to);
 }
 
-/* The store's list comes in by pages at one revision: longer is newer. The
- * same peers at another revision are the same roster. */
+/* The store's list is read page by page at one revision: the longer roster
+ * is newer. The same peers at another revision are the same roster. */
 static void
 test_roster_grows_at_one_revision(void **state)
 {
@@ -165,7 +165,7 @@
 	roster_free(r);
 }
 
-/* A page whose counts make no sense changes nothing. */
+/* A page with inconsistent counts has no effect. */
 static void
 test_malformed_page(void **state)
 {
--- a/tests/serve/test_share.c
+++ b/tests/serve/test_share.c
@@ -1,6 +1,7 @@
 /*
- * Free places shared by many entries without a message between them: five
- * regions with seven entries and 41 targets each, of 8 slots and one place more.
+ * Free slots shared by many gateways without messages between them: five
+ * regions of seven gateways and 41 targets each, with 8 slots and one request
+ * beyond them at each target.
  */
 
 #include <setjmp.h>
@@ -15,15 +16,15 @@
 
 #define SECOND 1000000
 #define REGIONS 5
-#define NEAR_TARGETS 41
-#define NEAR_ENTRIES 7
-#define ENTRIES (REGIONS * NEAR_ENTRIES)
+#define LOCAL_TARGETS 41
+#define LOCAL_GATEWAYS 7
+#define GATEWAYS (REGIONS * LOCAL_GATEWAYS)
 #define SLOTS 8
-#define WORDS 400 /* rounds of words about the load */
+#define ROUNDS 400 /* rounds of load reports */
 
 struct fleet {
 	struct tgt_set *set;
-	struct tgt *target[REGIONS * NEAR_TARGETS];
+	struct tgt *target[REGIONS * LOCAL_TARGETS];
 };
 
 static void
@@ -31,7 +32,7 @@
 {
 	struct tgt_policy policy = { .beyond_slots = 1,
 		.remote_cost = 6,
-		.gateways = ENTRIES,
+		.gateways = GATEWAYS,
 		.seed = seed };
 	size_t i;
 
@@ -43,21 +44,22 @@
 		tgt_set_domain(f->set, name, name);
 	}
 	for (i = 0; i < G_N_ELEMENTS(f->target); i++) {
-		struct sv_target says = { .service = "engines",
+		struct sv_target record = { .service = "engines",
 			.slots = SLOTS };
 
-		snprintf(says.id, sizeof(says.id), "e%zu", i);
-		snprintf(says.address, sizeof(says.address), "10.0.%zu.%zu:80",
-		    i / 200, i % 200);
-		snprintf(says.domain, sizeof(says.domain), "r%zu", i % REGIONS);
-		f->target[i] = tgt_put(f->set, &says, 0);
-		f->target[i]->region_gateways = NEAR_ENTRIES;
+		snprintf(record.id, sizeof(record.id), "e%zu", i);
+		snprintf(record.address, sizeof(record.address),
+		    "10.0.%zu.%zu:80", i / 200, i % 200);
+		snprintf(
+		    record.domain, sizeof(record.domain), "r%zu", i % REGIONS);
+		f->target[i] = tgt_put(f->set, &record, 0);
+		f->target[i]->region_gateways = LOCAL_GATEWAYS;
 	}
 }
 
-/* Every side says at `now_us` that `room` places are free. */
+/* Every sidecar reports at `now_us` that `room` slots are free. */
 static void
-say_free(struct fleet *f, unsigned int room, int64_t now_us)
+report_free(struct fleet *f, unsigned int room, int64_t now_us)
 {
 	size_t i;
 
@@ -78,75 +80,77 @@
 }
 
 /*
- * A caller's request crosses regions although a target beside its entry has a
- * free place. With every entry counted as one that sends there, an entry found
- * none of 41 places its own in three of ten moments, and went over thin links.
+ * Guards against requests that cross regions although a target in the gateway's
+ * region has a free slot. When every gateway counted as one that sends to each
+ * target, a gateway found none of 41 slots its own in three of ten moments, and
+ * used the narrow links between regions.
  */
 static void
-test_places_of_the_own_region_are_found(void **state)
+test_local_slots_are_found_first(void **state)
 {
 	struct fleet f;
 	struct tgt *t;
-	unsigned int near = 0;
+	unsigned int local = 0;
 	int64_t i;
 
 	open_fleet(&f, 1);
-	for (i = 1; i <= WORDS; i++) {
-		say_free(&f, 1, i * SECOND);
+	for (i = 1; i <= ROUNDS; i++) {
+		report_free(&f, 1, i * SECOND);
 		t = choose(&f, i * SECOND);
-		near += t != NULL && t->local;
+		local += t != NULL && t->local;
 	}
-	assert_true(near >= WORDS * 95 / 100);
+	assert_true(local >= ROUNDS * 95 / 100);
 	tgt_set_free(f.set);
 }
 
 /*
- * One place is free at a target, and all entries are told at once. On average
- * one of them may take it: the region's own seven and the 28 others together.
+ * One slot is free at a target, and all gateways learn it at once. On average
+ * one of them may take it: of the seven in its region and the 28 others
+ * together.
  */
 static void
-test_a_free_place_is_given_once(void **state)
+test_free_slot_is_taken_once(void **state)
 {
-	struct fleet f[ENTRIES];
+	struct fleet f[GATEWAYS];
 	unsigned int taken = 0;
 	int64_t i;
 	size_t e;
 
-	for (e = 0; e < ENTRIES; e++)
+	for (e = 0; e < GATEWAYS; e++)
 		open_fleet(&f[e], 100 + e);
-	for (i = 1; i <= WORDS; i++) {
-		for (e = 0; e < ENTRIES; e++) {
-			/* The target is near to the first seven. */
-			size_t at = e < NEAR_ENTRIES ? 0 : 1;
+	for (i = 1; i <= ROUNDS; i++) {
+		for (e = 0; e < GATEWAYS; e++) {
+			/* The target is local to the first seven gateways. */
+			size_t at = e < LOCAL_GATEWAYS ? 0 : 1;
 
-			say_free(&f[e], 0, i * SECOND);
+			report_free(&f[e], 0, i * SECOND);
 			tgt_set_load(f[e].target[at], SLOTS, i * SECOND);
 			taken += choose(&f[e], i * SECOND) != NULL;
 		}
 	}
-	assert_in_range(taken, WORDS * 7 / 10, WORDS * 13 / 10);
-	for (e = 0; e < ENTRIES; e++)
+	assert_in_range(taken, ROUNDS * 7 / 10, ROUNDS * 13 / 10);
+	for (e = 0; e < GATEWAYS; e++)
 		tgt_set_free(f[e].set);
 }
 
-/* Callers move to another region: an entry's own targets have no place left,
- * and it finds one elsewhere. */
+/* The load moves to one region: a gateway's local targets have no free slot,
+ * and it finds one in another region. */
 static void
-test_other_regions_take_what_is_over(void **state)
+test_other_regions_take_overflow(void **state)
 {
 	struct fleet f;
-	unsigned int far = 0;
+	unsigned int remote = 0;
 	int64_t i;
 	size_t at;
 
 	open_fleet(&f, 1);
-	for (i = 1; i <= WORDS; i++) {
-		say_free(&f, 3, i * SECOND);
+	for (i = 1; i <= ROUNDS; i++) {
+		report_free(&f, 3, i * SECOND);
 		for (at = 0; at < G_N_ELEMENTS(f.target); at += REGIONS)
 			tgt_set_load(f.target[at], SLOTS + 1, i * SECOND);
-		far += choose(&f, i * SECOND) != NULL;
+		remote += choose(&f, i * SECOND) != NULL;
 	}
-	assert_true(far >= WORDS * 90 / 100);
+	assert_true(remote >= ROUNDS * 90 / 100);
 	tgt_set_free(f.set);
 }
 
@@ -154,9 +158,9 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_places_of_the_own_region_are_found),
-		cmocka_unit_test(test_a_free_place_is_given_once),
-		cmocka_unit_test(test_other_regions_take_what_is_over),
+		cmocka_unit_test(test_local_slots_are_found_first),
+		cmocka_unit_test(test_free_slot_is_taken_once),
+		cmocka_unit_test(test_other_regions_take_overflow),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/serve/test_tgt.c
+++ b/tests/serve/test_tgt.c
@@ -1,4 +1,4 @@
-/* Beliefs about targets, and the choice of one. */
+/* Local state of the targets, and the selection of one. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -35,13 +35,13 @@
 static struct tgt *
 put(const char *id, const char *address, const char *domain)
 {
-	struct sv_target says = { .slots = 4 };
+	struct sv_target record = { .slots = 4 };
 
-	g_strlcpy(says.id, id, sizeof(says.id));
-	g_strlcpy(says.service, "s", sizeof(says.service));
-	g_strlcpy(says.address, address, sizeof(says.address));
-	g_strlcpy(says.domain, domain, sizeof(says.domain));
-	return tgt_put(set, &says, 0);
+	g_strlcpy(record.id, id, sizeof(record.id));
+	g_strlcpy(record.service, "s", sizeof(record.service));
+	g_strlcpy(record.address, address, sizeof(record.address));
+	g_strlcpy(record.domain, domain, sizeof(record.domain));
+	return tgt_put(set, &record, 0);
 }
 
 static struct tgt *
@@ -52,8 +52,8 @@
 	return tgt_choose(set, tgt_service(set, "s"), &wish, now_us, why);
 }
 
-/* What the others have is known from the last word; what this gateway has
- * sent or got back since is added. */
+/* The other gateways' requests are known from the last report; those that
+ * this gateway has sent, or that have ended, since then are added. */
 static void
 test_estimate(void **state)
 {
@@ -62,8 +62,9 @@
 	enum tgt_reason why;
 
 	tgt_sent(t, 0);
-	assert_true(tgt_estimate(t, p, 0) == 3); /* three gateways alike */
-	p->gateways = 1; /* all places are this one's, none is drawn for */
+	/* As much from each of three gateways. */
+	assert_true(tgt_estimate(t, p, 0) == 3);
+	p->gateways = 1; /* a single gateway: no slot is drawn for */
 	tgt_set_load(t, 3, SECOND);
 	assert_true(tgt_estimate(t, p, SECOND) == 3);
 	tgt_sent(t, SECOND);
@@ -79,19 +80,20 @@
 	assert_true(tgt_estimate(t, p, SECOND) == 2);
 }
 
-/* What three gateways send to a target in all, of `words` words about its
- * load that each shows `taken` places taken; the most after one word. */
+/* Number of requests that three gateways send to a target over `reports`
+ * load reports, each with `taken` slots in use; `most` is the largest number
+ * after one report. */
 static unsigned int
-sent_by_three(
-    struct tgt *t, unsigned int words, unsigned int taken, unsigned int *most)
+sent_by_three_gateways(
+    struct tgt *t, unsigned int reports, unsigned int taken, unsigned int *most)
 {
 	struct tgt_policy *p = tgt_set_policy(set);
-	unsigned int word, sum = 0, sent;
+	unsigned int report, sum = 0, sent;
 	int64_t now_us = SECOND;
 	enum tgt_reason why;
 
 	*most = 0;
-	for (word = 0; word < words; word++, now_us += 25000) {
+	for (report = 0; report < reports; report++, now_us += 25000) {
 		sent = 0;
 		for (p->seed = 1; p->seed <= 3; p->seed++) {
 			t->side_report_us = now_us;
@@ -111,53 +113,56 @@
 }
 
 /*
- * An engine comes up empty. All gateways see its places at the same moment;
- * together they must not send it more than it can take before its next word.
+ * An engine comes up without load, and all gateways see its slots at the same
+ * moment: together they must not send more than it can take before its next
+ * report.
  */
 static void
-test_free_places_are_shared(void **state)
+test_free_slots_are_shared(void **state)
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
-	unsigned int most, sum = sent_by_three(t, 300, 0, &most);
+	unsigned int most, sum = sent_by_three_gateways(t, 300, 0, &most);
 
-	assert_in_range(sum, 300 * 9 / 2, 300 * 11 / 2); /* five places */
+	assert_in_range(sum, 300 * 9 / 2, 300 * 11 / 2); /* five slots */
 	assert_in_range(most, 5, 6);
 }
 
 /*
- * All engines are full, and one place becomes free. Every gateway has callers
- * that wait for it; were each to send one, requests would pile up behind the
- * place, and their first tokens come after a second.
+ * All engines are full, and one slot becomes free. Every gateway has waiting
+ * callers: if each sent one request, they would queue behind the slot, and
+ * their first tokens would come after a second.
  */
 static void
-test_a_single_place_is_drawn_for(void **state)
+test_single_slot_is_drawn_for(void **state)
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
-	unsigned int most, sum = sent_by_three(t, 300, 4, &most);
+	unsigned int most, sum = sent_by_three_gateways(t, 300, 4, &most);
 
-	assert_in_range(sum, 240, 360); /* one a word, three without a draw */
+	/* One per report; three without a draw. */
+	assert_in_range(sum, 240, 360);
 }
 
 static void
-test_near_first(void **state)
+test_local_target_first(void **state)
 {
-	struct tgt *near = put("n", "1.1.1.1:1", "near");
-	struct tgt *far = put("f", "1.1.1.2:1", "far");
+	struct tgt *local = put("n", "1.1.1.1:1", "near");
+	struct tgt *remote = put("f", "1.1.1.2:1", "far");
 	enum tgt_reason why;
 
-	tgt_set_load(near, 1, SECOND);
-	tgt_set_load(far, 0, SECOND);
-	assert_ptr_equal(choose(SECOND, true, &why), near);
-	tgt_set_load(near, 4, SECOND);
-	assert_ptr_equal(choose(SECOND, true, &why), far);
+	tgt_set_load(local, 1, SECOND);
+	tgt_set_load(remote, 0, SECOND);
+	assert_ptr_equal(choose(SECOND, true, &why), local);
+	tgt_set_load(local, 4, SECOND);
+	assert_ptr_equal(choose(SECOND, true, &why), remote);
 }
 
 /*
- * A target stops answering. It gets nothing while it rests, then one request
- * shows whether it is back; until that has ended nobody else goes there.
+ * A target stops answering. It gets no requests during its backoff, then one
+ * request probes whether it has recovered; until that has ended it gets no
+ * other.
  */
 static void
-test_rest_and_probe(void **state)
+test_backoff_and_probe(void **state)
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
 	enum tgt_reason why;
@@ -167,7 +172,8 @@
 	assert_null(choose(SECOND, true, &why));
 	assert_int_equal(why, TGT_NONE);
 	later = t->backoff_until_us;
-	assert_null(choose(later, false, &why)); /* first what may repeat */
+	/* At first only repeatable requests. */
+	assert_null(choose(later, false, &why));
 	assert_ptr_equal(choose(later, true, &why), t);
 	tgt_sent(t, later);
 	assert_null(choose(later, true, &why));
@@ -181,9 +187,9 @@
 	assert_ptr_equal(choose(later, false, &why), t);
 }
 
-/* Many requests that fail at the same moment are one failure. */
+/* Many requests that fail at the same moment count as one failure. */
 static void
-test_failures_together(void **state)
+test_concurrent_failures(void **state)
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
 	int i;
@@ -193,7 +199,7 @@
 	assert_int_equal(t->failures, 1);
 }
 
-/* A target that answers with failures while others do not gets less. */
+/* A target with more failures than others gets fewer requests. */
 static void
 test_failing_target(void **state)
 {
@@ -212,9 +218,9 @@
 }
 
 /*
- * An engine that changes its version cuts the streams that it has. Its side
- * said so before; were they counted as failures, the engine would come up on
- * the new version and get fewer requests than the others for many answers.
+ * Guards against counting the cuts of a planned load as failures: an engine
+ * that switches version cuts its streams, which its sidecar announced, and
+ * would then get fewer requests than the others for many answers.
  */
 static void
 test_cut_by_a_planned_load(void **state)
@@ -232,12 +238,12 @@
 }
 
 /*
- * Entries lapse while the store is away, though the targets live: they write
- * again within two seconds of its return. Until then they are kept; those told
- * to be gone are not, nor those that were leaving.
+ * Records expire during a store outage, although the targets are up and publish
+ * them again within two seconds of its end. They are retained until then; not
+ * those that an event removed, nor those that were leaving.
  */
 static void
-test_lapsed_targets(void **state)
+test_expired_targets(void **state)
 {
 	enum tgt_reason why;
 
@@ -256,97 +262,98 @@
 	assert_null(tgt_find(set, "a"));
 }
 
-/* An address passes on to another target: the one before is no more, also for
- * requests that still refer to it. */
+/* An address is taken over by another target: the previous one is dropped,
+ * also for requests that still refer to it. */
 static void
-test_address_used_again(void **state)
+test_address_reused(void **state)
 {
-	struct tgt *before = tgt_ref(put("a", "1.1.1.1:1", "near"));
+	struct tgt *previous = tgt_ref(put("a", "1.1.1.1:1", "near"));
 	struct tgt *now = put("b", "1.1.1.1:1", "near");
 
 	assert_null(tgt_find(set, "a"));
 	assert_ptr_equal(tgt_by_address(set, "1.1.1.1:1"), now);
-	assert_true(before->dropped);
-	tgt_unref(before);
+	assert_true(previous->dropped);
+	tgt_unref(previous);
 }
 
-/* What target "a" says of itself, by its own start time. */
+/* Publishes the record of target "a", with its start time. */
 static struct tgt *
 put_started(int64_t born_ms, int64_t version, int64_t now_us)
 {
-	struct sv_target says = { .slots = 4,
+	struct sv_target record = { .slots = 4,
 		.has_models = true,
 		.start_ms = born_ms,
 		.model_version = version };
 
-	g_strlcpy(says.id, "a", sizeof(says.id));
-	g_strlcpy(says.service, "s", sizeof(says.service));
-	g_strlcpy(says.address, "1.1.1.1:1", sizeof(says.address));
-	g_strlcpy(says.domain, "near", sizeof(says.domain));
-	g_strlcpy(says.model, "m", sizeof(says.model));
-	return tgt_put(set, &says, now_us);
+	g_strlcpy(record.id, "a", sizeof(record.id));
+	g_strlcpy(record.service, "s", sizeof(record.service));
+	g_strlcpy(record.address, "1.1.1.1:1", sizeof(record.address));
+	g_strlcpy(record.domain, "near", sizeof(record.domain));
+	g_strlcpy(record.model, "m", sizeof(record.model));
+	return tgt_put(set, &record, now_us);
 }
 
 /*
- * An engine crashes under load and starts again under its id, faster than
- * anybody could miss it. Believed to be the one before, it would be rested for
- * that one's failures, counted as full of that one's requests, and sent
- * requests for weights that it no longer holds.
+ * Guards against taking an engine that crashed and restarted quickly under its
+ * id for the previous one: it would be in backoff for that one's failures,
+ * count as full with that one's requests, and get requests for weights that it
+ * no longer has.
  */
 static void
-test_a_target_that_started_again_is_another(void **state)
+test_restarted_target_is_a_new_one(void **state)
 {
-	struct tgt *before = tgt_ref(put_started(1000, 3, 0));
+	struct tgt *previous = tgt_ref(put_started(1000, 3, 0));
 	struct tgt *now;
 
-	tgt_sent(before, 0);
-	tgt_set_load(before, 4, 0);
-	tgt_outcome(before, TGT_LOST, 0);
-	assert_ptr_equal(put_started(1000, 3, 1), before);
+	tgt_sent(previous, 0);
+	tgt_set_load(previous, 4, 0);
+	tgt_outcome(previous, TGT_LOST, 0);
+	assert_ptr_equal(put_started(1000, 3, 1), previous);
 	now = put_started(2000, 0, 2);
-	assert_ptr_not_equal(now, before);
-	assert_true(before->dropped);
+	assert_ptr_not_equal(now, previous);
+	assert_true(previous->dropped);
 	assert_int_equal(now->failures, 0);
 	assert_int_equal(now->local_inflight, 0);
 	assert_int_equal(now->version, 0);
 	assert_int_equal(now->service->ntargets, 1);
 	assert_ptr_equal(tgt_by_address(set, "1.1.1.1:1"), now);
-	tgt_ended(before, 3); /* the request that went to the one before */
-	tgt_unref(before);
+	/* The request that was sent to the previous start. */
+	tgt_ended(previous, 3);
+	tgt_unref(previous);
 }
 
 /*
- * The side tells of the new start before the store's entry has changed; an
- * entry that the one before wrote late must not bring that one back. When the
- * side is not heard the entry decides, also after a clock that was set back.
+ * The sidecar reports the new start before the store's record changes; a record
+ * that the previous start wrote late must not restore that one. If the sidecar
+ * is not responding the record decides, also after a clock was set back.
  */
 static void
-test_who_tells_of_a_new_start(void **state)
+test_source_of_a_new_start(void **state)
 {
 	struct tgt *t = put_started(1000, 3, 0);
-	struct tgt *again;
+	struct tgt *restarted;
 
 	assert_ptr_equal(tgt_side_started(set, t, 1000), t);
 	assert_ptr_equal(tgt_side_started(set, t, 0), t);
 	tgt_ref(t);
-	again = tgt_side_started(set, t, 2000);
-	assert_ptr_not_equal(again, t);
+	restarted = tgt_side_started(set, t, 2000);
+	assert_ptr_not_equal(restarted, t);
 	tgt_unref(t);
-	again->side_report_us = SECOND;
-	assert_ptr_equal(put_started(1000, 3, SECOND), again);
-	assert_ptr_equal(tgt_side_started(set, again, 2000), again);
-	tgt_ref(again);
-	assert_ptr_not_equal(put_started(1500, 3, 9 * SECOND), again);
-	tgt_unref(again);
+	restarted->side_report_us = SECOND;
+	assert_ptr_equal(put_started(1000, 3, SECOND), restarted);
+	assert_ptr_equal(tgt_side_started(set, restarted, 2000), restarted);
+	tgt_ref(restarted);
+	assert_ptr_not_equal(put_started(1500, 3, 9 * SECOND), restarted);
+	tgt_unref(restarted);
 }
 
-/* An entry of a service that nobody knows bears a good target's address. */
+/* A record of an unknown service has the address of a valid target. */
 static void
-test_an_unknown_service_takes_no_address(void **state)
+test_unknown_service_takes_no_address(void **state)
 {
 	struct sv_service known = { .name = (char *)"s" };
 	struct sv_config config = { .services = &known, .nservices = 1 };
-	struct sv_target says = { .id = "x",
+	struct sv_target record = { .id = "x",
 		.service = "unknown",
 		.address = "1.1.1.1:1",
 		.slots = 1 };
@@ -354,7 +361,7 @@
 
 	tgt_configure(set, &config);
 	t = put("a", "1.1.1.1:1", "near");
-	tgt_put(set, &says, 0);
+	tgt_put(set, &record, 0);
 	assert_ptr_equal(tgt_find(set, "a"), t);
 	assert_ptr_equal(tgt_by_address(set, "1.1.1.1:1"), t);
 }
@@ -374,8 +381,9 @@
 	t->version = 2;
 	assert_ptr_equal(
 	    tgt_choose(set, tgt_service(set, "s"), &wish, 0, &why), t);
-	/* It has just come up on what is about to be past its due: all
-	 * gateways send to it at once, and the last would begin too late. */
+	/* It has just come up with a version close to its deadline: all
+	 * gateways send to it at once, and the last request would begin too
+	 * late. */
 	tgt_set_side_down(t, true, 0);
 	tgt_set_side_down(t, false, SECOND);
 	wish.version_fresh = 3;
@@ -394,18 +402,18 @@
 #define T(f) cmocka_unit_test_setup_teardown(f, set_up, tear_down)
 	const struct CMUnitTest tests[] = {
 		T(test_estimate),
-		T(test_free_places_are_shared),
-		T(test_a_single_place_is_drawn_for),
-		T(test_near_first),
-		T(test_rest_and_probe),
-		T(test_failures_together),
+		T(test_free_slots_are_shared),
+		T(test_single_slot_is_drawn_for),
+		T(test_local_target_first),
+		T(test_backoff_and_probe),
+		T(test_concurrent_failures),
 		T(test_failing_target),
 		T(test_cut_by_a_planned_load),
-		T(test_lapsed_targets),
-		T(test_address_used_again),
-		T(test_a_target_that_started_again_is_another),
-		T(test_who_tells_of_a_new_start),
-		T(test_an_unknown_service_takes_no_address),
+		T(test_expired_targets),
+		T(test_address_reused),
+		T(test_restarted_target_is_a_new_one),
+		T(test_source_of_a_new_start),
+		T(test_unknown_service_takes_no_address),
 		T(test_only_loaded_versions),
 	};
 
