--- a/tests/stage/test_stage.c
+++ b/tests/stage/test_stage.c
@@ -1,4 +1,4 @@
-/* What a keeper does next for its engine. */
+/* Next step of a sidecar for its engine. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,7 +23,7 @@
 }
 
 static void
-test_an_empty_engine_loads_at_once(void **state)
+test_empty_engine_loads_at_once(void **state)
 {
 	struct stg_state s = { .wanted = 1, .up = true };
 
@@ -35,7 +35,8 @@
 	s.complete = true;
 	assert_int_equal(stg_next(&s, 0), STG_PUT);
 	s.staged = true;
-	s.switch_us = 100 * SECOND; /* not waited for: nothing is lost */
+	/* Not waited for: the engine serves nothing. */
+	s.switch_us = 100 * SECOND;
 	assert_int_equal(stg_next(&s, SECOND), STG_CHECK);
 	s.checked_us = SECOND;
 	assert_int_equal(stg_next(&s, SECOND), STG_ORDER);
@@ -46,12 +47,13 @@
 }
 
 /*
- * Pieces in the staging place rot without notice, and the engine loads them
- * as they are: callers would get answers of spoilt weights. A check that has
- * grown old while the engine waited for its turn is made again.
+ * Guards against loading chunks that became corrupt in the staging area after
+ * their check: the engine loads them as they are, and callers would get answers
+ * from corrupt weights. A check that is too old when the engine's switch time
+ * comes is repeated.
  */
 static void
-test_an_old_check_does_not_count(void **state)
+test_old_check_is_repeated(void **state)
 {
 	struct stg_state s = serving();
 
@@ -62,7 +64,7 @@
 }
 
 static void
-test_a_serving_engine_waits_for_its_turn(void **state)
+test_serving_engine_waits_for_its_switch_time(void **state)
 {
 	struct stg_state s = serving();
 
@@ -74,13 +76,14 @@
 }
 
 /*
- * Callers meet full engines everywhere while one that changes its version
- * stands almost empty: it takes nothing new and waits for its longest request.
- * Where cut requests go on elsewhere, gateways leave the engine alone first,
- * and the order comes when few requests are left, or after a while.
+ * Guards against engines that are almost empty during a switch of version while
+ * all others are full: such an engine takes no new requests and waits for its
+ * longest one. Where cut requests continue elsewhere, gateways first send it
+ * nothing more, and the order comes when few requests are left, or after a
+ * while.
  */
 static void
-test_an_engine_is_closed_before_its_requests_are_cut(void **state)
+test_engine_drains_before_its_requests_are_cut(void **state)
 {
 	struct stg_state s = serving();
 
@@ -92,7 +95,7 @@
 	assert_int_equal(stg_next(&s, SECOND + STG_DRAIN_US), STG_CHECK);
 	s.running = 2;
 	assert_int_equal(stg_next(&s, SECOND + 1000), STG_CHECK);
-	/* Nothing to cut, or nothing that may be. */
+	/* Nothing to cut, or nothing that may be cut. */
 	s.drain_us = 0;
 	s.running = 0;
 	assert_int_equal(stg_next(&s, SECOND), STG_CHECK);
@@ -102,7 +105,7 @@
 }
 
 static void
-test_orders_that_are_refused_or_lost(void **state)
+test_refused_and_lost_orders(void **state)
 {
 	struct stg_state s = serving();
 
@@ -119,7 +122,7 @@
 }
 
 static void
-test_nothing_while_the_engine_is_away(void **state)
+test_nothing_while_the_engine_is_down(void **state)
 {
 	struct stg_state s = serving();
 
@@ -132,10 +135,10 @@
 	assert_int_equal(stg_next(&s, 0), STG_IDLE);
 }
 
-/* Beside an engine that has the version its pieces are taken from the staging
- * place, for other keepers. */
+/* If the engine has loaded the version, its chunks are read from the staging
+ * area, for other sidecars. */
 static void
-test_a_loaded_engine_is_a_source(void **state)
+test_loaded_engine_is_a_source(void **state)
 {
 	struct stg_state s = { .wanted = 1, .up = true, .loaded = 1 };
 
@@ -146,90 +149,93 @@
 	assert_int_equal(stg_next(&s, 0), STG_DONE);
 }
 
-/* Engines change one after the other, the last well before the due time. */
+/* Engines switch one after the other, the last well before the deadline. */
 static void
-test_turns_are_spread(void **state)
+test_switch_times_are_spread(void **state)
 {
-	struct stg_schedule q = {
+	struct stg_schedule s = {
 		.announced_us = 10 * SECOND, .deadline_us = 18 * SECOND, .n = 20
 	};
-	int64_t before = 0, turn;
+	int64_t last_us = 0, switch_us;
 
-	for (q.rank = 0; q.rank < q.n; q.rank++) {
-		turn = stg_switch_us(&q);
-		assert_true(turn > before);
-		assert_true(turn < 17.5 * SECOND);
-		before = turn;
+	for (s.rank = 0; s.rank < s.n; s.rank++) {
+		switch_us = stg_switch_us(&s);
+		assert_true(switch_us > last_us);
+		assert_true(switch_us < 17.5 * SECOND);
+		last_us = switch_us;
 	}
-	q.rank = 3;
-	q.deadline_us = 12 * SECOND;
-	assert_int_equal(stg_switch_us(&q), 10 * SECOND);
-	q.deadline_us = 0;
-	before = stg_switch_us(&q);
-	q.rank++;
-	assert_true(stg_switch_us(&q) > before);
+	s.rank = 3;
+	s.deadline_us = 12 * SECOND;
+	assert_int_equal(stg_switch_us(&s), 10 * SECOND);
+	s.deadline_us = 0;
+	last_us = stg_switch_us(&s);
+	s.rank++;
+	assert_true(stg_switch_us(&s) > last_us);
 }
 
 /*
- * Callers are refused by the hundred when nearly all engines change version in
- * the same second. Versions 2 and 3 were named four seconds apart: engines
- * with 1 must have left it before 2 is due; those that took 2 meanwhile have
- * until 3 is due, and wait until the others are through.
+ * Guards against nearly all engines switching in the same second, when callers
+ * are refused by the hundred. Versions 2 and 3 were announced four seconds
+ * apart: engines with 1 must switch before the deadline of 2; those that
+ * switched to 2 meanwhile have until the deadline of 3, and wait until the
+ * others have switched.
  */
 static void
-test_engines_with_more_time_go_later(void **state)
+test_engines_with_later_deadlines_switch_later(void **state)
 {
-	struct stg_deadlines dues = { 0 };
-	struct stg_schedule q = { .announced_us = 24 * SECOND, .n = 20 };
+	struct stg_deadlines deadlines = { 0 };
+	struct stg_schedule s = { .announced_us = 24 * SECOND, .n = 20 };
 	int64_t last_of_first;
 
-	stg_deadlines_add(&dues, 2, 30 * SECOND);
-	stg_deadlines_add(&dues, 3, 34 * SECOND);
-	stg_deadlines_add(&dues, 3, 99 * SECOND); /* heard again: no news */
-	q.deadline_us = stg_deadlines_expiry(&dues, 1);
-	q.others_us = stg_deadlines_of(&dues, 1);
-	assert_int_equal(q.deadline_us, 30 * SECOND);
-	assert_int_equal(q.others_us, 0);
-	q.rank = 19;
-	last_of_first = stg_switch_us(&q);
+	stg_deadlines_add(&deadlines, 2, 30 * SECOND);
+	stg_deadlines_add(&deadlines, 3, 34 * SECOND);
+	/* A repeated announcement has no effect. */
+	stg_deadlines_add(&deadlines, 3, 99 * SECOND);
+	s.deadline_us = stg_deadlines_expiry(&deadlines, 1);
+	s.others_us = stg_deadlines_of(&deadlines, 1);
+	assert_int_equal(s.deadline_us, 30 * SECOND);
+	assert_int_equal(s.others_us, 0);
+	s.rank = 19;
+	last_of_first = stg_switch_us(&s);
 	assert_true(last_of_first < 29.5 * SECOND);
-	q.deadline_us = stg_deadlines_expiry(&dues, 2);
-	q.others_us = stg_deadlines_of(&dues, 2);
-	q.rank = 0;
-	assert_true(stg_switch_us(&q) > last_of_first);
-	q.rank = 19;
-	assert_true(stg_switch_us(&q) < 33.5 * SECOND);
-	assert_int_equal(stg_deadlines_expiry(&dues, 3), 0);
+	s.deadline_us = stg_deadlines_expiry(&deadlines, 2);
+	s.others_us = stg_deadlines_of(&deadlines, 2);
+	s.rank = 0;
+	assert_true(stg_switch_us(&s) > last_of_first);
+	s.rank = 19;
+	assert_true(stg_switch_us(&s) < 33.5 * SECOND);
+	assert_int_equal(stg_deadlines_expiry(&deadlines, 3), 0);
 }
 
 static void
-test_only_the_last_due_times_are_kept(void **state)
+test_only_the_last_deadlines_are_retained(void **state)
 {
-	struct stg_deadlines dues = { 0 };
+	struct stg_deadlines deadlines = { 0 };
 	int64_t v;
 
 	for (v = 2; v < 20; v++)
-		stg_deadlines_add(&dues, v, v * SECOND);
-	assert_int_equal(
-	    stg_deadlines_expiry(&dues, 1), (20 - STG_DEADLINES_MAX) * SECOND);
-	assert_int_equal(stg_deadlines_expiry(&dues, 18), 19 * SECOND);
+		stg_deadlines_add(&deadlines, v, v * SECOND);
+	assert_int_equal(stg_deadlines_expiry(&deadlines, 1),
+	    (20 - STG_DEADLINES_MAX) * SECOND);
+	assert_int_equal(stg_deadlines_expiry(&deadlines, 18), 19 * SECOND);
 }
 
 /*
- * All keepers start at once and are told what is wanted a moment before they
- * are told who else there is. Each would take itself for the first and read the
- * digests from the origin, whose link they all need for the pieces.
+ * All sidecars start at once and learn the wanted version a moment before the
+ * other sidecars. Guards against each taking itself for the first and reading
+ * the digests from the origin, whose link they all need for the chunks.
  */
 static void
-test_who_reads_digests(void **state)
+test_digest_readers(void **state)
 {
 	struct stg_digests d = { .asked_us = 10 * SECOND };
 
 	assert_true(stg_digests_read_us(&d) > 10 * SECOND + SECOND / 2);
 	d.members = 204;
 	d.ahead = 3;
-	assert_int_equal(stg_digests_read_us(&d), 0); /* one of the few */
-	d.backoff_until_us = 11 * SECOND; /* the origin failed it */
+	/* One of the few readers. */
+	assert_int_equal(stg_digests_read_us(&d), 0);
+	d.backoff_until_us = 11 * SECOND; /* a read from the origin failed */
 	assert_int_equal(stg_digests_read_us(&d), 11 * SECOND);
 	d.ahead = 4;
 	assert_true(stg_digests_read_us(&d) > 10 * SECOND + SECOND / 2);
@@ -238,25 +244,26 @@
 }
 
 static void
-test_the_one_named_before(void **state)
+test_version_announced_before(void **state)
 {
-	struct stg_deadlines dues = { 0 };
-	int64_t due_us = 0;
-
-	assert_int_equal(stg_deadlines_before(&dues, 5, &due_us), 0);
-	stg_deadlines_add(&dues, 3, 7 * SECOND);
-	stg_deadlines_add(&dues, 5, 9 * SECOND);
-	assert_int_equal(stg_deadlines_before(&dues, 3, &due_us), 0);
-	assert_int_equal(stg_deadlines_before(&dues, 5, &due_us), 3);
-	assert_int_equal(due_us, 7 * SECOND);
+	struct stg_deadlines deadlines = { 0 };
+	int64_t deadline_us = 0;
+
+	assert_int_equal(stg_deadlines_before(&deadlines, 5, &deadline_us), 0);
+	stg_deadlines_add(&deadlines, 3, 7 * SECOND);
+	stg_deadlines_add(&deadlines, 5, 9 * SECOND);
+	assert_int_equal(stg_deadlines_before(&deadlines, 3, &deadline_us), 0);
+	assert_int_equal(stg_deadlines_before(&deadlines, 5, &deadline_us), 3);
+	assert_int_equal(deadline_us, 7 * SECOND);
 }
 
 /*
- * After the store's return two versions are heard of within moments. Fetched
- * first, the older one holds the newest up by seconds, and is never loaded.
+ * At the end of a store outage two versions are announced within moments. If
+ * the older one were fetched first, it would delay the newest by seconds and
+ * never be loaded.
  */
 static void
-test_an_older_version_heard_of_together(void **state)
+test_versions_announced_together(void **state)
 {
 	struct stg_overlap r = { .loaded = 1,
 		.older_left = 5,
@@ -275,16 +282,16 @@
 }
 
 /*
- * Both versions were on their way when the origin went away for six seconds;
- * it is back 0.5 s after the older one was due, so every engine stands idle.
- * Five of 96 pieces of the older one are left: 0.1 s, and engines serve until
- * the newest is due. With half of it left they would hardly serve before that,
- * and the newest would come a second later.
+ * Both versions were being distributed when the origin went down for six
+ * seconds; it returns 0.5 s after the older one's deadline, so every engine is
+ * idle. Five of 96 chunks of the older one are missing: 0.1 s, and engines
+ * serve until the newest's deadline. With half of it missing they would hardly
+ * serve before that, and the newest would come a second later.
  */
 static void
-test_an_overdue_version_that_is_almost_here(void **state)
+test_almost_complete_version_past_its_deadline(void **state)
 {
-	/* Of the newest not even the digests are known. */
+	/* Not even the digests of the newest are known. */
 	struct stg_overlap r = { .older_left = 5,
 		.older_total = 96,
 		.older_deadline_us = 26 * SECOND,
@@ -300,12 +307,12 @@
 }
 
 /*
- * An engine that passes over the older version changes with all others that
- * did, in the moments between the newest's arrival and the older one's due
- * time. Where its turn comes before the newest can be here it takes the older.
+ * An engine that skips the older version switches with all others that did,
+ * between the newest's arrival and the older one's deadline. If its switch time
+ * comes before the newest can arrive it takes the older one.
  */
 static void
-test_a_turn_before_the_newest_is_used(void **state)
+test_switch_before_the_newest_arrives(void **state)
 {
 	struct stg_overlap r = { .older_complete = true,
 		.loaded = 1,
@@ -322,12 +329,12 @@
 }
 
 /*
- * Two versions are named two seconds apart, then the origin goes away. The
- * engine must not wait for the second beyond the moment from which what it
- * holds may not serve, when the first is whole beside it.
+ * Two versions are announced two seconds apart, then the origin goes down. If
+ * the first is complete on its host, the engine must not wait for the second
+ * past the deadline of what it has loaded.
  */
 static void
-test_the_older_version_when_the_newest_is_late(void **state)
+test_older_version_when_the_newest_is_late(void **state)
 {
 	struct stg_overlap r = { .older_complete = true,
 		.loaded = 1,
@@ -338,7 +345,7 @@
 		.total = 64 };
 
 	assert_false(stg_prefers_older(&r, 13 * SECOND));
-	/* In time: the change to the older would cost more. */
+	/* In time: switching to the older one would cost more. */
 	r.have = 60;
 	assert_false(stg_prefers_older(&r, 15 * SECOND));
 	r.have = 0;
@@ -347,9 +354,9 @@
 	assert_false(stg_prefers_older(&r, 16 * SECOND));
 }
 
-/* An engine that holds nothing serves with whatever comes first. */
+/* An engine with nothing loaded serves whichever version comes first. */
 static void
-test_an_empty_engine_takes_the_older(void **state)
+test_empty_engine_takes_the_older(void **state)
 {
 	struct stg_overlap r = { .older_complete = true,
 		.loaded = 0,
@@ -366,25 +373,26 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_an_empty_engine_loads_at_once),
-		cmocka_unit_test(test_an_old_check_does_not_count),
-		cmocka_unit_test(test_a_serving_engine_waits_for_its_turn),
+		cmocka_unit_test(test_empty_engine_loads_at_once),
+		cmocka_unit_test(test_old_check_is_repeated),
+		cmocka_unit_test(test_serving_engine_waits_for_its_switch_time),
+		cmocka_unit_test(
+		    test_engine_drains_before_its_requests_are_cut),
+		cmocka_unit_test(test_refused_and_lost_orders),
+		cmocka_unit_test(test_nothing_while_the_engine_is_down),
+		cmocka_unit_test(test_loaded_engine_is_a_source),
+		cmocka_unit_test(test_switch_times_are_spread),
 		cmocka_unit_test(
-		    test_an_engine_is_closed_before_its_requests_are_cut),
-		cmocka_unit_test(test_orders_that_are_refused_or_lost),
-		cmocka_unit_test(test_nothing_while_the_engine_is_away),
-		cmocka_unit_test(test_a_loaded_engine_is_a_source),
-		cmocka_unit_test(test_turns_are_spread),
-		cmocka_unit_test(test_engines_with_more_time_go_later),
-		cmocka_unit_test(test_only_the_last_due_times_are_kept),
-		cmocka_unit_test(test_who_reads_digests),
-		cmocka_unit_test(test_the_one_named_before),
-		cmocka_unit_test(test_an_older_version_heard_of_together),
-		cmocka_unit_test(test_an_overdue_version_that_is_almost_here),
-		cmocka_unit_test(test_a_turn_before_the_newest_is_used),
+		    test_engines_with_later_deadlines_switch_later),
+		cmocka_unit_test(test_only_the_last_deadlines_are_retained),
+		cmocka_unit_test(test_digest_readers),
+		cmocka_unit_test(test_version_announced_before),
+		cmocka_unit_test(test_versions_announced_together),
 		cmocka_unit_test(
-		    test_the_older_version_when_the_newest_is_late),
-		cmocka_unit_test(test_an_empty_engine_takes_the_older),
+		    test_almost_complete_version_past_its_deadline),
+		cmocka_unit_test(test_switch_before_the_newest_arrives),
+		cmocka_unit_test(test_older_version_when_the_newest_is_late),
+		cmocka_unit_test(test_empty_engine_takes_the_older),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/store/test_store.c
+++ b/tests/store/test_store.c
@@ -1,11 +1,11 @@
-/* A mirror of the store: paging, watching, lost history, silence. */
+/* A cache of the store: paging, watching, lost history, stalled connections. */
 
 #include "../http/loop.h"
 
 #include "store/store.h"
 
-/* A tiny store: lines "NAME REVISION [-]" instead of the deployment's form,
- * after a line "at REVISION [more]". */
+/* A minimal store: lines "NAME REVISION [-]" instead of the deployment's
+ * format, after a line "at REVISION [more]". */
 static char *
 list_path(const struct store_kind *kind, const char *after)
 {
@@ -27,7 +27,7 @@
 	char *text = g_strndup(body, len);
 	char **lines = g_strsplit(text, "\n", -1);
 	struct store_item item;
-	char **words;
+	char **fields;
 	int i;
 
 	g_free(text);
@@ -39,16 +39,17 @@
 	out->revision = g_ascii_strtoll(lines[0] + 3, NULL, 10);
 	out->more = strstr(lines[0], "more") != NULL;
 	for (i = 1; lines[i] != NULL && lines[i][0] != '\0'; i++) {
-		words = g_strsplit(lines[i], " ", -1);
-		item = (struct store_item){ .name = g_strdup(words[0]),
-			.revision = g_ascii_strtoll(words[1], NULL, 10),
-			.removed = words[2] != NULL };
-		if (!item.removed && words[0][0] != '?')
-			item.value = g_strdup(words[0]);
-		if (words[0][0] == '?') /* "?NAME": NAME cannot be read */
+		fields = g_strsplit(lines[i], " ", -1);
+		item = (struct store_item){ .name = g_strdup(fields[0]),
+			.revision = g_ascii_strtoll(fields[1], NULL, 10),
+			.removed = fields[2] != NULL };
+		if (!item.removed && fields[0][0] != '?')
+			item.value = g_strdup(fields[0]);
+		/* "?NAME": the object NAME is unreadable. */
+		if (fields[0][0] == '?')
 			memmove(item.name, item.name + 1, strlen(item.name));
 		g_array_append_vals(out->items, &item, 1);
-		g_strfreev(words);
+		g_strfreev(fields);
 	}
 	g_strfreev(lines);
 	/* cppcheck-suppress memleak ; the page has the items now */
@@ -68,11 +69,11 @@
 static struct hserver *server;
 static struct hlimits limits = { 8192, 8192, 5000000, 5000000 };
 static struct store *store;
-static struct store_cache *store_cache;
+static struct store_cache *cache;
 static struct ctr_set *counters;
-static struct hreq *call; /* that waits for the test's answer */
+static struct hreq *call; /* waits for the test's answer */
 static bool called, up;
-static GString *seen; /* what the mirror told, in order */
+static GString *events; /* what the cache reported, in order */
 
 static void
 on_request(struct hreq *r, void *ctx)
@@ -107,30 +108,30 @@
 static void
 on_put(const char *name, void *value, void *ctx)
 {
-	g_string_append_printf(seen, "+%s ", name);
+	g_string_append_printf(events, "+%s ", name);
 	g_free(value);
 }
 
 static void
-on_removed(const char *name, bool lapsed, void *ctx)
+on_removed(const char *name, bool expired, void *ctx)
 {
-	g_string_append_printf(seen, "%s%s ", lapsed ? "?" : "-", name);
+	g_string_append_printf(events, "%s%s ", expired ? "?" : "-", name);
 }
 
 static void
 on_synced(void *ctx)
 {
-	g_string_append(seen, "| ");
+	g_string_append(events, "| ");
 }
 
 static void
 on_link(bool is_up, const char *why, void *ctx)
 {
 	up = is_up;
-	g_string_append(seen, is_up ? "up " : "down ");
+	g_string_append(events, is_up ? "up " : "down ");
 }
 
-static const struct store_cache_ops store_cache_ops = {
+static const struct store_cache_ops cache_ops = {
 	.put = on_put,
 	.removed = on_removed,
 	.synced = on_synced,
@@ -180,9 +181,9 @@
 	    .head_bytes = 4096 });
 	server = open_server(address, &ops);
 	store = open_store(address);
-	seen = g_string_new(NULL);
+	events = g_string_new(NULL);
 	called = false;
-	store_cache = store_cache_new(store, &kind, &store_cache_ops, NULL);
+	cache = store_cache_new(store, &kind, &cache_ops, NULL);
 	return 0;
 }
 
@@ -195,11 +196,12 @@
 	hpool_free(pool);
 	ctr_set_free(counters);
 	evl_free(loop);
-	g_string_free(seen, TRUE);
+	g_string_free(events, TRUE);
 	return 0;
 }
 
-/* Waits for the mirror's next call, whose path holds `part`; answers it. */
+/* Waits for the cache's next call, whose path must contain `part`, and
+ * answers it. */
 static void
 answer(const char *part, unsigned int status, const char *body)
 {
@@ -220,33 +222,33 @@
 {
 	answer("after=", 200, "at 7 more\na 3\nb 5\n");
 	answer("after=b", 200, "at 9\nc 8\n");
-	assert_string_equal(seen->str, "+a +b +c | ");
-	/* From the first page's revision: what changed between the pages
-	 * comes again and is passed over. */
+	assert_string_equal(events->str, "+a +b +c | ");
+	/* From the first page's revision: changes made between the pages
+	 * come again and are ignored. */
 	answer("watch=7", 200, "at 10\nc 8\na 9\nb 10 -\n");
-	assert_string_equal(seen->str, "+a +b +c | +a -b ");
+	assert_string_equal(events->str, "+a +b +c | +a -b ");
 	answer("watch=10", 200, "at 10\n");
 	answer("watch=10", 200, "at 11\nd 11\n");
-	assert_string_equal(seen->str, "+a +b +c | +a -b +d ");
+	assert_string_equal(events->str, "+a +b +c | +a -b +d ");
 }
 
-/* Some target of hundreds changes all the time. A watch begins only when what
- * changes together has gathered, so that it is paid for as one call. */
+/* With hundreds of targets some record changes all the time. A watch begins
+ * only after the batch delay, so that changes close together cost one call. */
 static void
-test_changes_gather(void **state)
+test_changes_are_batched(void **state)
 {
 	int64_t begun_us;
 
-	store_cache_set_batch_delay(store_cache, 200000);
+	store_cache_set_batch_delay(cache, 200000);
 	answer("after=", 200, "at 7\na 3\n");
 	begun_us = clk_now_us(clk_system());
 	answer("watch=7", 200, "at 9\na 8\nb 9\n");
 	assert_true(clk_now_us(clk_system()) - begun_us >= 150000);
-	assert_string_equal(seen->str, "+a | +a +b ");
+	assert_string_equal(events->str, "+a | +a +b ");
 }
 
-/* The history is gone: all is listed anew. What is missing then is told as
- * such, and what an older answer says is not believed. */
+/* The history is gone, and all is listed again. What is missing then is
+ * reported as expired; a stale answer is ignored. */
 static void
 test_history_gone(void **state)
 {
@@ -254,16 +256,14 @@
 	answer("watch=5", 410, "");
 	answer("after=", 200, "at 4\na 2\n"); /* a stale answer */
 	answer("after=", 200, "at 8\na 3\nc 8\n");
-	assert_string_equal(seen->str, "+a +b | down up +c ?b | ");
+	assert_string_equal(events->str, "+a +b | down up +c ?b | ");
 	answer("watch=8", 200, "at 8\n");
 }
 
-/*
- * The store refuses, then answers again. What is known stays meanwhile; the
- * watch goes on from where it was.
- */
+/* The store refuses calls, then answers again. The cached state stays
+ * meanwhile; the watch continues from its revision. */
 static void
-test_refused_for_a_while(void **state)
+test_refused_calls(void **state)
 {
 	answer("after=", 200, "at 5\na 3\n");
 	answer("watch=5", 503, "");
@@ -271,53 +271,51 @@
 	assert_false(up);
 	answer("watch=5", 200, "at 6\nb 6\n");
 	assert_true(up);
-	assert_string_equal(seen->str, "+a | down up +b ");
+	assert_string_equal(events->str, "+a | down up +b ");
 	answer("watch=6", 200, "not a page");
 	answer("watch=6", 200, "at 7\nc 7\n");
-	assert_string_equal(seen->str, "+a | down up +b down up +c ");
+	assert_string_equal(events->str, "+a | down up +b down up +c ");
 }
 
 /*
- * An entry that was good is overwritten by something else. What it said before
- * is not believed any longer, the others hold, and it counts again as soon as
- * it can be read.
+ * A valid object is overwritten with something unreadable. Its previous value
+ * no longer counts, other objects are unaffected, and it counts again as soon
+ * as it is readable.
  */
 static void
-test_an_entry_that_can_no_longer_be_read(void **state)
+test_object_becomes_unreadable(void **state)
 {
 	answer("after=", 200, "at 5\na 3\n?b 4\nc 4\n");
-	assert_string_equal(seen->str, "+a +c | ");
+	assert_string_equal(events->str, "+a +c | ");
 	answer("watch=5", 200, "at 6\n?a 6\n");
-	assert_string_equal(seen->str, "+a +c | -a ");
+	assert_string_equal(events->str, "+a +c | -a ");
 	answer("watch=6", 200, "at 8\n?a 7\nb 8\n");
-	assert_string_equal(seen->str, "+a +c | -a +b ");
+	assert_string_equal(events->str, "+a +c | -a +b ");
 	answer("watch=8", 200, "at 9\na 9\n");
-	assert_string_equal(seen->str, "+a +c | -a +b +a ");
+	assert_string_equal(events->str, "+a +c | -a +b +a ");
 }
 
-/*
- * A connection falls silent for good: the store's news stop without an error,
- * and settings would grow old. The watch gives up when its answer is overdue
- * and asks on a fresh connection.
- */
+/* A connection stalls for good: updates stop without an error, and settings
+ * would become stale. The watch times out and is repeated on a new
+ * connection. */
 static void
-test_silent_connection(void **state)
+test_stalled_connection(void **state)
 {
 	answer("after=", 200, "at 5\na 3\n");
 	turn_until(&called);
 	called = false;
-	turn_until(&called); /* asked again, though nobody answered */
+	turn_until(&called); /* repeated without an answer */
 	answer("watch=5", 200, "at 6\nb 6\n");
-	assert_string_equal(seen->str, "+a | down up +b ");
+	assert_string_equal(events->str, "+a | down up +b ");
 }
 
 /*
- * The store stops answering. One call without an answer may be lost, or this
- * process stood still; from the second on the store is away since its last
- * answer, and until the next.
+ * The store stops answering. One failed call may be lost, or this process
+ * stalled; from the second on the store counts as down since its last answer,
+ * until the next one.
  */
 static void
-test_when_the_store_is_away(void **state)
+test_store_outage(void **state)
 {
 	answer("after=", 200, "at 5\na 3\n");
 	turn_until(&called);
@@ -334,11 +332,12 @@
 }
 
 /*
- * Processes start while the store is silent: their first calls hang for good.
- * They are given up soon, as nobody is served before the settings are known.
+ * Processes start while the store does not respond: their first calls hang for
+ * good. They must time out soon, as nobody is served before the settings are
+ * known.
  */
 static void
-test_a_call_that_hangs_is_given_up_soon(void **state)
+test_hanging_call_times_out_soon(void **state)
 {
 	int64_t begun_us;
 
@@ -348,10 +347,10 @@
 	turn_until(&called);
 	assert_true(clk_now_us(clk_system()) - begun_us < 2 * G_USEC_PER_SEC);
 	answer("after=", 200, "at 5\na 3\n");
-	assert_string_equal(seen->str, "down up +a | ");
+	assert_string_equal(events->str, "down up +a | ");
 }
 
-/* With two mirrors two calls wait at once; the server tells them apart. */
+/* With two caches two calls wait at once; the server distinguishes them. */
 static unsigned int asked_of[2];
 static unsigned int answer_with;
 
@@ -365,12 +364,10 @@
 	hreq_answer(r, answer_with, "", body, strlen(body));
 }
 
-/*
- * The store refuses all calls. Each is paid for, so only one of two mirrors
- * tries often; the first answer to it wakes the other at once.
- */
+/* The store refuses all calls. Each is paid for, so only one of two caches
+ * retries often; the first answer to it wakes the other at once. */
 static void
-test_one_mirror_tries_for_all(void **state)
+test_one_cache_retries_for_all(void **state)
 {
 	static const struct store_kind second = { .name = "second",
 		.free = g_free };
@@ -386,15 +383,15 @@
 	two = open_server(address, &either);
 	both = open_store(address);
 	answer_with = 503;
-	(void)store_cache_new(both, &second, &store_cache_ops, NULL);
-	(void)store_cache_new(both, &kind, &store_cache_ops, NULL);
+	(void)store_cache_new(both, &second, &cache_ops, NULL);
+	(void)store_cache_new(both, &kind, &cache_ops, NULL);
 	turn_ms(1500);
 	assert_true(asked_of[0] + asked_of[1] >= 4);
 	assert_in_range(MIN(asked_of[0], asked_of[1]), 1, 2);
 	answer_with = 200;
 	turn_ms(600);
-	assert_non_null(strstr(seen->str, "up"));
-	assert_non_null(strstr(strstr(seen->str, "up") + 2, "up"));
+	assert_non_null(strstr(events->str, "up"));
+	assert_non_null(strstr(strstr(events->str, "up") + 2, "up"));
 	store_free(both);
 	turn_ms(2);
 	hserver_free(two);
@@ -406,14 +403,14 @@
 #define T(f) cmocka_unit_test_setup_teardown(f, set_up, tear_down)
 	const struct CMUnitTest tests[] = {
 		T(test_pages_then_events),
-		T(test_changes_gather),
+		T(test_changes_are_batched),
 		T(test_history_gone),
-		T(test_refused_for_a_while),
-		T(test_an_entry_that_can_no_longer_be_read),
-		T(test_silent_connection),
-		T(test_when_the_store_is_away),
-		T(test_a_call_that_hangs_is_given_up_soon),
-		T(test_one_mirror_tries_for_all),
+		T(test_refused_calls),
+		T(test_object_becomes_unreadable),
+		T(test_stalled_connection),
+		T(test_store_outage),
+		T(test_hanging_call_times_out_soon),
+		T(test_one_cache_retries_for_all),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
