--- a/lib/serve/permit.c
+++ b/lib/serve/permit.c
@@ -7,7 +7,7 @@
 #define ACCUMULATE_S 0.5
 /* A gateway that needs a permit repeats its request after 0.2 s; an older
  * request has been abandoned. */
-#define ASK_EXPIRES_US 300000
+#define REQUEST_EXPIRES_US 300000
 /*
  * When an answer no longer states a limit, the rate of permits doubles after
  * each such time until it exceeds what an engine can use. One answer may be
@@ -18,7 +18,7 @@
 #define LIFT_STEP_US 400000
 #define LIFTED_RATE 100.0 /* requests a second */
 
-struct permit_ask {
+struct permit_request {
 	char gateway[PERMIT_GATEWAY_MAX];
 	int64_t asked_us;
 };
@@ -26,8 +26,8 @@
 void
 permits_init(struct permits *p)
 {
-	*p = (struct permits){ .requests = g_array_new(
-				   FALSE, FALSE, sizeof(struct permit_ask)) };
+	*p = (struct permits){ .requests = g_array_new(FALSE, FALSE,
+				   sizeof(struct permit_request)) };
 }
 
 void
@@ -63,7 +63,7 @@
 }
 
 static void
-fill(struct permits *p, int64_t now_us)
+refill(struct permits *p, int64_t now_us)
 {
 	double rate = rate_of(p, now_us);
 
@@ -79,7 +79,7 @@
 	if (p->limit == 0)
 		p->tokens = 0;
 	else
-		fill(p, now_us);
+		refill(p, now_us);
 	p->filled_us = now_us;
 	p->limit = limit;
 	p->ended_us = 0;
@@ -124,35 +124,35 @@
 void
 permits_ask(struct permits *p, const char *gateway, int64_t now_us)
 {
-	struct permit_ask ask = { .asked_us = now_us }, *other;
+	struct permit_request request = { .asked_us = now_us }, *other;
 	guint i;
 
 	for (i = 0; i < p->requests->len; i++) {
-		other = &g_array_index(p->requests, struct permit_ask, i);
+		other = &g_array_index(p->requests, struct permit_request, i);
 		if (g_strcmp0(other->gateway, gateway) == 0) {
 			other->asked_us = now_us; /* it retains its position */
 			return;
 		}
 	}
-	g_strlcpy(ask.gateway, gateway, sizeof(ask.gateway));
-	g_array_append_val(p->requests, ask);
+	g_strlcpy(request.gateway, gateway, sizeof(request.gateway));
+	g_array_append_val(p->requests, request);
 }
 
 bool
 permits_next(
     struct permits *p, char gateway[PERMIT_GATEWAY_MAX], int64_t now_us)
 {
-	struct permit_ask ask;
+	struct permit_request request;
 
 	if (p->limit == 0)
 		return false;
-	fill(p, now_us);
+	refill(p, now_us);
 	while (p->requests->len > 0 && p->tokens >= 1) {
-		ask = g_array_index(p->requests, struct permit_ask, 0);
+		request = g_array_index(p->requests, struct permit_request, 0);
 		g_array_remove_index(p->requests, 0);
-		if (now_us - ask.asked_us > ASK_EXPIRES_US)
+		if (now_us - request.asked_us > REQUEST_EXPIRES_US)
 			continue;
-		g_strlcpy(gateway, ask.gateway, PERMIT_GATEWAY_MAX);
+		g_strlcpy(gateway, request.gateway, PERMIT_GATEWAY_MAX);
 		p->tokens--;
 		return true;
 	}
--- a/lib/serve/permit.h
+++ b/lib/serve/permit.h
@@ -24,7 +24,7 @@
 	int64_t ended_us;
 	double tokens; /* permits available now */
 	int64_t filled_us;
-	GArray *requests; /* struct permit_ask, oldest first */
+	GArray *requests; /* struct permit_request, oldest first */
 };
 
 /* A gateway's report of the limit. */
--- a/lib/stage/stage.c
+++ b/lib/stage/stage.c
@@ -181,19 +181,19 @@
  * be busy for a second with what one of them needs to read.
  */
 #define DIGEST_READERS 4
-#define DIGEST_ALONE_US 700000
-#define DIGEST_STEP_US 50000
+#define DIGEST_WAIT_US 700000
+#define DIGEST_STAGGER_US 50000
 #define DIGEST_STAGGER_MAX_US 2000000
 
 int64_t
 stg_digests_read_us(const struct stg_digests *d)
 {
-	int64_t wait_us = DIGEST_ALONE_US;
+	int64_t wait_us = DIGEST_WAIT_US;
 
 	if (d->members > 0 && d->ahead < DIGEST_READERS)
 		return d->backoff_until_us;
 	wait_us +=
-	    MIN((int64_t)d->ahead * DIGEST_STEP_US, DIGEST_STAGGER_MAX_US);
+	    MIN((int64_t)d->ahead * DIGEST_STAGGER_US, DIGEST_STAGGER_MAX_US);
 	return MAX(d->backoff_until_us, d->asked_us + wait_us);
 }
 
--- a/lib/store/store.c
+++ b/lib/store/store.c
@@ -50,7 +50,7 @@
 	CACHE_BACKOFF, /* until the timer fires */
 };
 
-struct known {
+struct cached_object {
 	int64_t revision;
 	unsigned int listing; /* the last listing that contained it */
 	bool reported; /* its value was readable and was reported */
@@ -65,18 +65,18 @@
 	enum store_cache_state state;
 	struct hfetch *call;
 	struct evl_timer timer;
-	GHashTable *known; /* name -> struct known */
+	GHashTable *known; /* name -> struct cached_object */
 	unsigned int listing;
 	char *after; /* last name of the pages received so far */
-	int64_t list_at; /* revision of the first page */
-	int64_t at;
+	int64_t list_revision; /* revision of the first page */
+	int64_t revision;
 	int64_t created_us;
 	int64_t answered_us;
 	int64_t batch_delay_us;
 	int64_t backoff_us;
 	unsigned int failures; /* consecutive */
 	bool synced;
-	bool watching; /* `at` is valid to watch from */
+	bool watching; /* `revision` is valid to watch from */
 	bool down;
 };
 
@@ -164,7 +164,7 @@
 
 /* One cache got an answer: those in backoff retry at once. */
 static void
-answered(struct store_cache *c)
+handle_success(struct store_cache *c)
 {
 	struct store_cache *other;
 
@@ -186,8 +186,8 @@
 /* ------------------------------------------------------------------ */
 
 static void
-report_removed(
-    struct store_cache *c, struct known *k, const char *name, bool expired)
+report_removed(struct store_cache *c, struct cached_object *k, const char *name,
+    bool expired)
 {
 	if (k->reported)
 		c->ops.removed(name, expired, c->ctx);
@@ -197,8 +197,8 @@
 /* A malformed object, or one of an unrelated writer. Its previous value, if
  * it had a valid one, no longer counts; other objects are unaffected. */
 static void
-handle_unreadable(
-    struct store_cache *c, struct known *k, const struct store_item *item)
+handle_unreadable(struct store_cache *c, struct cached_object *k,
+    const struct store_item *item)
 {
 	ctr_add(c->store->unreadable, 1);
 	log_warn("store: %s/%s: %s", c->kind->name, item->name, item->why);
@@ -208,7 +208,7 @@
 static void
 handle_item(struct store_cache *c, struct store_item *item)
 {
-	struct known *k = g_hash_table_lookup(c->known, item->name);
+	struct cached_object *k = g_hash_table_lookup(c->known, item->name);
 
 	if (k != NULL && item->revision < k->revision) {
 		/* An update older than one in another answer. */
@@ -229,7 +229,7 @@
 		return;
 	}
 	if (k == NULL) {
-		k = g_new0(struct known, 1);
+		k = g_new0(struct cached_object, 1);
 		g_hash_table_insert(c->known, g_strdup(item->name), k);
 	}
 	k->revision = item->revision;
@@ -253,7 +253,7 @@
 
 	g_hash_table_iter_init(&iter, c->known);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		if (((struct known *)value)->listing != c->listing)
+		if (((struct cached_object *)value)->listing != c->listing)
 			g_ptr_array_add(gone, g_strdup(name));
 	}
 	for (i = 0; i < gone->len; i++) {
@@ -302,7 +302,7 @@
 	c->state = CACHE_LIST;
 	c->watching = false;
 	c->listing++;
-	c->list_at = 0;
+	c->list_revision = 0;
 	g_clear_pointer(&c->after, g_free);
 }
 
@@ -320,28 +320,28 @@
 static void
 handle_page(struct store_cache *c, struct store_page *page)
 {
-	if (page->revision < c->at) {
+	if (page->revision < c->revision) {
 		/* A stale answer: the local state is newer. */
 		drop_items(c, page);
 		begin_list(c);
 		back_off(c, "stale answer");
 		return;
 	}
-	answered(c);
+	handle_success(c);
 	handle_items(c, page);
 	if (c->state == CACHE_WATCH) {
-		c->at = page->revision;
+		c->revision = page->revision;
 		schedule_watch(c);
 		return;
 	}
-	if (c->list_at == 0)
-		c->list_at = page->revision;
+	if (c->list_revision == 0)
+		c->list_revision = page->revision;
 	if (page->more) {
 		next_call(c);
 		return;
 	}
 	/* Changes made while the pages were read are in the watch's events. */
-	c->at = c->list_at;
+	c->revision = c->list_revision;
 	remove_unlisted(c);
 	c->synced = true;
 	c->watching = true;
@@ -416,7 +416,7 @@
 	char *path;
 
 	if (watch)
-		path = conf->dialect->watch_path(c->kind, c->at, wait_ms);
+		path = conf->dialect->watch_path(c->kind, c->revision, wait_ms);
 	else
 		path = conf->dialect->list_path(c->kind, c->after);
 	c->call = hfetch_start(conf->loop, conf->pool,
@@ -531,5 +531,5 @@
 int64_t
 store_cache_revision(const struct store_cache *c)
 {
-	return c->at;
+	return c->revision;
 }
