--- a/lib/serve/permit.h
+++ b/lib/serve/permit.h
@@ -14,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define PERMIT_GATEWAY_MAX 24 /* "ip:port" and a NUL */
+#define PERMIT_GATEWAY_MAX 24 /* fits "ip:port" */
 
 struct permits {
 	bool known; /* a gateway has reported the limit */
--- a/lib/serve/records.h
+++ b/lib/serve/records.h
@@ -101,7 +101,7 @@
 /* ------------------------------------------------------------------ */
 
 #define SV_ID_MAX 64
-#define SV_ADDRESS_MAX 24 /* "ip:port" and a NUL */
+#define SV_ADDRESS_MAX 24 /* fits "ip:port" */
 
 /* A target's own record in the store, under its instance id. */
 struct sv_target {
--- a/lib/stage/stage.h
+++ b/lib/stage/stage.h
@@ -19,7 +19,8 @@
 	STG_SCAN, /* look for its chunks in the staging area */
 	STG_FETCH, /* chunks are being transferred */
 	STG_PUT, /* write chunks to the staging area */
-	STG_WAIT_SWITCH, /* wait until the scheduled switch time */
+	/* Wait until the scheduled switch time; other engines go first. */
+	STG_WAIT_SWITCH,
 	STG_DRAIN, /* gateways send it no new requests; its current ones end */
 	STG_CHECK, /* read back and verify all chunks */
 	STG_ORDER, /* order the engine to load */
