--- a/lib/serve/tgt.h
+++ b/lib/serve/tgt.h
@@ -25,9 +25,9 @@
 	bool leaving;
 	/* Time at which to drop it, as it is missing from the store; 0: no. */
 	int64_t drop_us;
-	/* Load: the total over all gateways as last reported, when that
-	 * report came in, and this gateway's requests in flight at that
-	 * moment. */
+	/* Load: this gateway's requests in flight now; and `reported` of all
+	 * gateways at `reported_us`, when `reported_local` were this
+	 * gateway's. */
 	unsigned int local_inflight;
 	unsigned int reported, reported_local;
 	int64_t reported_us;
--- a/lib/stage/stage.h
+++ b/lib/stage/stage.h
@@ -117,7 +117,8 @@
 /* Two versions were announced in short succession. */
 struct stg_overlap {
 	bool older_complete;
-	/* Chunks of the older one that no host has yet; all while that is not known. */
+	/* Chunks of the older one that no host has yet; all while that is
+	 * not known. */
 	uint64_t older_left, older_total;
 	int64_t loaded; /* 0: the engine serves with neither */
 	/* The engine may switch to the older one then. */
