--- a/lib/serve/tgt.c
+++ b/lib/serve/tgt.c
@@ -1,20 +1,21 @@
-/* Beliefs about targets. */
+/* Local state of the targets. */
 
 #include <string.h>
 
 #include "serve/tgt_internal.h"
 
-/* Targets whose entries ran out while the store was away write again within
- * about two seconds of its return. */
-#define LAPSED_KEEP_US 1900000
-/* After a failure without an answer a target rests; each further one doubles
- * it. The first is short: one lost connection is not a dead host. */
-#define REST_FIRST_US 250000
-#define REST_MAX_US 4000000
-/* Weight of one answer in the moving share of failures. */
+/* Targets whose records expired during a store outage publish them again
+ * within about two seconds of its end. */
+#define EXPIRED_RETAIN_US 1900000
+/* A target is in backoff after a failure without an answer; each further
+ * failure doubles the time. The first is short, as one lost connection does
+ * not mean a dead host. */
+#define BACKOFF_FIRST_US 250000
+#define BACKOFF_MAX_US 4000000
+/* Weight of one answer in the moving average of failures. */
 #define ERROR_WEIGHT 0.1
 /* ------------------------------------------------------------------ */
-/* Making                                                              */
+/* Set and services                                                    */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -103,7 +104,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Who there is                                                        */
+/* Membership                                                          */
 /* ------------------------------------------------------------------ */
 
 struct tgt *
@@ -127,9 +128,9 @@
 {
 	TAILQ_REMOVE(&t->service->targets, t, link);
 	t->service->ntargets--;
-	g_hash_table_remove(s->by_id, t->says.id);
-	if (g_hash_table_lookup(s->by_address, t->says.address) == t)
-		g_hash_table_remove(s->by_address, t->says.address);
+	g_hash_table_remove(s->by_id, t->record.id);
+	if (g_hash_table_lookup(s->by_address, t->record.address) == t)
+		g_hash_table_remove(s->by_address, t->record.address);
 	t->dropped = true;
 	t->service = NULL;
 	if (t->refs == 0)
@@ -137,7 +138,7 @@
 }
 
 static bool
-is_near(struct tgt_set *s, const char *domain)
+is_local(struct tgt_set *s, const char *domain)
 {
 	const char *region = g_hash_table_lookup(s->regions, domain);
 
@@ -145,104 +146,107 @@
 }
 
 bool
-tgt_side_is_heard(const struct tgt *t, int64_t now_us)
+tgt_side_is_alive(const struct tgt *t, int64_t now_us)
 {
-	return t->side_us != 0 && now_us - t->side_us <= TGT_SIDE_SILENT_US;
+	return t->side_report_us != 0 &&
+	    now_us - t->side_report_us <= TGT_SIDE_SILENT_US;
 }
 
 bool
-tgt_way_is_slow(const struct tgt *t, int64_t now_us)
+tgt_path_is_slow(const struct tgt *t, int64_t now_us)
 {
 	if (t->slow_link)
 		return true;
-	return t->service != NULL && t->service->side_us != 0 &&
-	    !tgt_side_is_heard(t, now_us);
+	return t->service != NULL && t->service->side_report_us != 0 &&
+	    !tgt_side_is_alive(t, now_us);
 }
 
-/* A target at an address that another had: the other one is no more. But an
- * entry of a service that the settings don't have names no target, and takes
- * nobody's place. */
+/* Assigns an address to its new target and drops the one that had it before.
+ * A record of a service that is not in the settings does not describe a
+ * valid target and takes over no address. */
 static void
 take_address(struct tgt_set *s, struct tgt *t)
 {
-	struct tgt *before =
-	    g_hash_table_lookup(s->by_address, t->says.address);
+	struct tgt *previous =
+	    g_hash_table_lookup(s->by_address, t->record.address);
 
-	if (before != NULL && before != t) {
-		if (before->service->configured && !t->service->configured)
+	if (previous != NULL && previous != t) {
+		if (previous->service->configured && !t->service->configured)
 			return;
-		drop(s, before);
+		drop(s, previous);
 	}
-	g_hash_table_insert(s->by_address, t->says.address, t);
+	g_hash_table_insert(s->by_address, t->record.address, t);
 }
 
 static struct tgt *
-add(struct tgt_set *s, const struct sv_target *says)
+add(struct tgt_set *s, const struct sv_target *record)
 {
 	struct tgt *t = g_new0(struct tgt, 1);
 
-	t->says = *says;
-	t->service = tgt_service(s, says->service);
-	t->near = is_near(s, says->domain);
-	t->pace = 1;
+	t->record = *record;
+	t->service = tgt_service(s, record->service);
+	t->local = is_local(s, record->domain);
+	t->slowdown = 1;
 	TAILQ_INSERT_TAIL(&t->service->targets, t, link);
 	t->service->ntargets++;
-	g_hash_table_insert(s->by_id, t->says.id, t);
+	g_hash_table_insert(s->by_id, t->record.id, t);
 	take_address(s, t);
 	return t;
 }
 
 /*
- * Whether an entry is of the same start of the target. The side's word on the
- * start is newer while it is heard: an entry of the start before may be written
- * late. Where either does not tell, nothing else can.
+ * Whether a record describes the same start of the target. A live sidecar's
+ * start time is newer than the store's, as a record of the previous start may
+ * be written late. If either start time is unknown, both are taken for the
+ * same.
  */
 static bool
-same_start(const struct tgt *t, const struct sv_target *says, int64_t now_us)
+same_start(const struct tgt *t, const struct sv_target *record, int64_t now_us)
 {
-	if (says->born_ms == 0 || t->says.born_ms == 0 ||
-	    says->born_ms == t->says.born_ms)
+	if (record->start_ms == 0 || t->record.start_ms == 0 ||
+	    record->start_ms == t->record.start_ms)
 		return true;
-	return says->born_ms < t->says.born_ms && tgt_side_is_heard(t, now_us);
+	return record->start_ms < t->record.start_ms &&
+	    tgt_side_is_alive(t, now_us);
 }
 
 struct tgt *
-tgt_put(struct tgt_set *s, const struct sv_target *says, int64_t now_us)
+tgt_put(struct tgt_set *s, const struct sv_target *record, int64_t now_us)
 {
-	struct tgt *t = g_hash_table_lookup(s->by_id, says->id);
+	struct tgt *t = g_hash_table_lookup(s->by_id, record->id);
 	int64_t born_ms;
 
 	if (t != NULL &&
-	    (strcmp(t->says.service, says->service) != 0 ||
-		strcmp(t->says.address, says->address) != 0 ||
-		!same_start(t, says, now_us))) {
+	    (strcmp(t->record.service, record->service) != 0 ||
+		strcmp(t->record.address, record->address) != 0 ||
+		!same_start(t, record, now_us))) {
 		drop(s, t);
 		t = NULL;
 	}
 	if (t == NULL)
-		t = add(s, says);
-	born_ms = MAX(t->says.born_ms, says->born_ms);
-	t->says = *says;
-	t->says.born_ms = born_ms;
-	t->gone_us = 0;
-	t->leaving = says->leaving;
-	/* The side's word is newer while it is heard. */
-	if (!tgt_side_is_heard(t, now_us)) {
-		g_strlcpy(t->model, says->model, sizeof(t->model));
-		t->version = says->model_version;
+		t = add(s, record);
+	born_ms = MAX(t->record.start_ms, record->start_ms);
+	t->record = *record;
+	t->record.start_ms = born_ms;
+	t->drop_us = 0;
+	t->leaving = record->leaving;
+	/* A live sidecar's report is newer. */
+	if (!tgt_side_is_alive(t, now_us)) {
+		g_strlcpy(t->model, record->model, sizeof(t->model));
+		t->version = record->model_version;
 	}
 	return t;
 }
 
 void
-tgt_removed(struct tgt_set *s, const char *id, bool lapsed, int64_t now_us)
+tgt_removed(struct tgt_set *s, const char *id, bool expired, int64_t now_us)
 {
 	struct tgt *t = g_hash_table_lookup(s->by_id, id);
 
 	if (t == NULL)
 		return;
-	if (lapsed && !t->leaving) {
-		t->gone_us = now_us + LAPSED_KEEP_US;
+	if (expired && !t->leaving) {
+		t->drop_us = now_us + EXPIRED_RETAIN_US;
 		return;
 	}
 	drop(s, t);
@@ -257,7 +261,7 @@
 
 	for (at = all; at != NULL; at = at->next) {
 		t = at->data;
-		if (t->gone_us != 0 && t->gone_us <= now_us)
+		if (t->drop_us != 0 && t->drop_us <= now_us)
 			drop(s, t);
 	}
 	g_list_free(all);
@@ -283,7 +287,7 @@
 }
 
 struct tgt *
-tgt_at(struct tgt_set *s, const char *address)
+tgt_by_address(struct tgt_set *s, const char *address)
 {
 	return g_hash_table_lookup(s->by_address, address);
 }
@@ -295,7 +299,7 @@
 void
 tgt_sent(struct tgt *t, int64_t now_us)
 {
-	t->mine++;
+	t->local_inflight++;
 	t->sent_since++;
 	rate_sent(&t->rate, now_us);
 	if (t->failures > 0)
@@ -305,23 +309,24 @@
 void
 tgt_ended(struct tgt *t, int64_t now_us)
 {
-	g_assert(t->mine > 0);
-	t->mine--;
+	g_assert(t->local_inflight > 0);
+	t->local_inflight--;
 }
 
 void
-tgt_reading(struct tgt *t, uint64_t tokens, bool sent)
+tgt_prefill(struct tgt *t, uint64_t tokens, bool sent)
 {
-	g_assert(sent || t->reading >= tokens);
-	t->reading = sent ? t->reading + tokens : t->reading - tokens;
+	g_assert(sent || t->prefill_tokens >= tokens);
+	t->prefill_tokens =
+	    sent ? t->prefill_tokens + tokens : t->prefill_tokens - tokens;
 }
 
 void
-tgt_load(struct tgt *t, unsigned int total, int64_t now_us)
+tgt_set_load(struct tgt *t, unsigned int total, int64_t now_us)
 {
-	t->seen = total;
-	t->seen_mine = t->mine;
-	t->seen_us = now_us;
+	t->reported = total;
+	t->reported_local = t->local_inflight;
+	t->reported_us = now_us;
 	t->sent_since = 0;
 }
 
@@ -330,13 +335,13 @@
 /* ------------------------------------------------------------------ */
 
 static void
-failed(struct tgt *t, int64_t now_us)
+record_failure(struct tgt *t, int64_t now_us)
 {
-	int64_t rest = REST_FIRST_US << MIN(t->failures, 6);
+	int64_t backoff_us = BACKOFF_FIRST_US << MIN(t->failures, 6);
 
 	t->failures++;
 	t->probing = false;
-	t->rest_until_us = now_us + MIN(rest, REST_MAX_US);
+	t->backoff_until_us = now_us + MIN(backoff_us, BACKOFF_MAX_US);
 }
 
 void
@@ -344,27 +349,27 @@
 {
 	double error = o == TGT_ANSWERED ? 0 : 1;
 
-	/* An engine that loads cuts what it had: its side has said so, and it
-	 * is no sign of illness. */
+	/* An engine cuts its requests when it loads weights. Its sidecar
+	 * announced the load, so the cut is not a failure. */
 	if (o == TGT_REFUSED || (o == TGT_ERROR && t->side_down)) {
 		t->probing = false;
 		return;
 	}
-	t->error_share += (error - t->error_share) * ERROR_WEIGHT;
+	t->error_rate += (error - t->error_rate) * ERROR_WEIGHT;
 	t->answers++;
-	if (o == TGT_SILENT || o == TGT_LOST) {
-		/* Several requests that fail together are one failure. */
-		if (now_us >= t->rest_until_us)
-			failed(t, now_us);
+	if (o == TGT_TIMEOUT || o == TGT_LOST) {
+		/* Requests that fail at the same time count as one failure. */
+		if (now_us >= t->backoff_until_us)
+			record_failure(t, now_us);
 		return;
 	}
 	t->failures = 0;
 	t->probing = false;
-	t->rest_until_us = 0;
+	t->backoff_until_us = 0;
 }
 
 void
-tgt_side(struct tgt *t, bool down, int64_t now_us)
+tgt_set_side_down(struct tgt *t, bool down, int64_t now_us)
 {
 	if (t->side_down && !down)
 		t->up_us = now_us;
@@ -372,49 +377,49 @@
 }
 
 void
-tgt_set_pace(struct tgt *t, uint64_t permille)
+tgt_set_slowdown(struct tgt *t, uint64_t permille)
 {
-	t->pace = permille == 0 ? 1 : (double)permille / 1000.0;
+	t->slowdown = permille == 0 ? 1 : (double)permille / 1000.0;
 }
 
 void
-tgt_side_heard(struct tgt *t, uint32_t seq, int64_t now_us)
+tgt_side_reported(struct tgt *t, uint32_t seq, int64_t now_us)
 {
-	t->side_us = now_us;
-	t->service->side_us = now_us;
+	t->side_report_us = now_us;
+	t->service->side_report_us = now_us;
 	t->side_seq = seq;
 }
 
 bool
-tgt_relayed(struct tgt *t, const struct side_relayed *word, int64_t now_us)
+tgt_relayed(struct tgt *t, const struct side_relayed *report, int64_t now_us)
 {
-	if (t->side_us == 0 || !side_seq_after(word->seq, t->side_seq))
+	if (t->side_report_us == 0 || !side_seq_after(report->seq, t->side_seq))
 		return false;
-	tgt_side_heard(t, word->seq, now_us);
-	tgt_set_pace(t, word->pace_permille);
-	t->slow_link = word->slow_link;
-	tgt_load(t, word->total, now_us);
+	tgt_side_reported(t, report->seq, now_us);
+	tgt_set_slowdown(t, report->slowdown_permille);
+	t->slow_link = report->slow_link;
+	tgt_set_load(t, report->total, now_us);
 	return true;
 }
 
 struct tgt *
-tgt_side_born(struct tgt_set *s, struct tgt *t, int64_t born_ms)
+tgt_side_started(struct tgt_set *s, struct tgt *t, int64_t born_ms)
 {
-	struct sv_target says = t->says;
+	struct sv_target record = t->record;
 
-	if (born_ms == 0 || born_ms == t->says.born_ms)
+	if (born_ms == 0 || born_ms == t->record.start_ms)
 		return t;
-	says.born_ms = born_ms;
-	if (t->says.born_ms == 0) { /* it had not told before */
-		t->says.born_ms = born_ms;
+	record.start_ms = born_ms;
+	if (t->record.start_ms == 0) { /* the start time was unknown so far */
+		t->record.start_ms = born_ms;
 		return t;
 	}
 	drop(s, t);
-	return add(s, &says);
+	return add(s, &record);
 }
 
 void
-tgt_mistaken(struct tgt *t)
+tgt_wrong_instance(struct tgt *t)
 {
 	t->leaving = true;
 }
--- a/lib/serve/vers.c
+++ b/lib/serve/vers.c
@@ -1,21 +1,21 @@
-/* Which version of the weights may serve. */
+/* Minimum versions of the weights. */
 
 #include <string.h>
 
 #include "serve/vers.h"
 
 struct vers {
-	int64_t due_us, bound_us;
+	int64_t grace_us, enforce_us;
 	GHashTable *models; /* name -> struct vers_model */
 };
 
 struct vers *
-vers_new(int64_t due_us, int64_t bound_us)
+vers_new(int64_t grace_us, int64_t enforce_us)
 {
 	struct vers *v = g_new0(struct vers, 1);
 
-	v->due_us = due_us;
-	v->bound_us = bound_us;
+	v->grace_us = grace_us;
+	v->enforce_us = enforce_us;
 	v->models =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	return v;
@@ -42,78 +42,83 @@
 }
 
 bool
-vers_named(
-    struct vers *v, const struct sv_version *named, bool old, int64_t heard_us)
+vers_announced(struct vers *v, const struct sv_version *announced, bool old,
+    int64_t announced_us)
 {
-	struct vers_model *m = model_of(v, named->model);
-	unsigned int n = m->nnamed;
+	struct vers_model *m = model_of(v, announced->model);
+	unsigned int n = m->nannounced;
 
-	if (n > 0 && m->named[n - 1].version >= named->version)
+	if (n > 0 && m->announced[n - 1].version >= announced->version)
 		return false;
-	if (n == VERS_KEPT) {
-		memmove(&m->named[0], &m->named[1],
-		    (VERS_KEPT - 1) * sizeof(m->named[0]));
+	if (n == VERS_PENDING_MAX) {
+		memmove(&m->announced[0], &m->announced[1],
+		    (VERS_PENDING_MAX - 1) * sizeof(m->announced[0]));
 		n--;
 	}
-	m->named[n].version = named->version;
-	m->named[n].heard_us = heard_us;
-	m->named[n].guessed = old;
+	m->announced[n].version = announced->version;
+	m->announced[n].announced_us = announced_us;
+	m->announced[n].estimated = old;
 	if (old)
-		m->named[n].heard_us = MAX(heard_us, v->bound_us) - v->due_us;
-	m->nnamed = n + 1;
+		m->announced[n].announced_us =
+		    MAX(announced_us, v->enforce_us) - v->grace_us;
+	m->nannounced = n + 1;
 	return true;
 }
 
 /*
- * A version from between those known. Whoever lists the store after two were
- * named is told only the last; what is loaded may have to end with the first.
- * One that is due no sooner than the next says nothing that this does not.
+ * Inserts a version older than the newest known one. A process that lists the
+ * store after two announcements sees only the last, but what is loaded may have
+ * to stop serving at the deadline of the first. A version whose deadline is not
+ * before the next one's adds nothing.
  */
 static bool
 insert_older(const struct vers *v, struct vers_model *m, int64_t version,
-    int64_t told_us)
+    int64_t reported_us)
 {
-	int64_t heard_us = MAX(told_us, v->bound_us - v->due_us);
+	int64_t announced_us = MAX(reported_us, v->enforce_us - v->grace_us);
 	unsigned int at = 0;
 
-	while (at < m->nnamed && m->named[at].version < version)
+	while (at < m->nannounced && m->announced[at].version < version)
 		at++;
-	if (at == m->nnamed || m->nnamed == VERS_KEPT ||
-	    heard_us >= m->named[at].heard_us)
+	if (at == m->nannounced || m->nannounced == VERS_PENDING_MAX ||
+	    announced_us >= m->announced[at].announced_us)
 		return false;
-	memmove(&m->named[at + 1], &m->named[at],
-	    (m->nnamed - at) * sizeof(m->named[0]));
-	m->named[at].version = version;
-	m->named[at].heard_us = heard_us;
-	m->named[at].guessed = false;
-	m->nnamed++;
+	memmove(&m->announced[at + 1], &m->announced[at],
+	    (m->nannounced - at) * sizeof(m->announced[0]));
+	m->announced[at].version = version;
+	m->announced[at].announced_us = announced_us;
+	m->announced[at].estimated = false;
+	m->nannounced++;
 	return true;
 }
 
 bool
-vers_told(struct vers *v, const char *model, int64_t version, int64_t heard_us)
+vers_reported(
+    struct vers *v, const char *model, int64_t version, int64_t announced_us)
 {
-	struct sv_version named = { .version = version };
+	struct sv_version announced = { .version = version };
 	struct vers_model *m = model_of(v, model);
 	unsigned int i;
 
-	for (i = 0; i < m->nnamed; i++) {
-		if (m->named[i].version != version)
+	for (i = 0; i < m->nannounced; i++) {
+		if (m->announced[i].version != version)
 			continue;
-		if (!m->named[i].guessed || heard_us <= m->named[i].heard_us)
+		if (!m->announced[i].estimated ||
+		    announced_us <= m->announced[i].announced_us)
 			return false;
-		m->named[i].heard_us = heard_us;
-		m->named[i].guessed = false;
+		m->announced[i].announced_us = announced_us;
+		m->announced[i].estimated = false;
 		return true;
 	}
-	if (m->nnamed > 0 && m->named[m->nnamed - 1].version > version)
-		return insert_older(v, m, version, heard_us);
-	g_strlcpy(named.model, model, sizeof(named.model));
-	return vers_named(v, &named, false, heard_us);
+	if (m->nannounced > 0 &&
+	    m->announced[m->nannounced - 1].version > version)
+		return insert_older(v, m, version, announced_us);
+	g_strlcpy(announced.model, model, sizeof(announced.model));
+	return vers_announced(v, &announced, false, announced_us);
 }
 
 void
-vers_hold(struct vers *v, int64_t from_us, int64_t until_us)
+vers_extend(struct vers *v, int64_t from_us, int64_t until_us)
 {
 	GHashTableIter iter;
 	gpointer model;
@@ -123,41 +128,42 @@
 	g_hash_table_iter_init(&iter, v->models);
 	while (g_hash_table_iter_next(&iter, NULL, &model)) {
 		m = model;
-		for (i = 0; i < m->nnamed; i++) {
-			if (m->named[i].guessed ||
-			    m->named[i].heard_us + v->due_us <= from_us)
+		for (i = 0; i < m->nannounced; i++) {
+			if (m->announced[i].estimated ||
+			    m->announced[i].announced_us + v->grace_us <=
+				from_us)
 				continue;
-			m->named[i].heard_us =
-			    MAX(m->named[i].heard_us, until_us);
+			m->announced[i].announced_us =
+			    MAX(m->announced[i].announced_us, until_us);
 		}
 	}
 }
 
 int64_t
-vers_least(const struct vers *v, const char *model, int64_t at_us)
+vers_min(const struct vers *v, const char *model, int64_t at_us)
 {
 	const struct vers_model *m =
 	    model == NULL ? NULL : g_hash_table_lookup(v->models, model);
 	int64_t least = 0;
 	unsigned int i;
 
-	for (i = 0; m != NULL && v->due_us > 0 && i < m->nnamed; i++) {
-		if (m->named[i].heard_us + v->due_us <= at_us)
-			least = m->named[i].version;
+	for (i = 0; m != NULL && v->grace_us > 0 && i < m->nannounced; i++) {
+		if (m->announced[i].announced_us + v->grace_us <= at_us)
+			least = m->announced[i].version;
 	}
 	return least;
 }
 
 int64_t
-vers_end_us(const struct vers *v, const char *model, int64_t loaded)
+vers_deadline_us(const struct vers *v, const char *model, int64_t loaded)
 {
 	const struct vers_model *m =
 	    model == NULL ? NULL : g_hash_table_lookup(v->models, model);
 	unsigned int i;
 
-	for (i = 0; m != NULL && v->due_us > 0 && i < m->nnamed; i++) {
-		if (m->named[i].version > loaded)
-			return m->named[i].heard_us + v->due_us;
+	for (i = 0; m != NULL && v->grace_us > 0 && i < m->nannounced; i++) {
+		if (m->announced[i].version > loaded)
+			return m->announced[i].announced_us + v->grace_us;
 	}
 	return 0;
 }
@@ -167,31 +173,34 @@
 {
 	const struct vers_model *m = g_hash_table_lookup(v->models, model);
 
-	return m == NULL || m->nnamed == 0 ? 0
-					   : m->named[m->nnamed - 1].version;
+	return m == NULL || m->nannounced == 0
+	    ? 0
+	    : m->announced[m->nannounced - 1].version;
 }
 
 int64_t
-vers_pending(
-    const struct vers *v, const char *model, int64_t now_us, int64_t *heard_us)
+vers_pending(const struct vers *v, const char *model, int64_t now_us,
+    int64_t *announced_us)
 {
 	const struct vers_model *m = g_hash_table_lookup(v->models, model);
 	unsigned int at;
 
-	if (m == NULL || m->nnamed < 2)
+	if (m == NULL || m->nannounced < 2)
 		return 0;
-	at = m->nnamed - 2;
-	if (v->due_us > 0 && m->named[at].heard_us + v->due_us <= now_us)
+	at = m->nannounced - 2;
+	if (v->grace_us > 0 &&
+	    m->announced[at].announced_us + v->grace_us <= now_us)
 		return 0;
-	*heard_us = m->named[at].heard_us;
-	return m->named[at].version;
+	*announced_us = m->announced[at].announced_us;
+	return m->announced[at].version;
 }
 
 int64_t
-vers_heard_us(const struct vers *v, const char *model)
+vers_announced_us(const struct vers *v, const char *model)
 {
 	const struct vers_model *m = g_hash_table_lookup(v->models, model);
 
-	return m == NULL || m->nnamed == 0 ? 0
-					   : m->named[m->nnamed - 1].heard_us;
+	return m == NULL || m->nannounced == 0
+	    ? 0
+	    : m->announced[m->nannounced - 1].announced_us;
 }
--- a/programs/side/keeper_gateways.c
+++ b/programs/side/keeper_gateways.c
@@ -55,17 +55,18 @@
 }
 
 static void
-note_gateway(struct keeper *k, const char *from, const struct side_view *view)
+note_gateway(
+    struct keeper *k, const char *from, const struct side_desired *view)
 {
 	struct keeper_gateway fresh = { .start = view->start,
 		.heard_us = keeper_now(k),
-		.store_away = view->store_away != 0 };
+		.store_away = view->store_down != 0 };
 	struct keeper_gateway *known = find_gateway(k, from);
 	char region[KEEPER_NAME_MAX];
 
 	if (known != NULL) {
 		known->heard_us = keeper_now(k);
-		known->store_away = view->store_away != 0;
+		known->store_away = view->store_down != 0;
 		if (known->start != view->start)
 			greet(k, known);
 		known->start = view->start;
@@ -145,7 +146,7 @@
 		.running = k->engine.running,
 		.waiting = k->engine.waiting,
 		.slow_link = wts_is_narrow(k->wts),
-		.limit_known = k->permits.knows,
+		.limit_known = k->permits.known,
 		.limit = k->permits.limit,
 	};
 }
@@ -204,7 +205,7 @@
 
 /* The versions that are wanted, and how long they are. */
 static void
-fill_wanted(const struct keeper *k, struct side_load *load)
+fill_wanted(const struct keeper *k, struct side_report *load)
 {
 	const struct keeper_copy *newest = k->newest;
 	int64_t older_due_us = 0;
@@ -215,8 +216,8 @@
 	load->wanted_age_ms = age_ms(k, newest->heard_us);
 	if (newest->due_us == 0)
 		return;
-	load->older =
-	    (uint64_t)stg_dues_before(&k->dues, newest->version, &older_due_us);
+	load->older = (uint64_t)stg_deadlines_before(
+	    &k->dues, newest->version, &older_due_us);
 	if (load->older != 0)
 		load->older_age_ms = age_ms(
 		    k, older_due_us - (newest->due_us - newest->heard_us));
@@ -224,20 +225,20 @@
 
 static void
 fill_load(
-    struct keeper *k, const struct keeper_told *now, struct side_load *load)
+    struct keeper *k, const struct keeper_told *now, struct side_report *load)
 {
 	guint i;
 
-	*load = (struct side_load){
+	*load = (struct side_report){
 		.address = slice_str(cfg_str(k->st.cfg, "engine.address")),
 		.engine = now->engine,
-		.born_ms = (uint64_t)MAX(0, k->engine.born_ms),
+		.start_ms = (uint64_t)MAX(0, k->engine.start_ms),
 		.running = now->running,
 		.waiting = now->waiting,
 		.version = (uint64_t)now->loaded,
-		.pace_permille = (uint64_t)(k->engine.pace * 1000),
+		.slowdown_permille = (uint64_t)(k->engine.slowdown * 1000),
 		.gateways = k->gateways->len,
-		.near = keeper_near_gateways(k),
+		.local_gateways = keeper_near_gateways(k),
 		.seq = k->load_seq,
 		.slow_link = now->slow_link,
 		.limit_known = now->limit_known,
@@ -253,7 +254,7 @@
 
 /* Names a gateway of another region, the next one each time. */
 static void
-name_gateway(struct keeper *k, struct side_load *load)
+name_gateway(struct keeper *k, struct side_report *load)
 {
 	const struct keeper_gateway *g;
 	guint i;
@@ -263,7 +264,7 @@
 		g = gateway_at(k, k->named_gateway);
 		if (g->near)
 			continue;
-		load->gateway = slice_str(g->address);
+		load->remote_gateway = slice_str(g->address);
 		return;
 	}
 }
@@ -271,7 +272,7 @@
 /* Sends `load` to those of one side (near or far) that are due. */
 static bool
 tell(struct keeper *k, const struct tell_plan *plan, bool near,
-    const struct side_load *load)
+    const struct side_report *load)
 {
 	GByteArray *packed = NULL;
 	struct keeper_gateway *g;
@@ -283,11 +284,11 @@
 		if (g->near != near || !is_due(k, plan, g))
 			continue;
 		if (packed == NULL)
-			packed = dgram_pack(k->dgram, &side_load_desc, load);
+			packed = dgram_pack(k->dgram, &side_report_desc, load);
 		if (packed == NULL)
 			break;
 		dgram_send_packed(
-		    k->dgram, g->address, &side_load_desc, packed);
+		    k->dgram, g->address, &side_report_desc, packed);
 		g->told_us = keeper_now(k);
 		told = true;
 	}
@@ -301,7 +302,7 @@
 {
 	struct keeper_told now = what_to_tell(k);
 	struct tell_plan plan;
-	struct side_load load;
+	struct side_report load;
 	bool told_far;
 
 	drop_silent(k);
@@ -342,19 +343,19 @@
 on_message(const char *from, const struct msg *m, void *ctx)
 {
 	struct keeper *k = ctx;
-	struct side_view view;
-	struct side_page page;
+	struct side_desired view;
+	struct side_roster_page page;
 	struct side_rate rate;
-	struct side_ends ends;
+	struct side_terminations ends;
 
-	if (msg_read(m, &side_view_desc, &view, NULL)) {
+	if (msg_read(m, &side_desired_desc, &view, NULL)) {
 		note_gateway(k, from, &view);
 		keeper_take_view(k, from, &view);
-	} else if (msg_read(m, &side_page_desc, &page, NULL))
+	} else if (msg_read(m, &side_roster_page_desc, &page, NULL))
 		keeper_take_page(k, &page);
 	else if (msg_read(m, &side_rate_desc, &rate, NULL))
 		keeper_take_rate(k, from, &rate);
-	else if (msg_read(m, &side_ends_desc, &ends, NULL))
+	else if (msg_read(m, &side_terminations_desc, &ends, NULL))
 		keeper_take_ends(k, &ends);
 }
 
