--- a/lib/weights/hold.c
+++ b/lib/weights/hold.c
@@ -61,7 +61,7 @@
 {
 	if (hold == NULL)
 		return;
-	hold_sweep(hold);
+	hold_release_retired(hold);
 	g_assert(g_hash_table_size(hold->chunks) == 0);
 	g_hash_table_unref(hold->chunks);
 	g_free(hold);
@@ -105,7 +105,7 @@
 	}
 	/* A chunk that occurs twice, or in another version, counted once. */
 	if (hold->reserved > hold->limit)
-		hold_sweep(hold);
+		hold_release_retired(hold);
 	if (hold->reserved > hold->limit) {
 		if (missing_out != NULL)
 			*missing_out = hold->reserved - hold->limit;
@@ -146,7 +146,7 @@
 }
 
 void
-hold_sweep(struct hold *hold)
+hold_release_retired(struct hold *hold)
 {
 	struct hold_version *version;
 
--- a/lib/weights/hold.h
+++ b/lib/weights/hold.h
@@ -28,10 +28,10 @@
 struct hold_version *hold_open(struct hold *hold, const struct wts_version *v,
     GBytes *list, hold_filled_cb *filled, void *ctx, uint64_t *missing_out);
 void hold_close(struct hold_version *version);
-/* As hold_close, but the chunks stay until hold_sweep or until another
+/* As hold_close, but the chunks stay until hold_release_retired or until another
  * version needs the room: a version about to be opened may share them. */
 void hold_retire(struct hold_version *version);
-void hold_sweep(struct hold *hold);
+void hold_release_retired(struct hold *hold);
 bool hold_has(const struct hold_version *version, uint64_t index);
 /* Borrowed; NULL when not held. */
 GBytes *hold_get(const struct hold_version *version, uint64_t index);
--- a/lib/weights/peers.c
+++ b/lib/weights/peers.c
@@ -37,15 +37,15 @@
 {
 	struct peer *peer = ctx;
 	struct wts *wts = peer->xfer->wts;
-	struct proto_news news = {
+	struct proto_update news = {
 		.gained = { peer->gained->data, peer->gained->len },
 		.claims = { peer->claims->data, peer->claims->len },
-		.load = serve_load(peer),
+		.load = serve_record_load(peer),
 	};
 
-	peer->news_after_us =
-	    clk_now_us(wts->clock) + peer->xfer->news_interval_us;
-	conn_send(peer->conn, &proto_news_desc, &news);
+	peer->next_update_us =
+	    clk_now_us(wts->clock) + peer->xfer->update_interval_us;
+	conn_send(peer->conn, &proto_update_desc, &news);
 	clear_news(peer);
 }
 
@@ -54,18 +54,18 @@
 tell_soon(struct peer *peer)
 {
 	if (peer->open)
-		timer_set_earlier(&peer->news_timer, peer->news_after_us);
+		timer_set_earlier(&peer->update_timer, peer->next_update_us);
 }
 
 void
-peers_tell_gained(struct xfer *x, uint64_t index)
+peers_queue_gained(struct xfer *x, uint64_t index)
 {
 	struct peer *peer;
 
 	TAILQ_FOREACH (peer, &x->peers, link) {
 		/* One that has the chunk only gains by it for its count of
 		 * holders; that is not worth the bytes. */
-		if (!peer->told_have || bits_get(peer->for_chunks.bits, index))
+		if (!peer->have_sent || bits_get(peer->for_chunks.bits, index))
 			continue;
 		proto_add_index(peer->gained, (uint32_t)index);
 		tell_soon(peer);
@@ -73,7 +73,7 @@
 }
 
 void
-peers_tell_claim(struct xfer *x, uint64_t index, unsigned int rank,
+peers_queue_claim(struct xfer *x, uint64_t index, unsigned int rank,
     const struct peer *except)
 {
 	uint8_t rank8 = (uint8_t)MIN(rank, UINT8_MAX);
@@ -89,14 +89,14 @@
 }
 
 void
-peers_tell_idle(struct wts *wts)
+peers_queue_idle(struct wts *wts)
 {
 	struct peer *peer;
 	struct xfer *x;
 
 	TAILQ_FOREACH (x, &wts->xfers, link) {
 		TAILQ_FOREACH (peer, &x->peers, link) {
-			if (peer->told_load > 0)
+			if (peer->sent_load > 0)
 				tell_soon(peer);
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 void
-peer_tell_have(struct peer *peer)
+peer_send_have(struct peer *peer)
 {
 	struct xfer *x = peer->xfer;
 	uint64_t n = x->pick->conf.chunks;
@@ -136,11 +136,11 @@
 	}
 	have = (struct proto_have){
 		.bits = { bits->data, bits->len },
-		.load = serve_load(peer),
+		.load = serve_record_load(peer),
 		.known = { known->data, known->len },
 	};
 	conn_send(peer->conn, &proto_have_desc, &have);
-	peer->told_have = true;
+	peer->have_sent = true;
 	clear_news(peer);
 	g_byte_array_unref(bits);
 	g_byte_array_unref(known);
@@ -157,8 +157,8 @@
 
 	peer->open = true;
 	conn_send(peer->conn, &proto_join_desc, &join);
-	if (x->held != NULL)
-		peer_tell_have(peer);
+	if (x->stored != NULL)
+		peer_send_have(peer);
 }
 
 /* ------------------------------------------------------------------ */
@@ -199,11 +199,11 @@
 
 	peer->xfer = x;
 	peer->id = g_strdup(id);
-	peer->near = near;
+	peer->same_domain = near;
 	peer->gained = g_byte_array_new();
 	peer->claims = g_byte_array_new();
-	LIST_INIT(&peer->intakes);
-	timer_init(&peer->news_timer, x->wts->clock, send_news, peer);
+	LIST_INIT(&peer->incoming_chunks);
+	timer_init(&peer->update_timer, x->wts->clock, send_news, peer);
 	peer->for_list.owner = peer;
 	peer->for_chunks.owner = peer;
 	pick_add_peer(x->list_pick, &peer->for_list, near);
@@ -221,18 +221,18 @@
 	struct wts *wts = x->wts;
 	struct member *m = peers_member(x, peer->id);
 	int64_t now_us = clk_now_us(wts->clock);
-	struct intake *in;
+	struct incoming *in;
 
-	serve_forget(peer);
-	while ((in = LIST_FIRST(&peer->intakes)) != NULL)
-		intake_free(in);
+	serve_cancel(peer);
+	while ((in = LIST_FIRST(&peer->incoming_chunks)) != NULL)
+		incoming_free(in);
 	pick_remove_peer(x->list_pick, &peer->for_list, now_us);
 	pick_remove_peer(x->pick, &peer->for_chunks, now_us);
-	timer_stop(&peer->news_timer);
+	timer_stop(&peer->update_timer);
 	TAILQ_REMOVE(&x->peers, peer, link);
 	if (m != NULL && m->peer == peer) {
 		m->peer = NULL;
-		m->dial_after_us = now_us +
+		m->redial_at_us = now_us +
 		    ((int64_t)REDIAL_US << MIN(m->failures, REDIAL_DOUBLINGS));
 		m->failures = peer->has_list ? 1 : m->failures + 1;
 	}
@@ -258,19 +258,19 @@
 	struct member *m = peers_member(x, peer->id);
 	int64_t until_us = clk_now_us(x->wts->clock) + REFUSE_US;
 
-	if (MAX(peer->for_list.strikes, peer->for_chunks.strikes) <
-	    PICK_STRIKES_DROP)
+	if (MAX(peer->for_list.failures, peer->for_chunks.failures) <
+	    PICK_FAILURES_DROP)
 		return;
 	log_warn("weights: %s failed too often; refused for a while", peer->id);
 	peer_drop(peer);
 	if (m == NULL)
 		return;
-	m->dial_after_us = until_us;
+	m->redial_at_us = until_us;
 	m->refuse_until_us = until_us;
 }
 
 void
-peers_drop_gone(struct xfer *x)
+peers_drop_removed(struct xfer *x)
 {
 	struct peer *peer = TAILQ_FIRST(&x->peers);
 
@@ -407,8 +407,8 @@
 		struct member *m = x->members->pdata[i];
 
 		/* One that cannot be reached now is replaced by the next. */
-		if (m->peer == NULL && m->dial_after_us > now_us) {
-			timer_set_earlier(&x->dial_timer, m->dial_after_us);
+		if (m->peer == NULL && m->redial_at_us > now_us) {
+			timer_set_earlier(&x->dial_timer, m->redial_at_us);
 			continue;
 		}
 		if (should_connect(x, m, &left) && m->peer == NULL)
--- a/lib/weights/pick.c
+++ b/lib/weights/pick.c
@@ -44,7 +44,7 @@
 }
 
 int64_t
-pick_patience_us(const struct pick *p)
+pick_stall_timeout_us(const struct pick *p)
 {
 	int64_t us = PATIENCE_MIN_US + PATIENCE_GAPS * p->gap_us;
 
@@ -52,14 +52,14 @@
 }
 
 int64_t
-pick_silence_us(const struct pick *p)
+pick_claim_timeout_us(const struct pick *p)
 {
-	int64_t us =
-	    MAX(SILENCE_CHUNKS * pick_chunk_us(p), SILENCE_READS * p->read_us);
+	int64_t us = MAX(
+	    SILENCE_CHUNKS * pick_chunk_us(p), SILENCE_READS * p->read_time_us);
 
-	us += p->conf.silence_min_us > 0 ? p->conf.silence_min_us
-					 : SILENCE_MIN_US;
-	us += PICK_NEWS_HOPS * p->conf.news_us;
+	us += p->conf.claim_timeout_min_us > 0 ? p->conf.claim_timeout_min_us
+					       : SILENCE_MIN_US;
+	us += PICK_UPDATE_HOPS * p->conf.update_interval_us;
 	return MIN(us, SILENCE_MAX_US);
 }
 
@@ -74,27 +74,27 @@
 	uint64_t i;
 
 	p->conf = *conf;
-	pick_set_reads(p, conf->reads);
+	pick_set_reads(p, conf->max_reads);
 	p->start_us = now_us;
-	p->share = 1;
+	p->rate_fraction = 1;
 	p->unclaimed = conf->chunks;
 	p->chunks = g_new0(struct pick_chunk, conf->chunks);
 	p->need = bits_new(conf->chunks);
 	for (i = 0; i < conf->chunks; i++)
 		bits_set(p->need, i);
 	TAILQ_INIT(&p->peers);
-	TAILQ_INIT(&p->asks);
+	TAILQ_INIT(&p->fetches);
 	p->gap_us = FIRST_GAP_CHUNKS * pick_chunk_us(p);
 	return p;
 }
 
 static void
-remove_ask(struct pick *p, struct pick_ask *ask)
+remove_ask(struct pick *p, struct pick_fetch *ask)
 {
-	TAILQ_REMOVE(&p->asks, ask, link);
+	TAILQ_REMOVE(&p->fetches, ask, link);
 	if (ask->peer != NULL) {
-		ask->peer->open--;
-		p->open_asks--;
+		ask->peer->open_requests--;
+		p->open_requests--;
 	} else {
 		p->open_reads--;
 	}
@@ -104,12 +104,12 @@
 void
 pick_free(struct pick *p)
 {
-	struct pick_ask *ask;
+	struct pick_fetch *ask;
 
 	if (p == NULL)
 		return;
 	g_assert(TAILQ_EMPTY(&p->peers));
-	while ((ask = TAILQ_FIRST(&p->asks)) != NULL)
+	while ((ask = TAILQ_FIRST(&p->fetches)) != NULL)
 		remove_ask(p, ask);
 	g_free(p->chunks);
 	g_free(p->need);
@@ -120,7 +120,7 @@
 same_readers(const struct rank *a, const struct rank *b)
 {
 	return a->nreaders == b->nreaders &&
-	    memcmp(a->reader, b->reader, sizeof(a->reader)) == 0;
+	    memcmp(a->reader_hash, b->reader_hash, sizeof(a->reader_hash)) == 0;
 }
 
 void
@@ -132,7 +132,7 @@
 	p->conf.members = members;
 	if (p->ranked && same_readers(&p->rank, rank)) {
 		p->rank = *rank;
-		p->no_read_us = 0;
+		p->next_read_us = 0;
 		return;
 	}
 	p->rank = *rank;
@@ -140,42 +140,43 @@
 	/* Readers have changed places; each gets its time again. */
 	p->start_us = now_us;
 	memset(p->claims_us, 0, sizeof(p->claims_us));
-	memset(p->paces, 0, sizeof(p->paces));
-	p->no_read_us = 0;
+	memset(p->reader_rates, 0, sizeof(p->reader_rates));
+	p->next_read_us = 0;
 	for (i = 0; i < p->conf.chunks; i++)
-		p->chunks[i].reader = (uint8_t)rank_first(rank, i);
+		p->chunks[i].reader = (uint8_t)rank_first_reader(rank, i);
 }
 
 void
 pick_settle(struct pick *p, int64_t until_us)
 {
-	p->settle_us = until_us;
-	p->no_read_us = 0;
+	p->settle_until_us = until_us;
+	p->next_read_us = 0;
 }
 
 void
-pick_set_far(struct pick *p, uint64_t index, unsigned int rank, int64_t step_us)
+pick_set_cross_domain(
+    struct pick *p, uint64_t index, unsigned int rank, int64_t step_us)
 {
-	p->conf.far_step_us = step_us;
-	p->chunks[index].far_rank = (uint8_t)MIN(rank, UINT8_MAX);
+	p->conf.cross_domain_step_us = step_us;
+	p->chunks[index].cross_domain_rank = (uint8_t)MIN(rank, UINT8_MAX);
 }
 
 void
-pick_set_silence(struct pick *p, int64_t min_us)
+pick_set_claim_timeout(struct pick *p, int64_t min_us)
 {
-	p->conf.silence_min_us = min_us;
+	p->conf.claim_timeout_min_us = min_us;
 }
 
 void
 pick_set_copies(struct pick *p, unsigned int copies)
 {
-	p->conf.copies = copies;
+	p->conf.origin_copies = copies;
 }
 
 void
 pick_set_reads(struct pick *p, unsigned int reads)
 {
-	p->conf.reads = MAX(1, reads);
+	p->conf.max_reads = MAX(1, reads);
 }
 
 void
@@ -183,37 +184,38 @@
 {
 	peer->bits = bits_new(p->conf.chunks);
 	peer->have = 0;
-	peer->near = near;
-	peer->open = 0;
+	peer->same_domain = near;
+	peer->open_requests = 0;
 	TAILQ_INSERT_TAIL(&p->peers, peer, link);
 }
 
 void
 pick_remove_peer(struct pick *p, struct pick_peer *peer, int64_t now_us)
 {
-	struct pick_ask *ask = TAILQ_FIRST(&p->asks);
+	struct pick_fetch *ask = TAILQ_FIRST(&p->fetches);
 	uint64_t i;
 
 	while (ask != NULL) {
-		struct pick_ask *next = TAILQ_NEXT(ask, link);
+		struct pick_fetch *next = TAILQ_NEXT(ask, link);
 
 		if (ask->peer == peer)
-			pick_ended(p, ask->index, peer, PICK_GONE, now_us);
+			pick_failed(
+			    p, ask->index, peer, PICK_CANCELLED, now_us);
 		ask = next;
 	}
 	for (i = 0; i < p->conf.chunks; i++) {
 		if (!bits_get(peer->bits, i))
 			continue;
 		p->chunks[i].holders--;
-		p->chunks[i].near_holders -= peer->near;
+		p->chunks[i].domain_holders -= peer->same_domain;
 	}
 	TAILQ_REMOVE(&p->peers, peer, link);
-	p->no_read_us = 0;
+	p->next_read_us = 0;
 	g_clear_pointer(&peer->bits, g_free);
 }
 
 static void
-note_pace(struct pick_pace *pace, int64_t now_us)
+note_pace(struct pick_reader_rate *pace, int64_t now_us)
 {
 	if (pace->claims++ == 0)
 		pace->first_us = now_us;
@@ -227,13 +229,13 @@
 	bool news = !c->claimed;
 
 	c->claimed = true;
-	c->heard = true;
-	c->failed_here = false;
+	c->claim_seen = true;
+	c->read_failed = false;
 	c->claimed_us = now_us;
 	c->claimed_rank = (uint8_t)MIN(rank, PICK_RANK_UNKNOWN);
 	p->unclaimed -= news;
 	if (news && rank == 0)
-		note_pace(&p->paces[c->reader], now_us);
+		note_pace(&p->reader_rates[c->reader], now_us);
 	p->claims_us[c->reader][MIN(rank, PICK_RANK_UNKNOWN)] = now_us;
 	return news;
 }
@@ -249,8 +251,8 @@
 	if (p->read_failures == 0)
 		return;
 	p->read_failures = 0;
-	p->read_after_us = 0;
-	p->no_read_us = 0;
+	p->read_backoff_until_us = 0;
+	p->next_read_us = 0;
 }
 
 bool
@@ -261,14 +263,14 @@
 
 	if (bits_get(peer->bits, index))
 		return false;
-	if (c->holders == 0 && c->state < PICK_CHECKING)
+	if (c->holders == 0 && c->state < PICK_VERIFYING)
 		note_origin_back(p);
 	bits_set(peer->bits, index);
 	peer->have++;
 	c->holders++;
-	c->near_holders += peer->near;
-	if (!peer->near && c->far_since_us == 0)
-		c->far_since_us = now_us;
+	c->domain_holders += peer->same_domain;
+	if (!peer->same_domain && c->cross_domain_since_us == 0)
+		c->cross_domain_since_us = now_us;
 	if (c->claimed)
 		return false;
 	c->claimed = true;
@@ -281,7 +283,7 @@
 pick_peer_load(struct pick_peer *peer, unsigned int load, int64_t now_us)
 {
 	peer->load = load;
-	peer->load_us = now_us;
+	peer->load_at_us = now_us;
 }
 
 bool
@@ -293,15 +295,15 @@
 	 * A claim is the reader's sign of life also where the chunk itself came
 	 * sooner than the claim; passed over, a reader that is quicker than
 	 * news travel would be taken for silent. */
-	if (c->heard && MIN(rank, PICK_RANK_UNKNOWN) <= c->claimed_rank &&
-	    now_us - c->claimed_us < pick_silence_us(p))
+	if (c->claim_seen && MIN(rank, PICK_RANK_UNKNOWN) <= c->claimed_rank &&
+	    now_us - c->claimed_us < pick_claim_timeout_us(p))
 		return false;
 	mark_claimed(p, index, rank, now_us);
 	return true;
 }
 
 bool
-pick_known(struct pick *p, uint64_t index, int64_t now_us)
+pick_mark_known(struct pick *p, uint64_t index, int64_t now_us)
 {
 	if (p->chunks[index].claimed)
 		return false;
@@ -312,35 +314,35 @@
 pick_begin(struct pick *p, const struct pick_action *a, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[a->index];
-	struct pick_ask *ask = g_new0(struct pick_ask, 1);
+	struct pick_fetch *ask = g_new0(struct pick_fetch, 1);
 
 	g_assert(c->state == PICK_MISSING);
 	bits_clear(p->need, a->index);
 	ask->index = a->index;
-	ask->since_us = now_us;
-	ask->moved_us = now_us;
-	TAILQ_INSERT_TAIL(&p->asks, ask, link);
-	if (a->kind == PICK_ASK) {
-		c->state = PICK_ASKED;
+	ask->start_us = now_us;
+	ask->last_byte_us = now_us;
+	TAILQ_INSERT_TAIL(&p->fetches, ask, link);
+	if (a->kind == PICK_REQUEST) {
+		c->state = PICK_REQUESTED;
 		ask->peer = a->peer;
-		a->peer->open++;
-		p->open_asks++;
+		a->peer->open_requests++;
+		p->open_requests++;
 		return;
 	}
 	g_assert(a->kind == PICK_READ);
 	c->state = PICK_READING;
-	p->no_read_us = 0;
+	p->next_read_us = 0;
 	p->open_reads++;
 	p->extra_reads += a->extra;
 	mark_claimed(p, a->index, a->rank, now_us);
 }
 
-struct pick_ask *
+struct pick_fetch *
 pick_find(const struct pick *p, uint64_t index)
 {
-	struct pick_ask *ask;
+	struct pick_fetch *ask;
 
-	TAILQ_FOREACH (ask, &p->asks, link) {
+	TAILQ_FOREACH (ask, &p->fetches, link) {
 		if (ask->index == index)
 			return ask;
 	}
@@ -348,77 +350,77 @@
 }
 
 static void
-note_gap(struct pick_ask *ask, int64_t now_us)
+note_gap(struct pick_fetch *ask, int64_t now_us)
 {
-	ask->gap_us = MAX(ask->gap_us, now_us - ask->moved_us);
-	ask->moved_us = now_us;
+	ask->gap_us = MAX(ask->gap_us, now_us - ask->last_byte_us);
+	ask->last_byte_us = now_us;
 }
 
 void
-pick_moved(struct pick *p, uint64_t index, int64_t now_us)
+pick_progress(struct pick *p, uint64_t index, int64_t now_us)
 {
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *ask = pick_find(p, index);
 
 	if (ask != NULL)
 		note_gap(ask, now_us);
 }
 
 bool
-pick_is_narrow(const struct pick *p)
+pick_is_link_slow(const struct pick *p)
 {
-	return p->share < NARROW_SHARE;
+	return p->rate_fraction < NARROW_SHARE;
 }
 
 uint64_t
-pick_left_at_origin(const struct pick *p)
+pick_count_origin_only(const struct pick *p)
 {
 	uint64_t left = 0;
 	uint64_t i;
 
 	for (i = 0; i < p->conf.chunks; i++)
 		left += p->chunks[i].holders == 0 &&
-		    p->chunks[i].state < PICK_CHECKING;
+		    p->chunks[i].state < PICK_VERIFYING;
 	return left;
 }
 
 /* A chunk came from a peer, with others under way beside it. */
 static void
-note_rate(struct pick *p, const struct pick_ask *ask, int64_t now_us)
+note_rate(struct pick *p, const struct pick_fetch *ask, int64_t now_us)
 {
-	int64_t took_us = MAX(1, now_us - ask->since_us);
-	double bytes = (double)(p->open_asks * p->conf.chunk_bytes);
+	int64_t took_us = MAX(1, now_us - ask->start_us);
+	double bytes = (double)(p->open_requests * p->conf.chunk_bytes);
 	double share =
 	    bytes * SECOND_US / (double)took_us / (double)p->conf.rate;
 
-	p->share += (MIN(share, 1) - p->share) * RATE_WEIGHT;
-	if (pick_is_narrow(p))
-		p->pause_us = now_us + MIN(took_us, PAUSE_MAX_US);
+	p->rate_fraction += (MIN(share, 1) - p->rate_fraction) * RATE_WEIGHT;
+	if (pick_is_link_slow(p))
+		p->pause_until_us = now_us + MIN(took_us, PAUSE_MAX_US);
 }
 
 void
-pick_arrived(struct pick *p, uint64_t index, int64_t now_us)
+pick_received(struct pick *p, uint64_t index, int64_t now_us)
 {
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *ask = pick_find(p, index);
 
 	g_assert(ask != NULL);
 	note_gap(ask, now_us);
 	if (ask->peer != NULL) {
 		average(&p->gap_us, ask->gap_us);
 		note_rate(p, ask, now_us);
-	} else if (p->read_us == 0) {
-		p->read_us = now_us - ask->since_us;
+	} else if (p->read_time_us == 0) {
+		p->read_time_us = now_us - ask->start_us;
 	} else {
-		average(&p->read_us, now_us - ask->since_us);
+		average(&p->read_time_us, now_us - ask->start_us);
 	}
 	remove_ask(p, ask);
-	p->chunks[index].state = PICK_CHECKING;
+	p->chunks[index].state = PICK_VERIFYING;
 }
 
 void
-pick_got(struct pick *p, uint64_t index)
+pick_complete(struct pick *p, uint64_t index)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *ask = pick_find(p, index);
 
 	if (ask != NULL)
 		remove_ask(p, ask);
@@ -434,18 +436,20 @@
 }
 
 static void
-rest_peer(struct pick *p, struct pick_peer *peer, enum pick_reason reason,
+rest_peer(struct pick *p, struct pick_peer *peer, enum pick_failure reason,
     int64_t now_us)
 {
 	if (reason == PICK_BUSY) {
-		peer->rest_us = now_us + BUSY_REST_CHUNKS * pick_chunk_us(p);
+		peer->backoff_until_us =
+		    now_us + BUSY_REST_CHUNKS * pick_chunk_us(p);
 		return;
 	}
-	if (reason == PICK_GONE)
+	if (reason == PICK_CANCELLED)
 		return;
 	/* Each failure doubles the rest; a good chunk ends the row. */
-	peer->strikes = MIN(peer->strikes + 1, STRIKES_MAX);
-	peer->rest_us = now_us + ((int64_t)STRIKE_REST_US << peer->strikes);
+	peer->failures = MIN(peer->failures + 1, STRIKES_MAX);
+	peer->backoff_until_us =
+	    now_us + ((int64_t)STRIKE_REST_US << peer->failures);
 }
 
 static void
@@ -454,7 +458,7 @@
 	int64_t rest = READ_REST_US << MIN(p->read_failures, STRIKES_MAX);
 
 	p->read_failures++;
-	p->read_after_us = now_us + MIN(rest, READ_REST_MAX_US);
+	p->read_backoff_until_us = now_us + MIN(rest, READ_REST_MAX_US);
 }
 
 static void
@@ -462,18 +466,18 @@
 {
 	struct pick_chunk *c = &p->chunks[index];
 
-	if (c->bad_reads < UINT8_MAX)
-		c->bad_reads++;
-	p->bad_read_index = index;
-	p->bad_reads = c->bad_reads;
+	if (c->corrupt_reads < UINT8_MAX)
+		c->corrupt_reads++;
+	p->corrupt_read_index = index;
+	p->corrupt_reads = c->corrupt_reads;
 }
 
 void
-pick_ended(struct pick *p, uint64_t index, struct pick_peer *peer,
-    enum pick_reason reason, int64_t now_us)
+pick_failed(struct pick *p, uint64_t index, struct pick_peer *peer,
+    enum pick_failure reason, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *ask = pick_find(p, index);
 
 	if (ask != NULL)
 		remove_ask(p, ask);
@@ -481,7 +485,7 @@
 		return;
 	c->state = PICK_MISSING;
 	bits_set(p->need, index);
-	p->no_read_us = 0;
+	p->next_read_us = 0;
 	if (peer != NULL) {
 		/* One that sent wrong bytes does not have the chunk. Left
 		 * as its holder, it would keep the chunk from being read
@@ -491,14 +495,14 @@
 			bits_clear(peer->bits, index);
 			peer->have--;
 			c->holders--;
-			c->near_holders -= peer->near;
+			c->domain_holders -= peer->same_domain;
 		}
 		rest_peer(p, peer, reason, now_us);
 		return;
 	}
 	if (reason == PICK_CORRUPT)
 		note_bad_read(p, index);
-	c->failed_here = reason == PICK_FAILED;
-	if (reason != PICK_GONE)
+	c->read_failed = reason == PICK_FAILED;
+	if (reason != PICK_CANCELLED)
 		rest_origin(p, now_us);
 }
--- a/lib/weights/pick_next.c
+++ b/lib/weights/pick_next.c
@@ -16,16 +16,18 @@
 read_due_us(const struct pick *p, uint64_t index, unsigned int rank)
 {
 	const struct pick_chunk *c = &p->chunks[index];
-	int64_t silence = pick_silence_us(p);
-	int64_t due = MAX(p->start_us + (int64_t)rank * silence, p->settle_us);
+	int64_t silence = pick_claim_timeout_us(p);
+	int64_t due =
+	    MAX(p->start_us + (int64_t)rank * silence, p->settle_until_us);
 	unsigned int ahead;
 
-	if (c->bad_reads > 0 || p->read_failures > 0)
-		due = MAX(due, p->read_after_us);
+	if (c->corrupt_reads > 0 || p->read_failures > 0)
+		due = MAX(due, p->read_backoff_until_us);
 	/* Claimed and not seen since: its reader may have died with it. A
 	 * read that failed here is repeated without that wait, or an origin
 	 * that is back would hear of the last tried chunks a second later. */
-	if (c->claimed && !(rank == 0 && (c->bad_reads > 0 || c->failed_here)))
+	if (c->claimed &&
+	    !(rank == 0 && (c->corrupt_reads > 0 || c->read_failed)))
 		due = MAX(due, c->claimed_us + MAX(rank, 1) * silence);
 	for (ahead = 0; ahead < MIN(rank, PICK_RANK_UNKNOWN); ahead++) {
 		int64_t claim = p->claims_us[c->reader][ahead];
@@ -54,24 +56,25 @@
 is_slow_reader(
     const struct pick *p, unsigned int reader, uint64_t left, int64_t now_us)
 {
-	const struct pick_pace *own, *other = &p->paces[reader];
+	const struct pick_reader_rate *own, *other = &p->reader_rates[reader];
 	int64_t own_us, other_us;
 
 	if (p->rank.self == reader)
 		return false;
-	own = &p->paces[p->rank.self];
+	own = &p->reader_rates[p->rank.self];
 	if (own->claims < SLOW_CLAIMS || other->claims < SLOW_CLAIMS)
 		return false;
 	own_us = (own->last_us - own->first_us) / (own->claims - 1);
 	other_us = (now_us - other->first_us) / other->claims;
 	return other_us > SLOW_PACE * own_us &&
-	    other_us * (int64_t)left > pick_silence_us(p);
+	    other_us * (int64_t)left > pick_claim_timeout_us(p);
 }
 
 static bool
 is_on_its_way(const struct pick *p, const struct pick_chunk *c, int64_t now_us)
 {
-	return c->claimed && now_us - c->claimed_us <= SLOW_READS * p->read_us;
+	return c->claimed &&
+	    now_us - c->claimed_us <= SLOW_READS * p->read_time_us;
 }
 
 static bool
@@ -126,7 +129,7 @@
 static uint64_t
 extra_share(const struct pick *p)
 {
-	uint64_t extra = (uint64_t)(p->conf.copies - 1) * p->conf.chunks;
+	uint64_t extra = (uint64_t)(p->conf.origin_copies - 1) * p->conf.chunks;
 
 	return (extra + p->conf.members - 1) / p->conf.members;
 }
@@ -147,8 +150,8 @@
 	uint64_t i;
 	bool found = false;
 
-	*due_us = p->no_read_us;
-	if (now_us < p->no_read_us)
+	*due_us = p->next_read_us;
+	if (now_us < p->next_read_us)
 		return false;
 	*due_us = INT64_MAX;
 	for (i = 0; i < words; i++) {
@@ -179,12 +182,12 @@
 	if (found)
 		return true;
 	if (p->rank.self != RANK_NONE && p->read_failures == 0 &&
-	    p->paces[p->rank.self].claims >= SLOW_CLAIMS) {
+	    p->reader_rates[p->rank.self].claims >= SLOW_CLAIMS) {
 		if (find_take_over(p, now_us, rng, out))
 			return true;
 		*due_us = MIN(*due_us, now_us + SLOW_LOOK_US);
 	}
-	p->no_read_us = *due_us;
+	p->next_read_us = *due_us;
 	return false;
 }
 
@@ -198,8 +201,9 @@
 	uint64_t first = rng_below(rng, words);
 	uint64_t i;
 
-	if (p->conf.copies < 2 || p->unclaimed > 0 ||
-	    p->extra_reads >= extra_share(p) || now_us < p->read_after_us)
+	if (p->conf.origin_copies < 2 || p->unclaimed > 0 ||
+	    p->extra_reads >= extra_share(p) ||
+	    now_us < p->read_backoff_until_us)
 		return false;
 	for (i = 0; i < words; i++) {
 		uint64_t at = (first + i) % words;
@@ -225,7 +229,7 @@
 static bool
 is_doubtful(const struct pick_peer *peer)
 {
-	return peer->strikes >= PICK_STRIKES_DOUBT;
+	return peer->failures >= PICK_FAILURES_LAST_RESORT;
 }
 
 /*
@@ -236,18 +240,19 @@
 static unsigned int
 load_of(const struct pick *p, const struct pick_peer *peer, int64_t now_us)
 {
-	int64_t done = (now_us - peer->load_us) / pick_chunk_us(p);
+	int64_t done = (now_us - peer->load_at_us) / pick_chunk_us(p);
 
-	return peer->open +
+	return peer->open_requests +
 	    (done < peer->load ? peer->load - (unsigned int)done : 0);
 }
 
 static bool
 can_ask(const struct pick *p, const struct pick_peer *peer, int64_t now_us)
 {
-	if (is_doubtful(peer) && p->open_asks > 0)
+	if (is_doubtful(peer) && p->open_requests > 0)
 		return false;
-	return peer->open < PICK_ASKS_PER_PEER && peer->rest_us <= now_us &&
+	return peer->open_requests < PICK_REQUESTS_PER_PEER &&
+	    peer->backoff_until_us <= now_us &&
 	    load_of(p, peer, now_us) < PICK_LOAD_MAX;
 }
 
@@ -260,17 +265,18 @@
 far_is_due(struct pick *p, uint64_t index, int64_t now_us)
 {
 	const struct pick_chunk *c = &p->chunks[index];
-	int64_t steps = c->far_rank;
+	int64_t steps = c->cross_domain_rank;
 	int64_t due_us;
 
-	if (p->conf.far_step_us == 0)
+	if (p->conf.cross_domain_step_us == 0)
 		return true;
-	if (c->near_holders > 0)
+	if (c->domain_holders > 0)
 		steps += FAR_STEPS_NEAR;
-	due_us = c->far_since_us + steps * p->conf.far_step_us;
+	due_us =
+	    c->cross_domain_since_us + steps * p->conf.cross_domain_step_us;
 	if (due_us <= now_us)
 		return true;
-	p->far_due_us = MIN(p->far_due_us, due_us);
+	p->cross_domain_due_us = MIN(p->cross_domain_due_us, due_us);
 	return false;
 }
 
@@ -295,7 +301,7 @@
 			    at * BITS_WORD + (uint64_t)__builtin_ctzll(left);
 			uint32_t holders = p->chunks[index].holders;
 
-			if (!peer->near && !far_is_due(p, index, now_us))
+			if (!peer->same_domain && !far_is_due(p, index, now_us))
 				continue;
 			seen++;
 			if (holders < best)
@@ -315,8 +321,8 @@
 {
 	if (is_doubtful(a) != is_doubtful(b))
 		return is_doubtful(b);
-	if (a->near != b->near)
-		return a->near;
+	if (a->same_domain != b->same_domain)
+		return a->same_domain;
 	return load_of(p, a, now_us) < load_of(p, b, now_us);
 }
 
@@ -344,7 +350,7 @@
 	}
 	if (best == NULL)
 		return false;
-	out->kind = PICK_ASK;
+	out->kind = PICK_REQUEST;
 	out->peer = (struct pick_peer *)best;
 	return true;
 }
@@ -356,20 +362,21 @@
 static bool
 find_expired(const struct pick *p, int64_t now_us, struct pick_action *out)
 {
-	int64_t patience = pick_patience_us(p);
-	struct pick_ask *ask;
+	int64_t patience = pick_stall_timeout_us(p);
+	struct pick_fetch *ask;
 
-	TAILQ_FOREACH (ask, &p->asks, link) {
+	TAILQ_FOREACH (ask, &p->fetches, link) {
 		/* Reads of the origin have their own stall limit. */
 		if (ask->peer == NULL)
 			continue;
-		if (now_us - ask->moved_us >= patience) {
+		if (now_us - ask->last_byte_us >= patience) {
 			out->kind = PICK_EXPIRE;
 			out->index = ask->index;
 			out->peer = ask->peer;
 			return true;
 		}
-		out->until_us = MIN(out->until_us, ask->moved_us + patience);
+		out->until_us =
+		    MIN(out->until_us, ask->last_byte_us + patience);
 	}
 	return false;
 }
@@ -377,7 +384,7 @@
 static const char *
 why_waiting(const struct pick *p)
 {
-	if (p->open_asks + p->open_reads > 0)
+	if (p->open_requests + p->open_reads > 0)
 		return "";
 	if (!p->ranked)
 		return "waits for the list of members";
@@ -394,7 +401,7 @@
 	const struct pick_peer *peer;
 
 	TAILQ_FOREACH (peer, &p->peers, link) {
-		int64_t due = peer->rest_us;
+		int64_t due = peer->backoff_until_us;
 
 		if (due <= now_us && load_of(p, peer, now_us) >= PICK_LOAD_MAX)
 			due = now_us + pick_chunk_us(p);
@@ -406,13 +413,14 @@
 static bool
 may_read(const struct pick *p)
 {
-	return p->ranked && p->conf.copies > 0 && p->open_reads < p->conf.reads;
+	return p->ranked && p->conf.origin_copies > 0 &&
+	    p->open_reads < p->conf.max_reads;
 }
 
 static unsigned int
 asks_max(const struct pick *p)
 {
-	return pick_is_narrow(p) ? 1 : PICK_ASKS;
+	return pick_is_link_slow(p) ? 1 : PICK_REQUESTS_MAX;
 }
 
 void
@@ -430,14 +438,15 @@
 		return;
 	if (may_fetch && may_read(p) && find_read(p, now_us, rng, out, &due_us))
 		return;
-	if (may_fetch && p->open_asks + p->open_reads < asks_max(p) &&
-	    now_us < p->pause_us) {
-		out->until_us = MIN(out->until_us, p->pause_us);
-	} else if (may_fetch && p->open_asks + p->open_reads < asks_max(p)) {
-		p->far_due_us = INT64_MAX;
+	if (may_fetch && p->open_requests + p->open_reads < asks_max(p) &&
+	    now_us < p->pause_until_us) {
+		out->until_us = MIN(out->until_us, p->pause_until_us);
+	} else if (may_fetch &&
+	    p->open_requests + p->open_reads < asks_max(p)) {
+		p->cross_domain_due_us = INT64_MAX;
 		if (find_ask(p, now_us, rng, out))
 			return;
-		out->until_us = MIN(out->until_us, p->far_due_us);
+		out->until_us = MIN(out->until_us, p->cross_domain_due_us);
 		if (may_read(p) && find_extra_read(p, now_us, rng, out))
 			return;
 		earliest_rest(p, now_us, out);
--- a/lib/weights/proto.h
+++ b/lib/weights/proto.h
@@ -14,7 +14,7 @@
 
 #define PROTO_JOIN 40
 #define PROTO_HAVE 41
-#define PROTO_NEWS 42
+#define PROTO_UPDATE 42
 #define PROTO_GET 43
 #define PROTO_DATA 44
 #define PROTO_NONE 45
@@ -38,7 +38,7 @@
 };
 
 /* What changed since: batched, so that control bytes stay few. */
-struct proto_news {
+struct proto_update {
 	struct slice gained; /* indices */
 	struct slice claims; /* an index and a byte: the reader's rank */
 	uint64_t load; /* uploads open at the sender */
@@ -68,7 +68,7 @@
 
 extern const struct msg_desc proto_join_desc;
 extern const struct msg_desc proto_have_desc;
-extern const struct msg_desc proto_news_desc;
+extern const struct msg_desc proto_update_desc;
 extern const struct msg_desc proto_get_desc;
 extern const struct msg_desc proto_data_desc;
 extern const struct msg_desc proto_none_desc;
--- a/lib/weights/rank.c
+++ b/lib/weights/rank.c
@@ -51,7 +51,7 @@
 		if (strcmp(c[i].domain, domain) != 0)
 			continue;
 		c[i].reader = true;
-		r->reader[r->nreaders++] = c[i].hash;
+		r->reader_hash[r->nreaders++] = c[i].hash;
 	}
 }
 
@@ -70,7 +70,7 @@
 			if (round == 0 && domain_has_reader(c, n, c[i].domain))
 				continue;
 			c[i].reader = true;
-			r->reader[r->nreaders++] = c[i].hash;
+			r->reader_hash[r->nreaders++] = c[i].hash;
 		}
 	}
 }
@@ -106,10 +106,10 @@
 	if (r->nreaders == 0)
 		choose_readers(r, c, n);
 	for (at = 0; c[at].index != self; at++)
-		r->later += !c[at].reader;
+		r->rank_behind += !c[at].reader;
 	r->self = RANK_NONE;
 	for (i = 0; i < r->nreaders; i++) {
-		if (r->reader[i] == own)
+		if (r->reader_hash[i] == own)
 			r->self = i;
 	}
 	g_free(c);
@@ -118,7 +118,7 @@
 /* Chunks go round the readers, so that all have the same to read: the one
  * with the most would end last, and everybody waits for its chunks. */
 unsigned int
-rank_first(const struct rank *r, uint64_t chunk)
+rank_first_reader(const struct rank *r, uint64_t chunk)
 {
 	return r->nreaders == 0 ? 0 : (unsigned int)(chunk % r->nreaders);
 }
@@ -126,16 +126,16 @@
 unsigned int
 rank_self(const struct rank *r, uint64_t chunk)
 {
-	unsigned int first = rank_first(r, chunk);
+	unsigned int first = rank_first_reader(r, chunk);
 
 	if (r->self == RANK_NONE)
-		return r->nreaders + r->later;
+		return r->nreaders + r->rank_behind;
 	return (r->self + r->nreaders - first) % r->nreaders;
 }
 
 unsigned int
-rank_far(const struct digest *root, const struct rank_member *members, size_t n,
-    size_t self, uint64_t chunk)
+rank_cross_domain(const struct digest *root, const struct rank_member *members,
+    size_t n, size_t self, uint64_t chunk)
 {
 	uint64_t own =
 	    hash64(member_hash(root, members[self].id), &chunk, sizeof(chunk));
@@ -158,7 +158,7 @@
 	unsigned int i;
 
 	for (i = 0; i < r->nreaders; i++) {
-		if (r->reader[i] == hash)
+		if (r->reader_hash[i] == hash)
 			return true;
 	}
 	return false;
--- a/lib/weights/rank.h
+++ b/lib/weights/rank.h
@@ -25,9 +25,9 @@
 
 struct rank {
 	unsigned int nreaders;
-	uint64_t reader[RANK_READERS]; /* hash of the reader's id */
+	uint64_t reader_hash[RANK_READERS]; /* hash of the reader's id */
 	unsigned int self; /* this host's place among the readers, RANK_NONE */
-	unsigned int later; /* places behind the readers, when not one */
+	unsigned int rank_behind; /* places behind the readers, when not one */
 };
 
 /*
@@ -42,10 +42,10 @@
     const char *domain);
 /* How many of the members in `self`'s domain come before it in fetching
  * `chunk` from other domains. */
-unsigned int rank_far(const struct digest *root,
+unsigned int rank_cross_domain(const struct digest *root,
     const struct rank_member *members, size_t n, size_t self, uint64_t chunk);
 /* Place of the first reader of a chunk. */
-unsigned int rank_first(const struct rank *r, uint64_t chunk);
+unsigned int rank_first_reader(const struct rank *r, uint64_t chunk);
 /* This host's rank for a chunk; 0 reads it in turn. */
 unsigned int rank_self(const struct rank *r, uint64_t chunk);
 /* Whether member `id` is a reader. */
--- a/lib/weights/read.c
+++ b/lib/weights/read.c
@@ -9,7 +9,8 @@
 static unsigned int
 stall_ms(const struct xfer *x)
 {
-	return STALL_MIN_MS + (unsigned int)(pick_silence_us(x->pick) / 2000);
+	return STALL_MIN_MS +
+	    (unsigned int)(pick_claim_timeout_us(x->pick) / 2000);
 }
 
 void
@@ -34,7 +35,7 @@
 	struct digest got;
 
 	digest_stream_end(g_steal_pointer(&r->stream), &got);
-	if (xfer_take(x, r->index, r->bytes, &got, NULL))
+	if (xfer_accept_object(x, r->index, r->bytes, &got, NULL))
 		ctr_add(x->wts->counts.origin_chunks, 1);
 	else
 		ctr_add(x->wts->counts.corrupt_origin, 1);
@@ -60,12 +61,12 @@
 }
 
 static void
-fail(struct read *r, enum pick_reason reason)
+fail(struct read *r, enum pick_failure reason)
 {
 	struct xfer *x = r->xfer;
 	struct pick *pick = xfer_pick_of(x, r->index);
 
-	pick_ended(pick, xfer_pick_index(r->index), NULL, reason,
+	pick_failed(pick, xfer_pick_index(r->index), NULL, reason,
 	    clk_now_us(x->wts->clock));
 	read_free(r);
 	xfer_pump(x);
@@ -91,7 +92,7 @@
 		return;
 	}
 	wts_received(x->wts, len);
-	pick_arrived(xfer_pick_of(x, r->index), xfer_pick_index(r->index),
+	pick_received(xfer_pick_of(x, r->index), xfer_pick_index(r->index),
 	    clk_now_us(x->wts->clock));
 	r->bytes = g_bytes_ref(bytes);
 	r->stream = xfer_stream_of(x, r->index);
--- a/lib/weights/receive.c
+++ b/lib/weights/receive.c
@@ -4,7 +4,7 @@
 #include "weights/xfer.h"
 
 void
-intake_free(struct intake *in)
+incoming_free(struct incoming *in)
 {
 	LIST_REMOVE(in, link);
 	digest_stream_free(in->stream);
@@ -12,12 +12,12 @@
 	g_free(in);
 }
 
-static struct intake *
+static struct incoming *
 find_intake(struct peer *peer, uint64_t index)
 {
-	struct intake *in;
+	struct incoming *in;
 
-	LIST_FOREACH (in, &peer->intakes, link) {
+	LIST_FOREACH (in, &peer->incoming_chunks, link) {
 		if (in->index == index)
 			return in;
 	}
@@ -52,9 +52,9 @@
 	/* Nothing of what it has was counted before. */
 	if (!peer->joined) {
 		peer->joined = true;
-		peer->near = strcmp(domain, own) == 0;
-		peer->for_list.near = peer->near;
-		peer->for_chunks.near = peer->near;
+		peer->same_domain = strcmp(domain, own) == 0;
+		peer->for_list.same_domain = peer->same_domain;
+		peer->for_chunks.same_domain = peer->same_domain;
 	}
 	g_free(domain);
 }
@@ -82,9 +82,9 @@
 			news = pick_peer_has(
 			    x->pick, &peer->for_chunks, i, now_us);
 		else if (has_bit(have->known, i))
-			news = pick_known(x->pick, i, now_us);
+			news = pick_mark_known(x->pick, i, now_us);
 		if (news)
-			peers_tell_claim(x, i, PICK_RANK_UNKNOWN, peer);
+			peers_queue_claim(x, i, PICK_RANK_UNKNOWN, peer);
 	}
 	set_load(peer, have->load);
 }
@@ -103,12 +103,12 @@
 		claims.len--;
 		if (pick != NULL &&
 		    pick_claimed(pick, xfer_pick_index(index), rank, now_us))
-			peers_tell_claim(x, index, rank, peer);
+			peers_queue_claim(x, index, rank, peer);
 	}
 }
 
 static void
-take_news(struct peer *peer, const struct proto_news *news)
+take_news(struct peer *peer, const struct proto_update *news)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
@@ -129,11 +129,11 @@
 /* ------------------------------------------------------------------ */
 
 /* The ask that these bytes answer, or NULL when it was given up. */
-static struct pick_ask *
+static struct pick_fetch *
 open_ask(struct peer *peer, uint64_t index)
 {
 	struct pick *pick = xfer_pick_of(peer->xfer, index);
-	struct pick_ask *ask;
+	struct pick_fetch *ask;
 
 	if (pick == NULL)
 		return NULL;
@@ -143,21 +143,21 @@
 	return ask;
 }
 
-static struct intake *
+static struct incoming *
 new_intake(struct peer *peer, uint64_t index)
 {
-	struct intake *in = g_new0(struct intake, 1);
+	struct incoming *in = g_new0(struct incoming, 1);
 
 	in->index = index;
 	in->len = xfer_len_of(peer->xfer, index);
 	in->buffer = g_malloc(in->len);
 	in->stream = xfer_stream_of(peer->xfer, index);
-	LIST_INSERT_HEAD(&peer->intakes, in, link);
+	LIST_INSERT_HEAD(&peer->incoming_chunks, in, link);
 	return in;
 }
 
 static void
-finish_intake(struct peer *peer, struct intake *in)
+finish_intake(struct peer *peer, struct incoming *in)
 {
 	struct xfer *x = peer->xfer;
 	struct wts *wts = x->wts;
@@ -167,12 +167,12 @@
 
 	digest_stream_end(g_steal_pointer(&in->stream), &got);
 	bytes = g_bytes_new_take(g_steal_pointer(&in->buffer), in->len);
-	intake_free(in);
-	pick_arrived(xfer_pick_of(x, index), xfer_pick_index(index),
+	incoming_free(in);
+	pick_received(xfer_pick_of(x, index), xfer_pick_index(index),
 	    clk_now_us(wts->clock));
-	if (xfer_take(x, index, bytes, &got, peer)) {
+	if (xfer_accept_object(x, index, bytes, &got, peer)) {
 		ctr_add(wts->counts.peer_chunks, 1);
-		side_of(peer, index)->strikes = 0;
+		side_of(peer, index)->failures = 0;
 	} else {
 		ctr_add(wts->counts.corrupt_peer, 1);
 		log_warn("weights: chunk %" G_GUINT64_FORMAT
@@ -187,24 +187,25 @@
 {
 	struct xfer *x = peer->xfer;
 	struct wts *wts = x->wts;
-	struct intake *in = find_intake(peer, data->index);
+	struct incoming *in = find_intake(peer, data->index);
 
 	wts_received(wts, data->bytes.len);
 	ctr_add(wts->counts.peer_bytes, (int64_t)data->bytes.len);
-	if (!peer->near)
-		ctr_add(wts->counts.far_bytes, (int64_t)data->bytes.len);
+	if (!peer->same_domain)
+		ctr_add(
+		    wts->counts.cross_domain_bytes, (int64_t)data->bytes.len);
 	set_load(peer, data->load);
 	if (open_ask(peer, data->index) == NULL) {
 		/* Given up, or had from elsewhere meanwhile. */
 		ctr_add(wts->counts.late_bytes, (int64_t)data->bytes.len);
 		if (in != NULL)
-			intake_free(in);
+			incoming_free(in);
 		return;
 	}
 	if (in != NULL && data->offset == 0) {
 		/* Given up and asked again: the first answer's rest was
 		 * dropped, this is the second one. */
-		intake_free(in);
+		incoming_free(in);
 		in = NULL;
 	}
 	if (in == NULL && data->offset == 0)
@@ -217,8 +218,8 @@
 	memcpy(in->buffer + in->got, data->bytes.data, data->bytes.len);
 	digest_stream_add(in->stream, data->bytes.data, data->bytes.len);
 	in->got += data->bytes.len;
-	pick_moved(xfer_pick_of(x, data->index), xfer_pick_index(data->index),
-	    clk_now_us(wts->clock));
+	pick_progress(xfer_pick_of(x, data->index),
+	    xfer_pick_index(data->index), clk_now_us(wts->clock));
 	if (in->got == in->len)
 		finish_intake(peer, in);
 }
@@ -232,7 +233,7 @@
 	if (open_ask(peer, none->index) == NULL)
 		return;
 	ctr_add(x->wts->counts.busy, (int64_t)none->busy);
-	pick_ended(xfer_pick_of(x, none->index), xfer_pick_index(none->index),
+	pick_failed(xfer_pick_of(x, none->index), xfer_pick_index(none->index),
 	    side_of(peer, none->index), none->busy ? PICK_BUSY : PICK_REFUSED,
 	    clk_now_us(x->wts->clock));
 }
@@ -247,7 +248,7 @@
 	union {
 		struct proto_join join;
 		struct proto_have have;
-		struct proto_news news;
+		struct proto_update news;
 		struct proto_get get;
 		struct proto_data data;
 		struct proto_none none;
@@ -260,8 +261,8 @@
 	else if (m->type == PROTO_HAVE &&
 	    msg_read(m, &proto_have_desc, &u, NULL))
 		take_have(peer, &u.have);
-	else if (m->type == PROTO_NEWS &&
-	    msg_read(m, &proto_news_desc, &u, NULL))
+	else if (m->type == PROTO_UPDATE &&
+	    msg_read(m, &proto_update_desc, &u, NULL))
 		take_news(peer, &u.news);
 	else if (m->type == PROTO_GET && msg_read(m, &proto_get_desc, &u, NULL))
 		serve_get(peer, &u.get);
--- a/lib/weights/serve.c
+++ b/lib/weights/serve.c
@@ -38,7 +38,7 @@
 }
 
 void
-serve_forget(struct peer *peer)
+serve_cancel(struct peer *peer)
 {
 	struct upload *u = TAILQ_FIRST(&peer->xfer->wts->uploads);
 
@@ -52,10 +52,10 @@
 }
 
 unsigned int
-serve_load(struct peer *peer)
+serve_record_load(struct peer *peer)
 {
-	peer->told_load = peer->xfer->wts->nuploads - peer->nuploads;
-	return peer->told_load;
+	peer->sent_load = peer->xfer->wts->nuploads - peer->nuploads;
+	return peer->sent_load;
 }
 
 static GBytes *
@@ -63,9 +63,9 @@
 {
 	if (index == PROTO_LIST)
 		return x->list;
-	if (x->held == NULL || index >= x->pick->conf.chunks)
+	if (x->stored == NULL || index >= x->pick->conf.chunks)
 		return NULL;
-	return hold_get(x->held, index);
+	return hold_get(x->stored, index);
 }
 
 static void
@@ -74,7 +74,7 @@
 	struct proto_none none = {
 		.index = index,
 		.busy = busy,
-		.load = serve_load(peer),
+		.load = serve_record_load(peer),
 	};
 
 	conn_send(peer->conn, &proto_none_desc, &none);
@@ -147,11 +147,11 @@
 	}
 	/* On a narrow link what is sent here delays the engine's answers, and
 	 * the peer waits long: others that have the chunk serve it better. */
-	if (pick_is_narrow(peer->xfer->pick) && copies_of(&u) > 0) {
+	if (pick_is_link_slow(peer->xfer->pick) && copies_of(&u) > 0) {
 		refuse(peer, get->index, true);
 		return;
 	}
-	if (peer->nuploads >= PICK_ASKS_PER_PEER ||
+	if (peer->nuploads >= PICK_REQUESTS_PER_PEER ||
 	    (wts->nuploads >= UPLOADS_MAX && !displace(wts, &u))) {
 		refuse(peer, get->index, true);
 		return;
@@ -210,7 +210,7 @@
 	struct proto_data slice = {
 		.index = u->index,
 		.offset = u->at,
-		.load = serve_load(u->to),
+		.load = serve_record_load(u->to),
 		.bytes = { data + u->at, n },
 	};
 
@@ -263,5 +263,5 @@
 	if (wts->nuploads > 0)
 		timer_set_earlier(&wts->serve_timer, now_us + UPLOAD_STALL_US);
 	else if (was_busy)
-		peers_tell_idle(wts);
+		peers_queue_idle(wts);
 }
--- a/lib/weights/wts.c
+++ b/lib/weights/wts.c
@@ -18,14 +18,14 @@
 	struct ctr_set *set = wts->conf.node->counters;
 
 	if (set == NULL) {
-		wts->own_counters = ctr_set_new();
-		set = wts->own_counters;
+		wts->private_counters = ctr_set_new();
+		set = wts->private_counters;
 	}
 	wts->counts = (struct counts){
 		.peer_chunks = ctr_get(set, "wts_peer_chunks"),
 		.origin_chunks = ctr_get(set, "wts_origin_chunks"),
 		.peer_bytes = ctr_get(set, "wts_peer_bytes"),
-		.far_bytes = ctr_get(set, "wts_cross_domain_bytes"),
+		.cross_domain_bytes = ctr_get(set, "wts_cross_domain_bytes"),
 		.origin_bytes = ctr_get(set, "wts_origin_bytes"),
 		.sent_bytes = ctr_get(set, "wts_sent_bytes"),
 		.corrupt_peer = ctr_get(set, "wts_corrupt_from_peers"),
@@ -129,7 +129,7 @@
 	timer_stop(&wts->resume_timer);
 	g_hash_table_unref(wts->by_conn);
 	hold_free(wts->hold);
-	ctr_set_free(wts->own_counters);
+	ctr_set_free(wts->private_counters);
 	g_free((char *)wts->conf.id);
 	g_free((char *)wts->conf.domain);
 	g_free((char *)wts->conf.origin);
@@ -171,7 +171,7 @@
 
 /* A version whose list has not come yet may share what dropped ones held. */
 void
-wts_sweep(struct wts *wts)
+wts_release_retired(struct wts *wts)
 {
 	struct xfer *x;
 
@@ -179,7 +179,7 @@
 		if (x->phase == WTS_LIST)
 			return;
 	}
-	hold_sweep(wts->hold);
+	hold_release_retired(wts->hold);
 }
 
 void
@@ -191,7 +191,7 @@
 		return;
 	drop_xfer(x);
 	TAILQ_FOREACH (x, &wts->xfers, link)
-		xfer_try_room(x);
+		xfer_try_reserve(x);
 }
 
 bool
@@ -210,7 +210,7 @@
 	stream = xfer_stream_of(x, PROTO_LIST);
 	digest_stream_add(stream, raw, len);
 	digest_stream_end(stream, &got);
-	if (!xfer_take(x, PROTO_LIST, list, &got, NULL))
+	if (!xfer_accept_object(x, PROTO_LIST, list, &got, NULL))
 		return false;
 	xfer_pump_soon(x);
 	return true;
@@ -225,14 +225,14 @@
 	gsize len;
 	const void *raw = g_bytes_get_data(bytes, &len);
 
-	if (x == NULL || x->held == NULL || index >= x->pick->conf.chunks)
+	if (x == NULL || x->stored == NULL || index >= x->pick->conf.chunks)
 		return false;
 	digest_of(raw, len, &got);
 	if (!digest_equal(&got, version_chunk_digest(x->list, index)))
 		return false;
-	if (hold_has(x->held, index))
+	if (hold_has(x->stored, index))
 		return true;
-	hold_put(x->held, index, bytes);
+	hold_put(x->stored, index, bytes);
 	xfer_pump_soon(x);
 	return true;
 }
@@ -267,7 +267,7 @@
 {
 	struct xfer *x = wts_find(wts, root);
 
-	return x == NULL ? UINT64_MAX : pick_left_at_origin(x->pick);
+	return x == NULL ? UINT64_MAX : pick_count_origin_only(x->pick);
 }
 
 bool
@@ -276,7 +276,7 @@
 	const struct xfer *x;
 
 	TAILQ_FOREACH (x, &wts->xfers, link) {
-		if (x->phase != WTS_WHOLE && pick_is_narrow(x->pick))
+		if (x->phase != WTS_WHOLE && pick_is_link_slow(x->pick))
 			return true;
 	}
 	return false;
@@ -314,7 +314,7 @@
 
 	if (x == NULL || x->phase != WTS_WHOLE || index >= x->pick->conf.chunks)
 		return NULL;
-	return hold_get(x->held, index);
+	return hold_get(x->stored, index);
 }
 
 /* ------------------------------------------------------------------ */
--- a/lib/weights/xfer.c
+++ b/lib/weights/xfer.c
@@ -103,8 +103,8 @@
 {
 	struct xfer *x = ctx;
 
-	pick_got(x->pick, index);
-	peers_tell_gained(x, index);
+	pick_complete(x->pick, index);
+	peers_queue_gained(x, index);
 	/* Maybe through another version's transfer. */
 	xfer_pump_soon(x);
 }
@@ -121,7 +121,7 @@
 	bool told = x->members->len == 0;
 	struct peer *peer;
 
-	if (x->pick->settle_us == 0 || x->pick->have > 0)
+	if (x->pick->settle_until_us == 0 || x->pick->have > 0)
 		return;
 	TAILQ_FOREACH (peer, &x->peers, link) {
 		if (peer->for_chunks.have > 0)
@@ -133,35 +133,36 @@
 }
 
 void
-xfer_try_room(struct xfer *x)
+xfer_try_reserve(struct xfer *x)
 {
 	uint64_t missing;
 	struct peer *peer;
 	uint64_t i;
 
-	if (x->list == NULL || x->held != NULL)
+	if (x->list == NULL || x->stored != NULL)
 		return;
-	x->held = hold_open(
+	x->stored = hold_open(
 	    x->wts->hold, &x->want.version, x->list, on_filled, x, &missing);
-	if (x->held == NULL) {
+	if (x->stored == NULL) {
 		snprintf(x->why, sizeof(x->why),
 		    "memory budget: %" G_GUINT64_FORMAT " bytes too small",
 		    missing);
 		set_phase(x, WTS_NO_ROOM);
-		wts_sweep(x->wts);
+		wts_release_retired(x->wts);
 		return;
 	}
 	for (i = 0; i < x->pick->conf.chunks; i++) {
-		if (hold_has(x->held, i))
-			pick_got(x->pick, i);
+		if (hold_has(x->stored, i))
+			pick_complete(x->pick, i);
 	}
 	set_phase(x, WTS_FETCHING);
 	pick_settle(x->pick,
-	    clk_now_us(x->wts->clock) + PICK_NEWS_HOPS * x->news_interval_us);
-	wts_sweep(x->wts);
+	    clk_now_us(x->wts->clock) +
+		PICK_UPDATE_HOPS * x->update_interval_us);
+	wts_release_retired(x->wts);
 	TAILQ_FOREACH (peer, &x->peers, link) {
 		if (peer->open)
-			peer_tell_have(peer);
+			peer_send_have(peer);
 	}
 	xfer_pump_soon(x);
 }
@@ -174,8 +175,8 @@
 		.chunks = chunks,
 		.chunk_bytes = chunk_bytes,
 		.rate = wts->conf.download_bytes_s,
-		.news_us = x->news_interval_us,
-		.copies = 1,
+		.update_interval_us = x->update_interval_us,
+		.origin_copies = 1,
 		.members = 1,
 	};
 
@@ -193,7 +194,7 @@
 	x->wts = wts;
 	x->want = *want;
 	x->phase = WTS_LIST;
-	x->news_interval_us =
+	x->update_interval_us =
 	    (int64_t)CLAMP(shortest_us / NEWS_SHARE, NEWS_MIN_US, NEWS_MAX_US);
 	TAILQ_INIT(&x->peers);
 	TAILQ_INIT(&x->reads);
@@ -215,8 +216,8 @@
 		read_free(r);
 	while ((peer = TAILQ_FIRST(&x->peers)) != NULL)
 		peer_drop(peer);
-	if (x->held != NULL)
-		hold_retire(x->held);
+	if (x->stored != NULL)
+		hold_retire(x->stored);
 	pick_free(x->list_pick);
 	pick_free(x->pick);
 	timer_stop(&x->pump_timer);
@@ -238,8 +239,8 @@
 	x->want.far_step_ms = want->far_step_ms;
 	g_strlcpy(x->want.origin_domain, want->origin_domain,
 	    sizeof(x->want.origin_domain));
-	pick_set_silence(x->pick, (int64_t)want->silence_ms * 1000);
-	pick_set_silence(x->list_pick, (int64_t)want->silence_ms * 1000);
+	pick_set_claim_timeout(x->pick, (int64_t)want->silence_ms * 1000);
+	pick_set_claim_timeout(x->list_pick, (int64_t)want->silence_ms * 1000);
 	if (want->policy == WTS_PEERS_ONLY)
 		copies = 0;
 	else if (want->policy == WTS_TIME_FIRST)
@@ -289,7 +290,7 @@
 
 		if (old == NULL || strcmp(old->address, m->address) != 0)
 			continue;
-		m->dial_after_us = old->dial_after_us;
+		m->redial_at_us = old->redial_at_us;
 		m->refuse_until_us = old->refuse_until_us;
 		m->failures = old->failures;
 	}
@@ -305,8 +306,8 @@
 	if (step_us == 0)
 		return;
 	for (i = 0; i < x->pick->conf.chunks; i++)
-		pick_set_far(x->pick, i, rank_far(root, all, self + 1, self, i),
-		    step_us);
+		pick_set_cross_domain(x->pick, i,
+		    rank_cross_domain(root, all, self + 1, self, i), step_us);
 }
 
 static void
@@ -352,7 +353,7 @@
 	keep_state(x, fresh);
 	g_ptr_array_unref(x->members);
 	x->members = fresh;
-	peers_drop_gone(x);
+	peers_drop_removed(x);
 	rank_members(x);
 	peers_dial(x);
 	xfer_pump_soon(x);
@@ -395,7 +396,7 @@
 }
 
 bool
-xfer_take(struct xfer *x, uint64_t index, GBytes *bytes,
+xfer_accept_object(struct xfer *x, uint64_t index, GBytes *bytes,
     const struct digest *got, struct peer *peer)
 {
 	bool list = index == PROTO_LIST;
@@ -408,18 +409,18 @@
 	if (!digest_equal(got, right)) {
 		/* Never kept, never passed on: the digest of what this host
 		 * serves is always the one it checked itself. */
-		pick_ended(xfer_pick_of(x, index), xfer_pick_index(index), from,
-		    PICK_CORRUPT, clk_now_us(x->wts->clock));
+		pick_failed(xfer_pick_of(x, index), xfer_pick_index(index),
+		    from, PICK_CORRUPT, clk_now_us(x->wts->clock));
 		return false;
 	}
 	if (!list) {
-		hold_put(x->held, index, bytes);
+		hold_put(x->stored, index, bytes);
 		return true;
 	}
-	pick_got(x->list_pick, 0);
+	pick_complete(x->list_pick, 0);
 	if (x->list == NULL)
 		x->list = g_bytes_ref(bytes);
-	xfer_try_room(x);
+	xfer_try_reserve(x);
 	return true;
 }
 
@@ -449,7 +450,7 @@
 	struct peer *peer = a->peer->owner;
 
 	ctr_add(x->wts->counts.stalls, 1);
-	pick_ended(pick, a->index, a->peer, PICK_STALLED, now_us);
+	pick_failed(pick, a->index, a->peer, PICK_STALLED, now_us);
 	peer_drop_failing(peer);
 }
 
@@ -462,7 +463,7 @@
 	struct proto_get get = { .index = index, .have = x->pick->have };
 
 	switch (a->kind) {
-	case PICK_ASK:
+	case PICK_REQUEST:
 		pick_begin(pick, a, now_us);
 		conn_send(((struct peer *)a->peer->owner)->conn,
 		    &proto_get_desc, &get);
@@ -471,7 +472,7 @@
 		pick_begin(pick, a, now_us);
 		ctr_add(wts->counts.out_of_turn, a->rank > 0 && !a->extra);
 		ctr_add(wts->counts.extra_reads, a->extra);
-		peers_tell_claim(x, index, a->rank, NULL);
+		peers_queue_claim(x, index, a->rank, NULL);
 		read_start(x, index);
 		break;
 	case PICK_EXPIRE:
@@ -486,12 +487,12 @@
 static void
 tell_wait(struct xfer *x, const struct pick *pick, const char *why)
 {
-	if (pick->bad_reads >= BAD_READS_TO_TELL) {
+	if (pick->corrupt_reads >= BAD_READS_TO_TELL) {
 		snprintf(x->why, sizeof(x->why),
 		    "origin: the copy of %s %" G_GUINT64_FORMAT
 		    " does not match its digest (%u tries)",
 		    pick == x->list_pick ? "the list" : "chunk",
-		    pick->bad_read_index, pick->bad_reads);
+		    pick->corrupt_read_index, pick->corrupt_reads);
 		return;
 	}
 	set_why(x, why);
--- a/lib/weights/xfer.h
+++ b/lib/weights/xfer.h
@@ -15,7 +15,7 @@
 
 struct counts {
 	struct ctr *peer_chunks, *origin_chunks;
-	struct ctr *peer_bytes, *far_bytes, *origin_bytes, *sent_bytes;
+	struct ctr *peer_bytes, *cross_domain_bytes, *origin_bytes, *sent_bytes;
 	struct ctr *corrupt_peer, *corrupt_origin;
 	struct ctr *stalls, *busy, *late_bytes, *out_of_turn, *extra_reads;
 };
@@ -26,7 +26,7 @@
 	void *ctx;
 	struct wts_source source;
 	const struct clk *clock;
-	struct ctr_set *own_counters; /* when the node has none */
+	struct ctr_set *private_counters; /* when the node has none */
 	struct counts counts;
 	struct rng rng;
 	struct hold *hold;
@@ -41,8 +41,8 @@
 };
 
 /* Bytes of one chunk (or the list) from one peer, hashed as they come. */
-struct intake {
-	LIST_ENTRY(intake) link;
+struct incoming {
+	LIST_ENTRY(incoming) link;
 	uint64_t index;
 	uint64_t len, got;
 	uint8_t *buffer;
@@ -54,7 +54,7 @@
 	uint64_t score; /* order in which this host dials */
 	struct peer *peer; /* NULL: not connected */
 	bool reader;
-	int64_t dial_after_us;
+	int64_t redial_at_us;
 	int64_t refuse_until_us; /* it failed too often */
 	unsigned int failures;
 };
@@ -67,16 +67,16 @@
 	bool dialled;
 	bool open; /* our join was sent */
 	bool joined; /* its join came */
-	bool near;
+	bool same_domain;
 	bool has_list;
-	bool told_have;
+	bool have_sent;
 	struct pick_peer for_list, for_chunks;
-	LIST_HEAD(intake_list, intake) intakes;
+	LIST_HEAD(incoming_list, incoming) incoming_chunks;
 	unsigned int nuploads;
 	GByteArray *gained, *claims; /* not told yet */
-	unsigned int told_load; /* uploads to others, as last told */
-	int64_t news_after_us;
-	struct timer news_timer;
+	unsigned int sent_load; /* uploads to others, as last told */
+	int64_t next_update_us;
+	struct timer update_timer;
 };
 
 struct read {
@@ -96,13 +96,13 @@
 	struct wts_want want;
 	enum wts_phase phase;
 	GBytes *list;
-	struct hold_version *held;
+	struct hold_version *stored;
 	struct pick *list_pick; /* the list as a rollout of one chunk */
 	struct pick *pick;
 	GPtrArray *members; /* struct member, by score */
 	TAILQ_HEAD(peer_list, peer) peers;
 	TAILQ_HEAD(read_list, read) reads;
-	int64_t news_interval_us;
+	int64_t update_interval_us;
 	struct timer pump_timer;
 	struct timer dial_timer;
 	guint notify_idle;
@@ -112,7 +112,7 @@
 /* wts.c */
 struct xfer *wts_find(struct wts *wts, const struct digest *root);
 /* Lets go of dropped versions' chunks, unless a list is still to come. */
-void wts_sweep(struct wts *wts);
+void wts_release_retired(struct wts *wts);
 /* Bytes came in: over the budget, all peers' connections pause. */
 void wts_received(struct wts *wts, uint64_t bytes);
 
@@ -132,10 +132,10 @@
 struct digest_stream *xfer_stream_of(const struct xfer *x, uint64_t index);
 /* All bytes of `index` have come with digest `got`, from `peer` (NULL: the
  * origin). False when the digest is wrong. Takes no reference. */
-bool xfer_take(struct xfer *x, uint64_t index, GBytes *bytes,
+bool xfer_accept_object(struct xfer *x, uint64_t index, GBytes *bytes,
     const struct digest *got, struct peer *peer);
 /* Tries again to reserve memory, after another version went. */
-void xfer_try_room(struct xfer *x);
+void xfer_try_reserve(struct xfer *x);
 
 /* read.c */
 void read_start(struct xfer *x, uint64_t index);
@@ -143,32 +143,32 @@
 
 /* peers.c */
 void peers_dial(struct xfer *x);
-void peers_drop_gone(struct xfer *x); /* those no longer members */
+void peers_drop_removed(struct xfer *x); /* those no longer members */
 struct peer *peers_accept(struct xfer *x, struct conn *c);
 /* Lets go of the connection, which closes; the peer is freed. */
 void peer_drop(struct peer *peer);
 /* As peer_drop, for one that failed too often; it is refused for a while. */
 void peer_drop_failing(struct peer *peer);
 void peer_join(struct peer *peer); /* sends join, and have if there is one */
-void peer_tell_have(struct peer *peer);
-void peers_tell_gained(struct xfer *x, uint64_t index);
-void peers_tell_claim(struct xfer *x, uint64_t index, unsigned int rank,
+void peer_send_have(struct peer *peer);
+void peers_queue_gained(struct xfer *x, uint64_t index);
+void peers_queue_claim(struct xfer *x, uint64_t index, unsigned int rank,
     const struct peer *except);
 /* This host has no uploads left. */
-void peers_tell_idle(struct wts *wts);
+void peers_queue_idle(struct wts *wts);
 struct member *peers_member(struct xfer *x, const char *id);
 
 /* receive.c */
 void peer_message(struct peer *peer, const struct msg *m);
-void intake_free(struct intake *in);
+void incoming_free(struct incoming *in);
 
 /* serve.c */
 void serve_get(struct peer *peer, const struct proto_get *get);
 void serve_run(struct wts *wts);
 /* Uploads to others than `peer`, noted as told to it. */
-unsigned int serve_load(struct peer *peer);
+unsigned int serve_record_load(struct peer *peer);
 /* Drops peers that take nothing; not from within a peer's message. */
 void serve_drop_stalled(struct wts *wts);
-void serve_forget(struct peer *peer); /* drops its uploads */
+void serve_cancel(struct peer *peer); /* drops its uploads */
 
 #endif
--- a/tests/weights/test_faults.c
+++ b/tests/weights/test_faults.c
@@ -372,7 +372,7 @@
 		if (x == NULL)
 			continue;
 		state = x->pick->chunks[chunk].state;
-		if (state == PICK_HAVE || state == PICK_CHECKING ||
+		if (state == PICK_HAVE || state == PICK_VERIFYING ||
 		    state == PICK_READING)
 			return true;
 	}
--- a/tests/weights/test_hold.c
+++ b/tests/weights/test_hold.c
@@ -69,7 +69,7 @@
 	hold_retire(b);
 	b = hold_open(hold, &v, list, note_filled, &filled_b, NULL);
 	assert_true(hold_has(b, 1));
-	hold_sweep(hold);
+	hold_release_retired(hold);
 	assert_true(hold_has(b, 1));
 	hold_close(b);
 	assert_int_equal(hold_reserved(hold), 0);
--- a/tests/weights/test_pick.c
+++ b/tests/weights/test_pick.c
@@ -43,7 +43,7 @@
 		.chunks = CHUNKS,
 		.chunk_bytes = 1 << 20,
 		.rate = 100 << 20, /* ten milliseconds a chunk */
-		.copies = 1,
+		.origin_copies = 1,
 		.members = HOSTS,
 	};
 	struct pick *p = pick_new(&conf, 0);
@@ -68,7 +68,7 @@
 {
 	struct pick_action a = next(p, now_us);
 
-	while (a.kind == PICK_ASK || a.kind == PICK_READ) {
+	while (a.kind == PICK_REQUEST || a.kind == PICK_READ) {
 		pick_begin(p, &a, now_us);
 		a = next(p, now_us);
 	}
@@ -119,8 +119,8 @@
 
 	for (i = 0; i < HOSTS; i++) {
 		assert_int_equal(ranks[i].nreaders, RANK_READERS);
-		assert_memory_equal(
-		    ranks[i].reader, ranks[0].reader, sizeof(ranks[0].reader));
+		assert_memory_equal(ranks[i].reader_hash, ranks[0].reader_hash,
+		    sizeof(ranks[0].reader_hash));
 		readers += ranks[i].self != RANK_NONE;
 	}
 	assert_int_equal(readers, RANK_READERS);
@@ -168,13 +168,13 @@
 		assert_int_equal(a.index % 2, 1);
 		pick_begin(p, &a, 0);
 		assert_int_equal(next(p, 0).kind, PICK_WAIT);
-		pick_arrived(p, a.index, 0);
-		pick_got(p, a.index);
+		pick_received(p, a.index, 0);
+		pick_complete(p, a.index);
 		read++;
 	}
 	assert_int_equal(read, own);
 	assert_int_equal(a.kind, PICK_WAIT);
-	assert_int_equal(a.until_us, pick_silence_us(p));
+	assert_int_equal(a.until_us, pick_claim_timeout_us(p));
 	pick_free(p);
 }
 
@@ -189,10 +189,10 @@
 	assert_int_equal(a.kind, PICK_READ);
 	for (i = 0; i < CHUNKS; i++) {
 		if (i != a.index && i != other)
-			pick_got(p, i);
+			pick_complete(p, i);
 	}
 	pick_begin(p, &a, 0);
-	pick_ended(p, a.index, NULL, PICK_FAILED, 0);
+	pick_failed(p, a.index, NULL, PICK_FAILED, 0);
 	assert_int_equal(next(p, SECOND / 10).kind, PICK_WAIT);
 	return a.index;
 }
@@ -234,8 +234,8 @@
 		assert_true(a.rank >= before);
 		before = a.rank;
 		pick_begin(p, &a, later_us);
-		pick_arrived(p, a.index, later_us);
-		pick_got(p, a.index);
+		pick_received(p, a.index, later_us);
+		pick_complete(p, a.index);
 		read++;
 	}
 	assert_true(read > CHUNKS / HOSTS);
@@ -259,7 +259,7 @@
 	}
 	assert_int_equal(next(p, 0).kind, PICK_WAIT);
 	pick_set_reads(p, 1);
-	pick_arrived(p, a.index, 0);
+	pick_received(p, a.index, 0);
 	assert_int_equal(next(p, 0).kind, PICK_WAIT);
 	pick_free(p);
 }
@@ -297,9 +297,9 @@
 	pick_add_peer(p, &peer, true);
 	for (i = 0; i < CHUNKS - 1; i++)
 		pick_peer_has(p, &peer, i, 0);
-	assert_int_equal(pick_left_at_origin(p), 1);
-	pick_got(p, CHUNKS - 1);
-	assert_int_equal(pick_left_at_origin(p), 0);
+	assert_int_equal(pick_count_origin_only(p), 1);
+	pick_complete(p, CHUNKS - 1);
+	assert_int_equal(pick_count_origin_only(p), 0);
 	pick_remove_peer(p, &peer, 0);
 	pick_free(p);
 }
@@ -313,21 +313,21 @@
 test_next_in_rank_after_silence(void **state)
 {
 	struct pick *p = new_pick(reader(1));
-	int64_t now = pick_silence_us(p);
+	int64_t now = pick_claim_timeout_us(p);
 	struct pick_action a;
 	uint64_t i;
 
 	for (i = 0; i < CHUNKS; i++) {
 		if (rank_self(reader(1), i) != 1)
-			pick_got(p, i);
+			pick_complete(p, i);
 	}
 	assert_int_equal(next(p, now - 1).kind, PICK_WAIT);
 	a = next(p, now);
 	assert_int_equal(a.kind, PICK_READ);
 	assert_int_equal(a.rank, 1);
 	pick_begin(p, &a, now);
-	pick_arrived(p, a.index, now);
-	pick_got(p, a.index);
+	pick_received(p, a.index, now);
+	pick_complete(p, a.index);
 	a = next(p, now);
 	assert_int_equal(a.kind, PICK_READ);
 	for (i = 0; i < CHUNKS; i++) {
@@ -354,17 +354,17 @@
 	uint64_t i;
 
 	for (i = 0; i < CHUNKS; i++) {
-		if (rank_first(reader(0), i) > 2)
-			pick_got(p, i);
+		if (rank_first_reader(reader(0), i) > 2)
+			pick_complete(p, i);
 	}
 	for (i = 0; i < CHUNKS; i++) {
-		switch (rank_first(reader(0), i)) {
+		switch (rank_first_reader(reader(0), i)) {
 		case 0: /* one of this host's each 0.1 s */
 			a = next(p, now += SECOND / 10);
 			assert_int_equal(a.rank, 0);
 			pick_begin(p, &a, now);
-			pick_arrived(p, a.index, now);
-			pick_got(p, a.index);
+			pick_received(p, a.index, now);
+			pick_complete(p, a.index);
 			break;
 		case 1:
 			if (now >= (int64_t)slow * SECOND * 6 / 10 &&
@@ -375,7 +375,7 @@
 			if (++brisk == CHUNKS / RANK_READERS)
 				break;
 			pick_claimed(p, i, 0, now);
-			pick_got(p, i); /* it came */
+			pick_complete(p, i); /* it came */
 			break;
 		}
 	}
@@ -383,10 +383,11 @@
 	 * waited for; but it does not come. */
 	while ((now += SECOND * 4 / 10) < 3 * SECOND) {
 		for (a = next(p, now); a.kind == PICK_READ; a = next(p, now)) {
-			assert_int_equal(rank_first(reader(0), a.index), 1);
+			assert_int_equal(
+			    rank_first_reader(reader(0), a.index), 1);
 			pick_begin(p, &a, now);
-			pick_arrived(p, a.index, now);
-			pick_got(p, a.index);
+			pick_received(p, a.index, now);
+			pick_complete(p, a.index);
 			taken++;
 		}
 		assert_true(taken > 0);
@@ -404,7 +405,7 @@
 test_late_claim_is_a_sign_of_life(void **state)
 {
 	struct pick *p = new_pick(reader(1));
-	int64_t silence = pick_silence_us(p);
+	int64_t silence = pick_claim_timeout_us(p);
 	struct pick_peer peer = { 0 };
 	struct pick_action a;
 	uint64_t i, seen = CHUNKS;
@@ -412,15 +413,15 @@
 	pick_add_peer(p, &peer, true);
 	for (i = 0; i < CHUNKS; i++) {
 		if (rank_self(reader(1), i) != 1 ||
-		    rank_first(reader(1), i) != 0)
-			pick_got(p, i);
+		    rank_first_reader(reader(1), i) != 0)
+			pick_complete(p, i);
 		else
 			seen = i;
 	}
 	pick_peer_has(p, &peer, seen, silence - 1);
 	assert_true(pick_claimed(p, seen, 0, silence - 1));
 	assert_false(pick_claimed(p, seen, 0, silence - 1));
-	pick_got(p, seen);
+	pick_complete(p, seen);
 	a = next(p, silence);
 	assert_int_equal(a.kind, PICK_WAIT);
 	assert_int_equal(a.until_us, 2 * silence - 1);
@@ -449,7 +450,7 @@
 	has_all(p, &far);
 	pick_peer_load(&loaded, 1, 0);
 	a = next(p, 0);
-	assert_int_equal(a.kind, PICK_ASK);
+	assert_int_equal(a.kind, PICK_REQUEST);
 	assert_ptr_equal(a.peer, &near);
 	assert_int_equal(a.index, 17);
 	pick_remove_peer(p, &near, 0);
@@ -467,26 +468,26 @@
 test_no_duplicate_before_patience(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	int64_t late = pick_patience_us(p);
+	int64_t late = pick_stall_timeout_us(p);
 	struct pick_peer one = { 0 }, two = { 0 };
 	struct pick_action a;
 	uint64_t i;
 
 	for (i = 1; i < CHUNKS; i++)
-		pick_got(p, i);
+		pick_complete(p, i);
 	pick_add_peer(p, &one, true);
 	pick_add_peer(p, &two, true);
 	has_all(p, &one);
 	has_all(p, &two);
 	pick_peer_load(&two, 1, 0);
 	a = begin_all(p, 0);
-	assert_int_equal(one.open, 1);
-	assert_int_equal(two.open, 0);
+	assert_int_equal(one.open_requests, 1);
+	assert_int_equal(two.open_requests, 0);
 	assert_int_equal(a.kind, PICK_WAIT);
 	assert_int_equal(a.until_us, late);
 	a = next(p, late);
 	assert_int_equal(a.kind, PICK_EXPIRE);
-	pick_ended(p, a.index, a.peer, PICK_STALLED, late);
+	pick_failed(p, a.index, a.peer, PICK_STALLED, late);
 	a = next(p, late);
 	assert_ptr_equal(a.peer, &two);
 	pick_remove_peer(p, &one, late);
@@ -512,7 +513,7 @@
 	a = next(p, 0);
 	assert_int_equal(a.kind, PICK_WAIT);
 	assert_in_range(a.until_us, 1, SECOND / 10);
-	assert_int_equal(next(p, a.until_us).kind, PICK_ASK);
+	assert_int_equal(next(p, a.until_us).kind, PICK_REQUEST);
 	pick_remove_peer(p, &one, 0);
 	pick_free(p);
 }
@@ -522,14 +523,14 @@
 test_progress_extends_patience(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	int64_t late = pick_patience_us(p);
+	int64_t late = pick_stall_timeout_us(p);
 	struct pick_peer one = { 0 };
 	struct pick_action a;
 
 	pick_add_peer(p, &one, true);
 	pick_peer_has(p, &one, 3, 0);
 	begin_all(p, 0);
-	pick_moved(p, 3, late - 1);
+	pick_progress(p, 3, late - 1);
 	a = next(p, late);
 	assert_int_not_equal(a.kind, PICK_EXPIRE);
 	pick_remove_peer(p, &one, late);
@@ -554,15 +555,15 @@
 		;
 	for (i = 0; i < CHUNKS; i++) {
 		if (i != own)
-			pick_got(p, i);
+			pick_complete(p, i);
 	}
 	pick_add_peer(p, &liar, true);
 	has_all(p, &liar);
 	a = begin_all(p, 0);
-	assert_int_equal(liar.open, 1);
-	pick_arrived(p, own, 0);
-	pick_ended(p, own, &liar, PICK_CORRUPT, 0);
-	a = next(p, pick_silence_us(p));
+	assert_int_equal(liar.open_requests, 1);
+	pick_received(p, own, 0);
+	pick_failed(p, own, &liar, PICK_CORRUPT, 0);
+	a = next(p, pick_claim_timeout_us(p));
 	assert_int_equal(a.kind, PICK_READ);
 	pick_remove_peer(p, &liar, 0);
 	pick_free(p);
@@ -587,8 +588,8 @@
 	for (a = next(p, 0); a.kind == PICK_READ; a = next(p, 0)) {
 		assert_true(a.extra);
 		pick_begin(p, &a, 0);
-		pick_arrived(p, a.index, 0);
-		pick_got(p, a.index);
+		pick_received(p, a.index, 0);
+		pick_complete(p, a.index);
 		extra++;
 	}
 	assert_int_equal(extra, (CHUNKS + HOSTS - 1) / HOSTS);
