--- a/bench/weights_node.c
+++ b/bench/weights_node.c
@@ -239,7 +239,7 @@
 
 	if (progress->phase == WTS_NO_ROOM)
 		print_state(b, "no_room", index);
-	if (progress->phase != WTS_WHOLE)
+	if (progress->phase != WTS_COMPLETE)
 		return;
 	print_state(b, "whole", index);
 	if (!loads_whole(b, version))
@@ -265,7 +265,7 @@
 		/* A version in mid-flight is superseded; a whole one serves
 		 * until the next is whole. */
 		wts_progress(b->wts, &b->version[0].root, &old);
-		if (old.phase != WTS_WHOLE)
+		if (old.phase != WTS_COMPLETE)
 			wts_drop(b->wts, &b->version[0].root);
 	}
 	b->wanted = index;
--- a/lib/weights/weights.h
+++ b/lib/weights/weights.h
@@ -51,7 +51,7 @@
 	WTS_UNKNOWN, /* not wanted here */
 	WTS_LIST, /* fetching the chunk list */
 	WTS_FETCHING,
-	WTS_WHOLE, /* every chunk verified */
+	WTS_COMPLETE, /* every chunk verified */
 	WTS_NO_ROOM, /* does not fit the memory budget */
 };
 
@@ -116,13 +116,13 @@
 	 * origin's own domain, whose hosts read it. 0 and "": no difference is
 	 * made between domains beyond asking near hosts first.
 	 */
-	unsigned int far_step_ms;
+	unsigned int cross_domain_step_ms;
 	char origin_domain[64];
 	/* Reads of the origin that a reader has open at a time; 0: 1. A reader
 	 * that dies loses as many. */
-	unsigned int reads;
+	unsigned int max_reads;
 	/* Least silence of a reader after which the next steps in; 0: 1 s. */
-	unsigned int silence_ms;
+	unsigned int claim_timeout_ms;
 };
 /* Starts, or goes on with changed terms; idempotent. Chunks held for other
  * versions are reused. ERR_INVALID for sizes out of bounds. Nothing is
@@ -147,9 +147,9 @@
     struct wts *wts, const struct digest *root, struct wts_progress *out);
 /* Missing chunks of a wanted version that are at no connected peer: they are
  * still to come from the origin. UINT64_MAX: the version is not wanted. */
-uint64_t wts_left_at_origin(struct wts *wts, const struct digest *root);
+uint64_t wts_count_origin_only(struct wts *wts, const struct digest *root);
 /* Chunks of some wanted version come much slower than this host's budget. */
-bool wts_is_narrow(const struct wts *wts);
+bool wts_is_link_slow(const struct wts *wts);
 /* Live traffic asks for the link: uploads and downloads shrink meanwhile. */
 void wts_live_bytes(struct wts *wts, uint64_t bytes);
 
--- a/lib/weights/wts.c
+++ b/lib/weights/wts.c
@@ -263,7 +263,7 @@
 }
 
 uint64_t
-wts_left_at_origin(struct wts *wts, const struct digest *root)
+wts_count_origin_only(struct wts *wts, const struct digest *root)
 {
 	struct xfer *x = wts_find(wts, root);
 
@@ -271,12 +271,12 @@
 }
 
 bool
-wts_is_narrow(const struct wts *wts)
+wts_is_link_slow(const struct wts *wts)
 {
 	const struct xfer *x;
 
 	TAILQ_FOREACH (x, &wts->xfers, link) {
-		if (x->phase != WTS_WHOLE && pick_is_link_slow(x->pick))
+		if (x->phase != WTS_COMPLETE && pick_is_link_slow(x->pick))
 			return true;
 	}
 	return false;
@@ -304,7 +304,7 @@
 {
 	struct xfer *x = wts_find(wts, root);
 
-	return x != NULL && x->phase == WTS_WHOLE ? x->list : NULL;
+	return x != NULL && x->phase == WTS_COMPLETE ? x->list : NULL;
 }
 
 GBytes *
@@ -312,7 +312,8 @@
 {
 	struct xfer *x = wts_find(wts, root);
 
-	if (x == NULL || x->phase != WTS_WHOLE || index >= x->pick->conf.chunks)
+	if (x == NULL || x->phase != WTS_COMPLETE ||
+	    index >= x->pick->conf.chunks)
 		return NULL;
 	return hold_get(x->stored, index);
 }
--- a/lib/weights/xfer.c
+++ b/lib/weights/xfer.c
@@ -66,7 +66,7 @@
 		[WTS_UNKNOWN] = "unknown",
 		[WTS_LIST] = "list",
 		[WTS_FETCHING] = "fetching",
-		[WTS_WHOLE] = "whole",
+		[WTS_COMPLETE] = "whole",
 		[WTS_NO_ROOM] = "no room",
 	};
 	struct tl *timeline = x->wts->conf.node->timeline;
@@ -236,18 +236,19 @@
 
 	x->want.policy = want->policy;
 	x->want.origin_copies = want->origin_copies;
-	x->want.far_step_ms = want->far_step_ms;
+	x->want.cross_domain_step_ms = want->cross_domain_step_ms;
 	g_strlcpy(x->want.origin_domain, want->origin_domain,
 	    sizeof(x->want.origin_domain));
-	pick_set_claim_timeout(x->pick, (int64_t)want->silence_ms * 1000);
-	pick_set_claim_timeout(x->list_pick, (int64_t)want->silence_ms * 1000);
+	pick_set_claim_timeout(x->pick, (int64_t)want->claim_timeout_ms * 1000);
+	pick_set_claim_timeout(
+	    x->list_pick, (int64_t)want->claim_timeout_ms * 1000);
 	if (want->policy == WTS_PEERS_ONLY)
 		copies = 0;
 	else if (want->policy == WTS_TIME_FIRST)
 		copies = MAX(want->origin_copies, 1);
 	pick_set_copies(x->list_pick, MIN(copies, 1));
 	pick_set_copies(x->pick, copies);
-	pick_set_reads(x->pick, want->reads);
+	pick_set_reads(x->pick, want->max_reads);
 	xfer_pump_soon(x);
 }
 
@@ -300,7 +301,7 @@
 rank_far_chunks(struct xfer *x, const struct rank_member *all, size_t self)
 {
 	const struct digest *root = &x->want.version.root;
-	int64_t step_us = (int64_t)x->want.far_step_ms * 1000;
+	int64_t step_us = (int64_t)x->want.cross_domain_step_ms * 1000;
 	uint64_t i;
 
 	if (step_us == 0)
@@ -526,7 +527,7 @@
 	if (a.kind == PICK_DONE) {
 		set_why(x, "");
 		if (pick == x->pick)
-			set_phase(x, WTS_WHOLE);
+			set_phase(x, WTS_COMPLETE);
 		return;
 	}
 	tell_wait(x, pick, a.why);
--- a/programs/entry/lead.c
+++ b/programs/entry/lead.c
@@ -213,7 +213,7 @@
 
 	return (struct act_target){
 		.reachable = t->reachable,
-		.whole = status != NULL && status->phase == WTS_WHOLE,
+		.whole = status != NULL && status->phase == WTS_COMPLETE,
 		.loaded = digest_equal(&t->loaded, root),
 		.empty = digest_is_none(&t->loaded),
 		.ordered_off = t->ordered_off,
--- a/programs/entry/ops.c
+++ b/programs/entry/ops.c
@@ -316,7 +316,7 @@
 	[WTS_UNKNOWN] = "unknown",
 	[WTS_LIST] = "list",
 	[WTS_FETCHING] = "fetching",
-	[WTS_WHOLE] = "whole",
+	[WTS_COMPLETE] = "whole",
 	[WTS_NO_ROOM] = "no_room",
 };
 
--- a/programs/side/keeper_engine.c
+++ b/programs/side/keeper_engine.c
@@ -200,7 +200,7 @@
 	return (struct stg_rival){
 		.older_whole = k->older->whole,
 		.older_left = k->older->has_root
-		    ? wts_left_at_origin(k->wts, &k->older->wts.root)
+		    ? wts_count_origin_only(k->wts, &k->older->wts.root)
 		    : UINT64_MAX,
 		.older_total = k->older->chunks,
 		.loaded = k->loaded,
--- a/programs/side/keeper_gateways.c
+++ b/programs/side/keeper_gateways.c
@@ -144,7 +144,7 @@
 		.own_root = has_own_root(k),
 		.running = k->engine.running,
 		.waiting = k->engine.waiting,
-		.slow_link = wts_is_narrow(k->wts),
+		.slow_link = wts_is_link_slow(k->wts),
 		.limit_known = k->permits.knows,
 		.limit = k->permits.limit,
 	};
--- a/programs/side/keeper_weights.c
+++ b/programs/side/keeper_weights.c
@@ -71,9 +71,9 @@
 	    (unsigned int)cfg_int(k->st.cfg, "policy.origin_copies");
 	if (want.origin_copies > 1)
 		want.policy = WTS_TIME_FIRST;
-	want.far_step_ms = FAR_STEP_MS;
-	want.silence_ms = SILENCE_MS;
-	want.reads = ORIGIN_READS;
+	want.cross_domain_step_ms = FAR_STEP_MS;
+	want.claim_timeout_ms = SILENCE_MS;
+	want.max_reads = ORIGIN_READS;
 	g_strlcpy(
 	    want.origin_domain, k->origin_region, sizeof(want.origin_domain));
 	c->has_root = wts_want(k->wts, &want, &err);
@@ -98,7 +98,7 @@
 	    c->version, p->phase, p->have, p->total,
 	    ctr_read(c->keeper->st.counters, "wts_origin_chunks"),
 	    (keeper_now(c->keeper) - c->heard_us) / 1000);
-	c->whole = p->phase == WTS_WHOLE;
+	c->whole = p->phase == WTS_COMPLETE;
 }
 
 /* A version takes three to six seconds: some ten lines each. */
--- a/programs/side/main.c
+++ b/programs/side/main.c
@@ -132,7 +132,7 @@
 	char hex[DIGEST_HEX];
 
 	digest_to_hex(&version->root, hex);
-	if (progress->phase == WTS_WHOLE)
+	if (progress->phase == WTS_COMPLETE)
 		tl_add(side->proc.timeline, "version_whole", hex,
 		    "%" G_GUINT64_FORMAT " chunks verified", progress->total);
 	else if (progress->phase == WTS_NO_ROOM)
--- a/programs/side/targets.c
+++ b/programs/side/targets.c
@@ -348,7 +348,7 @@
 		    "another load is under way");
 	}
 	wts_progress(t->side->wts, &order->root, &progress);
-	if (progress.phase != WTS_WHOLE) {
+	if (progress.phase != WTS_COMPLETE) {
 		return err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
 		    "the version is not whole here");
 	}
--- a/tests/weights/nodes.h
+++ b/tests/weights/nodes.h
@@ -366,7 +366,7 @@
 	struct wts_progress p;
 
 	wts_progress(n->wts, &m->version.root, &p);
-	return p.phase == WTS_WHOLE;
+	return p.phase == WTS_COMPLETE;
 }
 
 static inline bool
