--- a/lib/weights/link.c
+++ b/lib/weights/link.c
@@ -28,17 +28,17 @@
 	/* Beyond this the bucket is full whatever it held; the bound also
 	 * keeps the product below from overflowing. */
 	int64_t passed = MIN(now_us - b->at_us, 600 * (int64_t)SECOND_US);
-	int64_t gained;
+	int64_t added;
 
 	if (passed <= 0)
 		return;
-	gained = (int64_t)((double)passed * (double)b->rate / SECOND_US);
-	b->tokens = MIN(b->tokens + gained, (int64_t)b->burst);
+	added = (int64_t)((double)passed * (double)b->rate / SECOND_US);
+	b->tokens = MIN(b->tokens + added, (int64_t)b->burst);
 	/* Only the time that whole bytes took, or frequent calls at a low
 	 * rate would round every gain down to nothing. */
 	if (b->tokens < (int64_t)b->burst)
 		b->at_us +=
-		    (int64_t)((double)gained * SECOND_US / (double)b->rate);
+		    (int64_t)((double)added * SECOND_US / (double)b->rate);
 	else
 		b->at_us = now_us;
 }
@@ -53,11 +53,11 @@
 void
 bucket_take_live(struct bucket *b, uint64_t bytes, int64_t now_us)
 {
-	int64_t most = (int64_t)(b->rate / (SECOND_US / LIVE_DEBT_MAX_US));
+	int64_t max_debt = (int64_t)(b->rate / (SECOND_US / LIVE_DEBT_MAX_US));
 
 	refill(b, now_us);
-	if (b->tokens > -most)
-		b->tokens = MAX(b->tokens - (int64_t)bytes, -most);
+	if (b->tokens > -max_debt)
+		b->tokens = MAX(b->tokens - (int64_t)bytes, -max_debt);
 }
 
 int64_t
--- a/lib/weights/peers.c
+++ b/lib/weights/peers.c
@@ -12,32 +12,32 @@
  * running dry of each other's chunks.
  */
 #define DIAL_MIN 4
-#define DIAL_FAR 2
+#define DIAL_CROSS_DOMAIN 2
 #define DIAL_ALL 12 /* members of a rollout that connects all to all */
 #define PEERS_MAX 40
 #define REDIAL_US 250000
 #define REDIAL_DOUBLINGS 5
 /* Long beside the time that others need to take a chunk's place, short beside
  * a rollout: a host that was only slow comes back into use. */
-#define REFUSE_US (10 * (int64_t)1000000)
+#define REFUSAL_US (10 * (int64_t)1000000)
 
 /* ------------------------------------------------------------------ */
 /* Telling                                                             */
 /* ------------------------------------------------------------------ */
 
 static void
-clear_news(struct peer *peer)
+clear_update(struct peer *peer)
 {
 	g_byte_array_set_size(peer->gained, 0);
 	g_byte_array_set_size(peer->claims, 0);
 }
 
 static void
-send_news(void *ctx)
+send_update(void *ctx)
 {
 	struct peer *peer = ctx;
 	struct wts *wts = peer->xfer->wts;
-	struct proto_update news = {
+	struct proto_update update = {
 		.gained = { peer->gained->data, peer->gained->len },
 		.claims = { peer->claims->data, peer->claims->len },
 		.load = serve_record_load(peer),
@@ -45,13 +45,13 @@
 
 	peer->next_update_us =
 	    clk_now_us(wts->clock) + peer->xfer->update_interval_us;
-	conn_send(peer->conn, &proto_update_desc, &news);
-	clear_news(peer);
+	conn_send(peer->conn, &proto_update_desc, &update);
+	clear_update(peer);
 }
 
 /* The first news go at once, what follows within the interval as one. */
 static void
-tell_soon(struct peer *peer)
+schedule_update(struct peer *peer)
 {
 	if (peer->open)
 		timer_set_earlier(&peer->update_timer, peer->next_update_us);
@@ -68,7 +68,7 @@
 		if (!peer->have_sent || bits_get(peer->for_chunks.bits, index))
 			continue;
 		proto_add_index(peer->gained, (uint32_t)index);
-		tell_soon(peer);
+		schedule_update(peer);
 	}
 }
 
@@ -84,7 +84,7 @@
 			continue;
 		proto_add_index(peer->claims, (uint32_t)index);
 		g_byte_array_append(peer->claims, &rank8, 1);
-		tell_soon(peer);
+		schedule_update(peer);
 	}
 }
 
@@ -97,7 +97,7 @@
 	TAILQ_FOREACH (x, &wts->xfers, link) {
 		TAILQ_FOREACH (peer, &x->peers, link) {
 			if (peer->sent_load > 0)
-				tell_soon(peer);
+				schedule_update(peer);
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	};
 	conn_send(peer->conn, &proto_have_desc, &have);
 	peer->have_sent = true;
-	clear_news(peer);
+	clear_update(peer);
 	g_byte_array_unref(bits);
 	g_byte_array_unref(known);
 }
@@ -192,22 +192,22 @@
 }
 
 static struct peer *
-new_peer(struct xfer *x, const char *id, bool near)
+new_peer(struct xfer *x, const char *id, bool same_domain)
 {
 	struct peer *peer = g_new0(struct peer, 1);
 	struct member *m = peers_member(x, id);
 
 	peer->xfer = x;
 	peer->id = g_strdup(id);
-	peer->same_domain = near;
+	peer->same_domain = same_domain;
 	peer->gained = g_byte_array_new();
 	peer->claims = g_byte_array_new();
 	LIST_INIT(&peer->incoming_chunks);
-	timer_init(&peer->update_timer, x->wts->clock, send_news, peer);
+	timer_init(&peer->update_timer, x->wts->clock, send_update, peer);
 	peer->for_list.owner = peer;
 	peer->for_chunks.owner = peer;
-	pick_add_peer(x->list_pick, &peer->for_list, near);
-	pick_add_peer(x->pick, &peer->for_chunks, near);
+	pick_add_peer(x->list_pick, &peer->for_list, same_domain);
+	pick_add_peer(x->pick, &peer->for_chunks, same_domain);
 	TAILQ_INSERT_TAIL(&x->peers, peer, link);
 	if (m != NULL)
 		m->peer = peer;
@@ -221,11 +221,11 @@
 	struct wts *wts = x->wts;
 	struct member *m = peers_member(x, peer->id);
 	int64_t now_us = clk_now_us(wts->clock);
-	struct incoming *in;
+	struct incoming *chunk;
 
 	serve_cancel(peer);
-	while ((in = LIST_FIRST(&peer->incoming_chunks)) != NULL)
-		incoming_free(in);
+	while ((chunk = LIST_FIRST(&peer->incoming_chunks)) != NULL)
+		incoming_free(chunk);
 	pick_remove_peer(x->list_pick, &peer->for_list, now_us);
 	pick_remove_peer(x->pick, &peer->for_chunks, now_us);
 	timer_stop(&peer->update_timer);
@@ -256,7 +256,7 @@
 {
 	struct xfer *x = peer->xfer;
 	struct member *m = peers_member(x, peer->id);
-	int64_t until_us = clk_now_us(x->wts->clock) + REFUSE_US;
+	int64_t until_us = clk_now_us(x->wts->clock) + REFUSAL_US;
 
 	if (MAX(peer->for_list.failures, peer->for_chunks.failures) <
 	    PICK_FAILURES_DROP)
@@ -342,8 +342,8 @@
 dial(struct xfer *x, struct member *m)
 {
 	struct wts *wts = x->wts;
-	bool near = strcmp(m->domain, wts->conf.domain) == 0;
-	struct peer *peer = new_peer(x, m->id, near);
+	bool same_domain = strcmp(m->domain, wts->conf.domain) == 0;
+	struct peer *peer = new_peer(x, m->id, same_domain);
 
 	peer->dialled = true;
 	peer->conn = conn_dial(wts->conf.node, m->address, &dialled_ops, wts);
@@ -352,11 +352,11 @@
 
 /* How many dials go to the own failure domain and to others. */
 struct quota {
-	unsigned int near, far;
+	unsigned int same_domain, cross_domain;
 };
 
 static bool
-member_is_near(const struct xfer *x, const struct member *m)
+in_same_domain(const struct xfer *x, const struct member *m)
 {
 	return strcmp(m->domain, x->wts->conf.domain) == 0;
 }
@@ -364,30 +364,32 @@
 static struct quota
 dial_quota(const struct xfer *x)
 {
-	unsigned int near = 0;
-	unsigned int far = 0;
+	unsigned int same_domain = 0;
+	unsigned int cross_domain = 0;
 	unsigned int dials;
 	guint i;
 
 	for (i = 0; i < x->members->len; i++) {
-		if (member_is_near(x, x->members->pdata[i]))
-			near++;
+		if (in_same_domain(x, x->members->pdata[i]))
+			same_domain++;
 		else
-			far++;
+			cross_domain++;
 	}
 	dials = MAX(DIAL_MIN, g_bit_storage(x->members->len));
-	far = MIN(far, DIAL_FAR);
-	near = MIN(near, dials - far);
-	return (struct quota){ near, dials - near };
+	cross_domain = MIN(cross_domain, DIAL_CROSS_DOMAIN);
+	same_domain = MIN(same_domain, dials - cross_domain);
+	return (struct quota){ same_domain, dials - same_domain };
 }
 
 static bool
-should_connect(const struct xfer *x, const struct member *m, struct quota *left)
+should_connect(
+    const struct xfer *x, const struct member *m, struct quota *remaining)
 {
-	unsigned int *of = member_is_near(x, m) ? &left->near : &left->far;
+	unsigned int *quota = in_same_domain(x, m) ? &remaining->same_domain
+						   : &remaining->cross_domain;
 
-	if (*of > 0) {
-		--*of;
+	if (*quota > 0) {
+		--*quota;
 		return true;
 	}
 	/* Readers know each other, so that one which falls silent is missed
@@ -400,7 +402,7 @@
 peers_dial(struct xfer *x)
 {
 	int64_t now_us = clk_now_us(x->wts->clock);
-	struct quota left = dial_quota(x);
+	struct quota remaining = dial_quota(x);
 	guint i;
 
 	for (i = 0; i < x->members->len; i++) {
@@ -411,7 +413,7 @@
 			timer_set_earlier(&x->dial_timer, m->redial_at_us);
 			continue;
 		}
-		if (should_connect(x, m, &left) && m->peer == NULL)
+		if (should_connect(x, m, &remaining) && m->peer == NULL)
 			dial(x, m);
 	}
 }
@@ -423,7 +425,7 @@
 /* Two hosts that dialled each other keep the connection that the lower id
  * dialled; both ends choose alike. */
 static bool
-replaces(const struct peer *old, const char *own_id)
+is_replaceable(const struct peer *old, const char *own_id)
 {
 	return !old->dialled || strcmp(own_id, old->id) > 0;
 }
@@ -440,7 +442,7 @@
 	if (m != NULL && m->refuse_until_us > clk_now_us(x->wts->clock))
 		return NULL;
 	if (old != NULL) {
-		if (!replaces(old, x->wts->conf.id))
+		if (!is_replaceable(old, x->wts->conf.id))
 			return NULL;
 		peer_drop(old);
 	}
--- a/lib/weights/pick.c
+++ b/lib/weights/pick.c
@@ -6,28 +6,30 @@
 #include "weights/pick.h"
 
 #define SECOND_US 1000000
-#define PATIENCE_MIN_US (SECOND_US / 2) /* above scheduling and TCP hiccups */
-#define PATIENCE_MAX_US (30 * (int64_t)SECOND_US)
-#define PATIENCE_GAPS 4 /* times the usual longest gap */
+#define STALL_TIMEOUT_MIN_US \
+	(SECOND_US / 2) /* above scheduling and TCP hiccups */
+#define STALL_TIMEOUT_MAX_US (30 * (int64_t)SECOND_US)
+#define STALL_TIMEOUT_GAPS 4 /* times the usual longest gap */
 #define FIRST_GAP_CHUNKS 8 /* before anything was measured, in chunk times */
-#define SILENCE_MIN_US SECOND_US /* beside the time that a claim travels */
-#define SILENCE_MAX_US (60 * (int64_t)SECOND_US)
-#define SILENCE_CHUNKS 16 /* times a chunk takes on this host's link */
-#define SILENCE_READS 4 /* times a read was measured to take */
-#define BUSY_REST_CHUNKS 2 /* chunk times until a busy peer is asked again */
-#define STRIKE_REST_US (SECOND_US / 4)
-#define STRIKES_MAX 8
-#define READ_REST_US (SECOND_US / 4)
+#define CLAIM_TIMEOUT_MIN_US \
+	SECOND_US /* beside the time that a claim travels */
+#define CLAIM_TIMEOUT_MAX_US (60 * (int64_t)SECOND_US)
+#define CLAIM_TIMEOUT_CHUNKS 16 /* times a chunk takes on this host's link */
+#define CLAIM_TIMEOUT_READS 4 /* times a read was measured to take */
+#define BUSY_BACKOFF_CHUNKS 2 /* chunk times until a busy peer is asked again */
+#define FAILURE_BACKOFF_US (SECOND_US / 4)
+#define FAILURES_MAX 8
+#define READ_BACKOFF_US (SECOND_US / 4)
 /* Few hosts read, so asking an origin that is away often costs little; each
  * moment from its return to the next try is one more in which engines whose
  * weights are due stand idle. */
-#define READ_REST_MAX_US (SECOND_US * 15 / 100)
+#define READ_BACKOFF_MAX_US (SECOND_US * 15 / 100)
 /* Peers that are busy halve what arrives now and then; a link squeezed to an
  * eighth stays far below. */
-#define NARROW_SHARE 0.3
-#define RATE_WEIGHT 0.25 /* of the newest chunk */
+#define SLOW_LINK_FRACTION 0.3
+#define RATE_SMOOTHING 0.25 /* of the newest chunk */
 #define PAUSE_MAX_US SECOND_US
-#define AVERAGE_SHARE 8 /* of the newest sample: one eighth */
+#define AVERAGE_DIVISOR 8 /* of the newest sample: one eighth */
 
 int64_t
 pick_chunk_us(const struct pick *p)
@@ -38,29 +40,29 @@
 }
 
 static void
-average(int64_t *value, int64_t sample)
+update_average(int64_t *value, int64_t sample)
 {
-	*value += (sample - *value) / AVERAGE_SHARE;
+	*value += (sample - *value) / AVERAGE_DIVISOR;
 }
 
 int64_t
 pick_stall_timeout_us(const struct pick *p)
 {
-	int64_t us = PATIENCE_MIN_US + PATIENCE_GAPS * p->gap_us;
+	int64_t us = STALL_TIMEOUT_MIN_US + STALL_TIMEOUT_GAPS * p->gap_us;
 
-	return MIN(us, PATIENCE_MAX_US);
+	return MIN(us, STALL_TIMEOUT_MAX_US);
 }
 
 int64_t
 pick_claim_timeout_us(const struct pick *p)
 {
-	int64_t us = MAX(
-	    SILENCE_CHUNKS * pick_chunk_us(p), SILENCE_READS * p->read_time_us);
+	int64_t us = MAX(CLAIM_TIMEOUT_CHUNKS * pick_chunk_us(p),
+	    CLAIM_TIMEOUT_READS * p->read_time_us);
 
 	us += p->conf.claim_timeout_min_us > 0 ? p->conf.claim_timeout_min_us
-					       : SILENCE_MIN_US;
+					       : CLAIM_TIMEOUT_MIN_US;
 	us += PICK_UPDATE_HOPS * p->conf.update_interval_us;
-	return MIN(us, SILENCE_MAX_US);
+	return MIN(us, CLAIM_TIMEOUT_MAX_US);
 }
 
 /* ------------------------------------------------------------------ */
@@ -89,28 +91,28 @@
 }
 
 static void
-remove_ask(struct pick *p, struct pick_fetch *ask)
+remove_fetch(struct pick *p, struct pick_fetch *fetch)
 {
-	TAILQ_REMOVE(&p->fetches, ask, link);
-	if (ask->peer != NULL) {
-		ask->peer->open_requests--;
+	TAILQ_REMOVE(&p->fetches, fetch, link);
+	if (fetch->peer != NULL) {
+		fetch->peer->open_requests--;
 		p->open_requests--;
 	} else {
 		p->open_reads--;
 	}
-	g_free(ask);
+	g_free(fetch);
 }
 
 void
 pick_free(struct pick *p)
 {
-	struct pick_fetch *ask;
+	struct pick_fetch *fetch;
 
 	if (p == NULL)
 		return;
 	g_assert(TAILQ_EMPTY(&p->peers));
-	while ((ask = TAILQ_FIRST(&p->fetches)) != NULL)
-		remove_ask(p, ask);
+	while ((fetch = TAILQ_FIRST(&p->fetches)) != NULL)
+		remove_fetch(p, fetch);
 	g_free(p->chunks);
 	g_free(p->need);
 	g_free(p);
@@ -180,11 +182,11 @@
 }
 
 void
-pick_add_peer(struct pick *p, struct pick_peer *peer, bool near)
+pick_add_peer(struct pick *p, struct pick_peer *peer, bool same_domain)
 {
 	peer->bits = bits_new(p->conf.chunks);
 	peer->have = 0;
-	peer->same_domain = near;
+	peer->same_domain = same_domain;
 	peer->open_requests = 0;
 	TAILQ_INSERT_TAIL(&p->peers, peer, link);
 }
@@ -192,16 +194,16 @@
 void
 pick_remove_peer(struct pick *p, struct pick_peer *peer, int64_t now_us)
 {
-	struct pick_fetch *ask = TAILQ_FIRST(&p->fetches);
+	struct pick_fetch *fetch = TAILQ_FIRST(&p->fetches);
 	uint64_t i;
 
-	while (ask != NULL) {
-		struct pick_fetch *next = TAILQ_NEXT(ask, link);
+	while (fetch != NULL) {
+		struct pick_fetch *next = TAILQ_NEXT(fetch, link);
 
-		if (ask->peer == peer)
+		if (fetch->peer == peer)
 			pick_failed(
-			    p, ask->index, peer, PICK_CANCELLED, now_us);
-		ask = next;
+			    p, fetch->index, peer, PICK_CANCELLED, now_us);
+		fetch = next;
 	}
 	for (i = 0; i < p->conf.chunks; i++) {
 		if (!bits_get(peer->bits, i))
@@ -215,29 +217,29 @@
 }
 
 static void
-note_pace(struct pick_reader_rate *pace, int64_t now_us)
+note_claim_time(struct pick_reader_rate *rate, int64_t now_us)
 {
-	if (pace->claims++ == 0)
-		pace->first_us = now_us;
-	pace->last_us = now_us;
+	if (rate->claims++ == 0)
+		rate->first_us = now_us;
+	rate->last_us = now_us;
 }
 
 static bool
 mark_claimed(struct pick *p, uint64_t index, unsigned int rank, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	bool news = !c->claimed;
+	bool is_new = !c->claimed;
 
 	c->claimed = true;
 	c->claim_seen = true;
 	c->read_failed = false;
 	c->claimed_us = now_us;
 	c->claimed_rank = (uint8_t)MIN(rank, PICK_RANK_UNKNOWN);
-	p->unclaimed -= news;
-	if (news && rank == 0)
-		note_pace(&p->reader_rates[c->reader], now_us);
+	p->unclaimed -= is_new;
+	if (is_new && rank == 0)
+		note_claim_time(&p->reader_rates[c->reader], now_us);
 	p->claims_us[c->reader][MIN(rank, PICK_RANK_UNKNOWN)] = now_us;
-	return news;
+	return is_new;
 }
 
 /*
@@ -246,7 +248,7 @@
  * by whatever is left of that rest.
  */
 static void
-note_origin_back(struct pick *p)
+clear_read_backoff(struct pick *p)
 {
 	if (p->read_failures == 0)
 		return;
@@ -264,7 +266,7 @@
 	if (bits_get(peer->bits, index))
 		return false;
 	if (c->holders == 0 && c->state < PICK_VERIFYING)
-		note_origin_back(p);
+		clear_read_backoff(p);
 	bits_set(peer->bits, index);
 	peer->have++;
 	c->holders++;
@@ -314,17 +316,17 @@
 pick_begin(struct pick *p, const struct pick_action *a, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[a->index];
-	struct pick_fetch *ask = g_new0(struct pick_fetch, 1);
+	struct pick_fetch *fetch = g_new0(struct pick_fetch, 1);
 
 	g_assert(c->state == PICK_MISSING);
 	bits_clear(p->need, a->index);
-	ask->index = a->index;
-	ask->start_us = now_us;
-	ask->last_byte_us = now_us;
-	TAILQ_INSERT_TAIL(&p->fetches, ask, link);
+	fetch->index = a->index;
+	fetch->start_us = now_us;
+	fetch->last_byte_us = now_us;
+	TAILQ_INSERT_TAIL(&p->fetches, fetch, link);
 	if (a->kind == PICK_REQUEST) {
 		c->state = PICK_REQUESTED;
-		ask->peer = a->peer;
+		fetch->peer = a->peer;
 		a->peer->open_requests++;
 		p->open_requests++;
 		return;
@@ -340,79 +342,81 @@
 struct pick_fetch *
 pick_find(const struct pick *p, uint64_t index)
 {
-	struct pick_fetch *ask;
+	struct pick_fetch *fetch;
 
-	TAILQ_FOREACH (ask, &p->fetches, link) {
-		if (ask->index == index)
-			return ask;
+	TAILQ_FOREACH (fetch, &p->fetches, link) {
+		if (fetch->index == index)
+			return fetch;
 	}
 	return NULL;
 }
 
 static void
-note_gap(struct pick_fetch *ask, int64_t now_us)
+note_bytes(struct pick_fetch *fetch, int64_t now_us)
 {
-	ask->gap_us = MAX(ask->gap_us, now_us - ask->last_byte_us);
-	ask->last_byte_us = now_us;
+	fetch->gap_us = MAX(fetch->gap_us, now_us - fetch->last_byte_us);
+	fetch->last_byte_us = now_us;
 }
 
 void
 pick_progress(struct pick *p, uint64_t index, int64_t now_us)
 {
-	struct pick_fetch *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	if (ask != NULL)
-		note_gap(ask, now_us);
+	if (fetch != NULL)
+		note_bytes(fetch, now_us);
 }
 
 bool
 pick_is_link_slow(const struct pick *p)
 {
-	return p->rate_fraction < NARROW_SHARE;
+	return p->rate_fraction < SLOW_LINK_FRACTION;
 }
 
 uint64_t
 pick_count_origin_only(const struct pick *p)
 {
-	uint64_t left = 0;
+	uint64_t count = 0;
 	uint64_t i;
 
 	for (i = 0; i < p->conf.chunks; i++)
-		left += p->chunks[i].holders == 0 &&
+		count += p->chunks[i].holders == 0 &&
 		    p->chunks[i].state < PICK_VERIFYING;
-	return left;
+	return count;
 }
 
 /* A chunk came from a peer, with others under way beside it. */
 static void
-note_rate(struct pick *p, const struct pick_fetch *ask, int64_t now_us)
+update_rate_fraction(
+    struct pick *p, const struct pick_fetch *fetch, int64_t now_us)
 {
-	int64_t took_us = MAX(1, now_us - ask->start_us);
+	int64_t elapsed_us = MAX(1, now_us - fetch->start_us);
 	double bytes = (double)(p->open_requests * p->conf.chunk_bytes);
-	double share =
-	    bytes * SECOND_US / (double)took_us / (double)p->conf.rate;
+	double fraction =
+	    bytes * SECOND_US / (double)elapsed_us / (double)p->conf.rate;
 
-	p->rate_fraction += (MIN(share, 1) - p->rate_fraction) * RATE_WEIGHT;
+	p->rate_fraction +=
+	    (MIN(fraction, 1) - p->rate_fraction) * RATE_SMOOTHING;
 	if (pick_is_link_slow(p))
-		p->pause_until_us = now_us + MIN(took_us, PAUSE_MAX_US);
+		p->pause_until_us = now_us + MIN(elapsed_us, PAUSE_MAX_US);
 }
 
 void
 pick_received(struct pick *p, uint64_t index, int64_t now_us)
 {
-	struct pick_fetch *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	g_assert(ask != NULL);
-	note_gap(ask, now_us);
-	if (ask->peer != NULL) {
-		average(&p->gap_us, ask->gap_us);
-		note_rate(p, ask, now_us);
+	g_assert(fetch != NULL);
+	note_bytes(fetch, now_us);
+	if (fetch->peer != NULL) {
+		update_average(&p->gap_us, fetch->gap_us);
+		update_rate_fraction(p, fetch, now_us);
 	} else if (p->read_time_us == 0) {
-		p->read_time_us = now_us - ask->start_us;
+		p->read_time_us = now_us - fetch->start_us;
 	} else {
-		average(&p->read_time_us, now_us - ask->start_us);
+		update_average(&p->read_time_us, now_us - fetch->start_us);
 	}
-	remove_ask(p, ask);
+	remove_fetch(p, fetch);
 	p->chunks[index].state = PICK_VERIFYING;
 }
 
@@ -420,10 +424,10 @@
 pick_complete(struct pick *p, uint64_t index)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	struct pick_fetch *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	if (ask != NULL)
-		remove_ask(p, ask);
+	if (fetch != NULL)
+		remove_fetch(p, fetch);
 	if (c->state == PICK_HAVE)
 		return;
 	c->state = PICK_HAVE;
@@ -436,33 +440,35 @@
 }
 
 static void
-rest_peer(struct pick *p, struct pick_peer *peer, enum pick_failure reason,
+back_off_peer(struct pick *p, struct pick_peer *peer, enum pick_failure reason,
     int64_t now_us)
 {
 	if (reason == PICK_BUSY) {
 		peer->backoff_until_us =
-		    now_us + BUSY_REST_CHUNKS * pick_chunk_us(p);
+		    now_us + BUSY_BACKOFF_CHUNKS * pick_chunk_us(p);
 		return;
 	}
 	if (reason == PICK_CANCELLED)
 		return;
 	/* Each failure doubles the rest; a good chunk ends the row. */
-	peer->failures = MIN(peer->failures + 1, STRIKES_MAX);
+	peer->failures = MIN(peer->failures + 1, FAILURES_MAX);
 	peer->backoff_until_us =
-	    now_us + ((int64_t)STRIKE_REST_US << peer->failures);
+	    now_us + ((int64_t)FAILURE_BACKOFF_US << peer->failures);
 }
 
 static void
-rest_origin(struct pick *p, int64_t now_us)
+back_off_origin(struct pick *p, int64_t now_us)
 {
-	int64_t rest = READ_REST_US << MIN(p->read_failures, STRIKES_MAX);
+	int64_t backoff_us = READ_BACKOFF_US
+	    << MIN(p->read_failures, FAILURES_MAX);
 
 	p->read_failures++;
-	p->read_backoff_until_us = now_us + MIN(rest, READ_REST_MAX_US);
+	p->read_backoff_until_us =
+	    now_us + MIN(backoff_us, READ_BACKOFF_MAX_US);
 }
 
 static void
-note_bad_read(struct pick *p, uint64_t index)
+note_corrupt_read(struct pick *p, uint64_t index)
 {
 	struct pick_chunk *c = &p->chunks[index];
 
@@ -477,10 +483,10 @@
     enum pick_failure reason, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	struct pick_fetch *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	if (ask != NULL)
-		remove_ask(p, ask);
+	if (fetch != NULL)
+		remove_fetch(p, fetch);
 	if (c->state == PICK_HAVE)
 		return;
 	c->state = PICK_MISSING;
@@ -497,12 +503,12 @@
 			c->holders--;
 			c->domain_holders -= peer->same_domain;
 		}
-		rest_peer(p, peer, reason, now_us);
+		back_off_peer(p, peer, reason, now_us);
 		return;
 	}
 	if (reason == PICK_CORRUPT)
-		note_bad_read(p, index);
+		note_corrupt_read(p, index);
 	c->read_failed = reason == PICK_FAILED;
 	if (reason != PICK_CANCELLED)
-		rest_origin(p, now_us);
+		back_off_origin(p, now_us);
 }
--- a/lib/weights/pick.h
+++ b/lib/weights/pick.h
@@ -181,7 +181,7 @@
 void pick_set_copies(struct pick *p, unsigned int copies);
 void pick_set_reads(struct pick *p, unsigned int reads);
 
-void pick_add_peer(struct pick *p, struct pick_peer *peer, bool near);
+void pick_add_peer(struct pick *p, struct pick_peer *peer, bool same_domain);
 /* Its asks are ended as PICK_CANCELLED. */
 void pick_remove_peer(struct pick *p, struct pick_peer *peer, int64_t now_us);
 /* True when it was not known before that anybody has or reads it. */
--- a/lib/weights/pick_next.c
+++ b/lib/weights/pick_next.c
@@ -16,10 +16,10 @@
 read_due_us(const struct pick *p, uint64_t index, unsigned int rank)
 {
 	const struct pick_chunk *c = &p->chunks[index];
-	int64_t silence = pick_claim_timeout_us(p);
+	int64_t timeout_us = pick_claim_timeout_us(p);
 	int64_t due =
-	    MAX(p->start_us + (int64_t)rank * silence, p->settle_until_us);
-	unsigned int ahead;
+	    MAX(p->start_us + (int64_t)rank * timeout_us, p->settle_until_us);
+	unsigned int lower_rank;
 
 	if (c->corrupt_reads > 0 || p->read_failures > 0)
 		due = MAX(due, p->read_backoff_until_us);
@@ -28,12 +28,14 @@
 	 * that is back would hear of the last tried chunks a second later. */
 	if (c->claimed &&
 	    !(rank == 0 && (c->corrupt_reads > 0 || c->read_failed)))
-		due = MAX(due, c->claimed_us + MAX(rank, 1) * silence);
-	for (ahead = 0; ahead < MIN(rank, PICK_RANK_UNKNOWN); ahead++) {
-		int64_t claim = p->claims_us[c->reader][ahead];
+		due = MAX(due, c->claimed_us + MAX(rank, 1) * timeout_us);
+	for (lower_rank = 0; lower_rank < MIN(rank, PICK_RANK_UNKNOWN);
+	     lower_rank++) {
+		int64_t claim = p->claims_us[c->reader][lower_rank];
 
 		if (claim != 0)
-			due = MAX(due, claim + (rank - ahead) * silence);
+			due =
+			    MAX(due, claim + (rank - lower_rank) * timeout_us);
 	}
 	return due;
 }
@@ -45,16 +47,16 @@
  * not begun, or began so long ago that they would be here. Claims keep two others
  * from reading the same; it costs a second copy of the few that are on their way.
  */
-#define SLOW_PACE 2 /* times this host's own time a chunk */
+#define SLOW_FACTOR 2 /* times this host's own time a chunk */
 #define SLOW_CLAIMS 2 /* before a pace is known */
 #define SLOW_READS 4 /* times this host's own read */
-#define SLOW_LOOK_US 50000 /* until paces are compared again */
+#define SLOW_CHECK_US 50000 /* until paces are compared again */
 
 /* `left`: its chunks that no host is known to have. A silent reader is given a
  * time; one that will take longer than that is not waited for, either. */
 static bool
 is_slow_reader(
-    const struct pick *p, unsigned int reader, uint64_t left, int64_t now_us)
+    const struct pick *p, unsigned int reader, uint64_t missing, int64_t now_us)
 {
 	const struct pick_reader_rate *own, *other = &p->reader_rates[reader];
 	int64_t own_us, other_us;
@@ -66,19 +68,19 @@
 		return false;
 	own_us = (own->last_us - own->first_us) / (own->claims - 1);
 	other_us = (now_us - other->first_us) / other->claims;
-	return other_us > SLOW_PACE * own_us &&
-	    other_us * (int64_t)left > pick_claim_timeout_us(p);
+	return other_us > SLOW_FACTOR * own_us &&
+	    other_us * (int64_t)missing > pick_claim_timeout_us(p);
 }
 
 static bool
-is_on_its_way(const struct pick *p, const struct pick_chunk *c, int64_t now_us)
+is_in_flight(const struct pick *p, const struct pick_chunk *c, int64_t now_us)
 {
 	return c->claimed &&
 	    now_us - c->claimed_us <= SLOW_READS * p->read_time_us;
 }
 
 static bool
-is_nowhere(const struct pick_chunk *c)
+is_origin_only(const struct pick_chunk *c)
 {
 	return c->state == PICK_MISSING && c->holders == 0;
 }
@@ -87,22 +89,23 @@
 static bool
 find_slow_readers(const struct pick *p, int64_t now_us, bool slow[RANK_READERS])
 {
-	uint64_t left[RANK_READERS] = { 0 };
+	uint64_t missing[RANK_READERS] = { 0 };
 	unsigned int reader;
 	uint64_t i;
 
 	for (i = 0; i < p->conf.chunks; i++)
-		left[p->chunks[i].reader] += is_nowhere(&p->chunks[i]);
-	if (left[p->rank.self] > 0)
+		missing[p->chunks[i].reader] += is_origin_only(&p->chunks[i]);
+	if (missing[p->rank.self] > 0)
 		return false;
 	for (reader = 0; reader < RANK_READERS; reader++)
-		slow[reader] = is_slow_reader(p, reader, left[reader], now_us);
+		slow[reader] =
+		    is_slow_reader(p, reader, missing[reader], now_us);
 	return true;
 }
 
 /* A chunk that a slow reader does not bring. */
 static bool
-find_take_over(const struct pick *p, int64_t now_us, struct rng *rng,
+find_takeover(const struct pick *p, int64_t now_us, struct rng *rng,
     struct pick_action *out)
 {
 	bool slow[RANK_READERS];
@@ -114,8 +117,8 @@
 		return false;
 	for (i = 0; i < p->conf.chunks; i++) {
 		c = &p->chunks[i];
-		if (is_nowhere(c) && slow[c->reader] &&
-		    !is_on_its_way(p, c, now_us) && rng_below(rng, ++ties) == 0)
+		if (is_origin_only(c) && slow[c->reader] &&
+		    !is_in_flight(p, c, now_us) && rng_below(rng, ++ties) == 0)
 			out->index = i;
 	}
 	if (ties == 0)
@@ -127,7 +130,7 @@
 
 /* Extra copies are split evenly; this is one host's part. */
 static uint64_t
-extra_share(const struct pick *p)
+extra_read_quota(const struct pick *p)
 {
 	uint64_t extra = (uint64_t)(p->conf.origin_copies - 1) * p->conf.chunks;
 
@@ -156,11 +159,11 @@
 	*due_us = INT64_MAX;
 	for (i = 0; i < words; i++) {
 		uint64_t at = (first + i) % words;
-		uint64_t left = p->need[at];
+		uint64_t missing = p->need[at];
 
-		for (; left != 0; left &= left - 1) {
+		for (; missing != 0; missing &= missing - 1) {
 			uint64_t index =
-			    at * BITS_WORD + (uint64_t)__builtin_ctzll(left);
+			    at * BITS_WORD + (uint64_t)__builtin_ctzll(missing);
 			unsigned int rank;
 			int64_t due;
 
@@ -183,9 +186,9 @@
 		return true;
 	if (p->rank.self != RANK_NONE && p->read_failures == 0 &&
 	    p->reader_rates[p->rank.self].claims >= SLOW_CLAIMS) {
-		if (find_take_over(p, now_us, rng, out))
+		if (find_takeover(p, now_us, rng, out))
 			return true;
-		*due_us = MIN(*due_us, now_us + SLOW_LOOK_US);
+		*due_us = MIN(*due_us, now_us + SLOW_CHECK_US);
 	}
 	p->next_read_us = *due_us;
 	return false;
@@ -202,7 +205,7 @@
 	uint64_t i;
 
 	if (p->conf.origin_copies < 2 || p->unclaimed > 0 ||
-	    p->extra_reads >= extra_share(p) ||
+	    p->extra_reads >= extra_read_quota(p) ||
 	    now_us < p->read_backoff_until_us)
 		return false;
 	for (i = 0; i < words; i++) {
@@ -227,7 +230,7 @@
 /* A peer that failed twice in a row looks idle and would be asked first,
  * and each ask would wait out the patience. */
 static bool
-is_doubtful(const struct pick_peer *peer)
+is_last_resort(const struct pick_peer *peer)
 {
 	return peer->failures >= PICK_FAILURES_LAST_RESORT;
 }
@@ -238,7 +241,8 @@
  * and taken for lasting, a peer once busy would never be asked again.
  */
 static unsigned int
-load_of(const struct pick *p, const struct pick_peer *peer, int64_t now_us)
+estimated_load(
+    const struct pick *p, const struct pick_peer *peer, int64_t now_us)
 {
 	int64_t done = (now_us - peer->load_at_us) / pick_chunk_us(p);
 
@@ -247,22 +251,22 @@
 }
 
 static bool
-can_ask(const struct pick *p, const struct pick_peer *peer, int64_t now_us)
+can_request(const struct pick *p, const struct pick_peer *peer, int64_t now_us)
 {
-	if (is_doubtful(peer) && p->open_requests > 0)
+	if (is_last_resort(peer) && p->open_requests > 0)
 		return false;
 	return peer->open_requests < PICK_REQUESTS_PER_PEER &&
 	    peer->backoff_until_us <= now_us &&
-	    load_of(p, peer, now_us) < PICK_LOAD_MAX;
+	    estimated_load(p, peer, now_us) < PICK_LOAD_MAX;
 }
 
 /* A chunk that is in this domain is asked of others only when it has been
  * there for so many steps without coming: near hosts are busy or gone. */
-#define FAR_STEPS_NEAR 6
+#define STEPS_IF_IN_DOMAIN 6
 
 /* Whether another domain may be asked for `index` now. */
 static bool
-far_is_due(struct pick *p, uint64_t index, int64_t now_us)
+cross_domain_is_due(struct pick *p, uint64_t index, int64_t now_us)
 {
 	const struct pick_chunk *c = &p->chunks[index];
 	int64_t steps = c->cross_domain_rank;
@@ -271,7 +275,7 @@
 	if (p->conf.cross_domain_step_us == 0)
 		return true;
 	if (c->domain_holders > 0)
-		steps += FAR_STEPS_NEAR;
+		steps += STEPS_IF_IN_DOMAIN;
 	due_us =
 	    c->cross_domain_since_us + steps * p->conf.cross_domain_step_us;
 	if (due_us <= now_us)
@@ -282,28 +286,29 @@
 
 /* The rarest missing chunk that `peer` has, or one of the rarest. */
 static bool
-rarest_of(struct pick *p, const struct pick_peer *peer, int64_t now_us,
+find_rarest(struct pick *p, const struct pick_peer *peer, int64_t now_us,
     struct rng *rng, uint64_t *index_out)
 {
 	uint64_t words = bits_words(p->conf.chunks);
 	uint64_t first = rng_below(rng, words);
 	uint32_t best = UINT32_MAX;
 	unsigned int ties = 0;
-	unsigned int seen = 0;
+	unsigned int candidates = 0;
 	uint64_t i;
 
-	for (i = 0; i < words && seen < SCAN_CANDIDATES; i++) {
+	for (i = 0; i < words && candidates < SCAN_CANDIDATES; i++) {
 		uint64_t at = (first + i) % words;
-		uint64_t left = p->need[at] & peer->bits[at];
+		uint64_t missing = p->need[at] & peer->bits[at];
 
-		for (; left != 0; left &= left - 1) {
+		for (; missing != 0; missing &= missing - 1) {
 			uint64_t index =
-			    at * BITS_WORD + (uint64_t)__builtin_ctzll(left);
+			    at * BITS_WORD + (uint64_t)__builtin_ctzll(missing);
 			uint32_t holders = p->chunks[index].holders;
 
-			if (!peer->same_domain && !far_is_due(p, index, now_us))
+			if (!peer->same_domain &&
+			    !cross_domain_is_due(p, index, now_us))
 				continue;
-			seen++;
+			candidates++;
 			if (holders < best)
 				ties = 0;
 			if (holders > best || rng_below(rng, ++ties) != 0)
@@ -319,15 +324,15 @@
 better_peer(const struct pick *p, const struct pick_peer *a,
     const struct pick_peer *b, int64_t now_us)
 {
-	if (is_doubtful(a) != is_doubtful(b))
-		return is_doubtful(b);
+	if (is_last_resort(a) != is_last_resort(b))
+		return is_last_resort(b);
 	if (a->same_domain != b->same_domain)
 		return a->same_domain;
-	return load_of(p, a, now_us) < load_of(p, b, now_us);
+	return estimated_load(p, a, now_us) < estimated_load(p, b, now_us);
 }
 
 static bool
-find_ask(
+find_request(
     struct pick *p, int64_t now_us, struct rng *rng, struct pick_action *out)
 {
 	const struct pick_peer *peer;
@@ -336,14 +341,14 @@
 	uint64_t index;
 
 	TAILQ_FOREACH (peer, &p->peers, link) {
-		if (!can_ask(p, peer, now_us))
+		if (!can_request(p, peer, now_us))
 			continue;
 		if (best != NULL && better_peer(p, best, peer, now_us))
 			continue;
 		if (best == NULL || better_peer(p, peer, best, now_us))
 			ties = 0;
 		if (rng_below(rng, ++ties) != 0 ||
-		    !rarest_of(p, peer, now_us, rng, &index))
+		    !find_rarest(p, peer, now_us, rng, &index))
 			continue;
 		best = peer;
 		out->index = index;
@@ -360,29 +365,29 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-find_expired(const struct pick *p, int64_t now_us, struct pick_action *out)
+find_stalled(const struct pick *p, int64_t now_us, struct pick_action *out)
 {
-	int64_t patience = pick_stall_timeout_us(p);
-	struct pick_fetch *ask;
+	int64_t timeout_us = pick_stall_timeout_us(p);
+	struct pick_fetch *fetch;
 
-	TAILQ_FOREACH (ask, &p->fetches, link) {
+	TAILQ_FOREACH (fetch, &p->fetches, link) {
 		/* Reads of the origin have their own stall limit. */
-		if (ask->peer == NULL)
+		if (fetch->peer == NULL)
 			continue;
-		if (now_us - ask->last_byte_us >= patience) {
+		if (now_us - fetch->last_byte_us >= timeout_us) {
 			out->kind = PICK_EXPIRE;
-			out->index = ask->index;
-			out->peer = ask->peer;
+			out->index = fetch->index;
+			out->peer = fetch->peer;
 			return true;
 		}
 		out->until_us =
-		    MIN(out->until_us, ask->last_byte_us + patience);
+		    MIN(out->until_us, fetch->last_byte_us + timeout_us);
 	}
 	return false;
 }
 
 static const char *
-why_waiting(const struct pick *p)
+wait_reason(const struct pick *p)
 {
 	if (p->open_requests + p->open_reads > 0)
 		return "";
@@ -396,14 +401,16 @@
 }
 
 static void
-earliest_rest(const struct pick *p, int64_t now_us, struct pick_action *out)
+limit_wait_to_backoffs(
+    const struct pick *p, int64_t now_us, struct pick_action *out)
 {
 	const struct pick_peer *peer;
 
 	TAILQ_FOREACH (peer, &p->peers, link) {
 		int64_t due = peer->backoff_until_us;
 
-		if (due <= now_us && load_of(p, peer, now_us) >= PICK_LOAD_MAX)
+		if (due <= now_us &&
+		    estimated_load(p, peer, now_us) >= PICK_LOAD_MAX)
 			due = now_us + pick_chunk_us(p);
 		if (due > now_us)
 			out->until_us = MIN(out->until_us, due);
@@ -418,7 +425,7 @@
 }
 
 static unsigned int
-asks_max(const struct pick *p)
+max_requests(const struct pick *p)
 {
 	return pick_is_link_slow(p) ? 1 : PICK_REQUESTS_MAX;
 }
@@ -434,23 +441,23 @@
 		out->kind = PICK_DONE;
 		return;
 	}
-	if (find_expired(p, now_us, out))
+	if (find_stalled(p, now_us, out))
 		return;
 	if (may_fetch && may_read(p) && find_read(p, now_us, rng, out, &due_us))
 		return;
-	if (may_fetch && p->open_requests + p->open_reads < asks_max(p) &&
+	if (may_fetch && p->open_requests + p->open_reads < max_requests(p) &&
 	    now_us < p->pause_until_us) {
 		out->until_us = MIN(out->until_us, p->pause_until_us);
 	} else if (may_fetch &&
-	    p->open_requests + p->open_reads < asks_max(p)) {
+	    p->open_requests + p->open_reads < max_requests(p)) {
 		p->cross_domain_due_us = INT64_MAX;
-		if (find_ask(p, now_us, rng, out))
+		if (find_request(p, now_us, rng, out))
 			return;
 		out->until_us = MIN(out->until_us, p->cross_domain_due_us);
 		if (may_read(p) && find_extra_read(p, now_us, rng, out))
 			return;
-		earliest_rest(p, now_us, out);
+		limit_wait_to_backoffs(p, now_us, out);
 	}
 	out->until_us = MIN(out->until_us, due_us);
-	out->why = why_waiting(p);
+	out->why = wait_reason(p);
 }
--- a/lib/weights/rank.c
+++ b/lib/weights/rank.c
@@ -42,7 +42,7 @@
 
 /* The highest of the origin's own domain. */
 static void
-choose_readers_in(
+choose_readers_in_domain(
     struct rank *r, struct candidate *c, size_t n, const char *domain)
 {
 	size_t i;
@@ -88,7 +88,7 @@
     const char *domain)
 {
 	struct candidate *c = g_new0(struct candidate, n);
-	uint64_t own = member_hash(root, members[self].id);
+	uint64_t self_hash = member_hash(root, members[self].id);
 	unsigned int i;
 	size_t at;
 
@@ -102,14 +102,14 @@
 	}
 	qsort(c, n, sizeof(c[0]), by_hash);
 	if (domain != NULL)
-		choose_readers_in(r, c, n, domain);
+		choose_readers_in_domain(r, c, n, domain);
 	if (r->nreaders == 0)
 		choose_readers(r, c, n);
 	for (at = 0; c[at].index != self; at++)
 		r->rank_behind += !c[at].reader;
 	r->self = RANK_NONE;
 	for (i = 0; i < r->nreaders; i++) {
-		if (r->reader_hash[i] == own)
+		if (r->reader_hash[i] == self_hash)
 			r->self = i;
 	}
 	g_free(c);
@@ -137,18 +137,18 @@
 rank_cross_domain(const struct digest *root, const struct rank_member *members,
     size_t n, size_t self, uint64_t chunk)
 {
-	uint64_t own =
+	uint64_t self_hash =
 	    hash64(member_hash(root, members[self].id), &chunk, sizeof(chunk));
-	unsigned int ahead = 0;
+	unsigned int before = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
 		if (i != self &&
 		    strcmp(members[i].domain, members[self].domain) == 0)
-			ahead += hash64(member_hash(root, members[i].id),
-				     &chunk, sizeof(chunk)) > own;
+			before += hash64(member_hash(root, members[i].id),
+				      &chunk, sizeof(chunk)) > self_hash;
 	}
-	return ahead;
+	return before;
 }
 
 bool
--- a/lib/weights/receive.c
+++ b/lib/weights/receive.c
@@ -13,7 +13,7 @@
 }
 
 static struct incoming *
-find_intake(struct peer *peer, uint64_t index)
+find_incoming(struct peer *peer, uint64_t index)
 {
 	struct incoming *in;
 
@@ -25,7 +25,7 @@
 }
 
 static struct pick_peer *
-side_of(struct peer *peer, uint64_t index)
+pick_peer_for(struct peer *peer, uint64_t index)
 {
 	return index == PROTO_LIST ? &peer->for_list : &peer->for_chunks;
 }
@@ -44,7 +44,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-take_join(struct peer *peer, const struct proto_join *join)
+handle_join(struct peer *peer, const struct proto_join *join)
 {
 	const char *own = peer->xfer->wts->conf.domain;
 	char *domain = slice_dup(join->domain);
@@ -66,7 +66,7 @@
 }
 
 static void
-take_have(struct peer *peer, const struct proto_have *have)
+handle_have(struct peer *peer, const struct proto_have *have)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
@@ -90,7 +90,7 @@
 }
 
 static void
-take_claims(struct peer *peer, struct slice claims)
+handle_claims(struct peer *peer, struct slice claims)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
@@ -108,14 +108,14 @@
 }
 
 static void
-take_news(struct peer *peer, const struct proto_update *news)
+handle_update(struct peer *peer, const struct proto_update *news)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
 	struct slice gained = news->gained;
 	uint32_t index;
 
-	take_claims(peer, news->claims);
+	handle_claims(peer, news->claims);
 	while (proto_next_index(&gained, &index)) {
 		if (index < x->pick->conf.chunks)
 			pick_peer_has(
@@ -130,21 +130,21 @@
 
 /* The ask that these bytes answer, or NULL when it was given up. */
 static struct pick_fetch *
-open_ask(struct peer *peer, uint64_t index)
+find_request(struct peer *peer, uint64_t index)
 {
 	struct pick *pick = xfer_pick_of(peer->xfer, index);
-	struct pick_fetch *ask;
+	struct pick_fetch *fetch;
 
 	if (pick == NULL)
 		return NULL;
-	ask = pick_find(pick, xfer_pick_index(index));
-	if (ask == NULL || ask->peer != side_of(peer, index))
+	fetch = pick_find(pick, xfer_pick_index(index));
+	if (fetch == NULL || fetch->peer != pick_peer_for(peer, index))
 		return NULL;
-	return ask;
+	return fetch;
 }
 
 static struct incoming *
-new_intake(struct peer *peer, uint64_t index)
+new_incoming(struct peer *peer, uint64_t index)
 {
 	struct incoming *in = g_new0(struct incoming, 1);
 
@@ -157,7 +157,7 @@
 }
 
 static void
-finish_intake(struct peer *peer, struct incoming *in)
+finish_incoming(struct peer *peer, struct incoming *in)
 {
 	struct xfer *x = peer->xfer;
 	struct wts *wts = x->wts;
@@ -172,7 +172,7 @@
 	    clk_now_us(wts->clock));
 	if (xfer_accept_object(x, index, bytes, &got, peer)) {
 		ctr_add(wts->counts.peer_chunks, 1);
-		side_of(peer, index)->failures = 0;
+		pick_peer_for(peer, index)->failures = 0;
 	} else {
 		ctr_add(wts->counts.corrupt_peer, 1);
 		log_warn("weights: chunk %" G_GUINT64_FORMAT
@@ -183,11 +183,11 @@
 }
 
 static void
-take_data(struct peer *peer, const struct proto_data *data)
+handle_data(struct peer *peer, const struct proto_data *data)
 {
 	struct xfer *x = peer->xfer;
 	struct wts *wts = x->wts;
-	struct incoming *in = find_intake(peer, data->index);
+	struct incoming *in = find_incoming(peer, data->index);
 
 	wts_received(wts, data->bytes.len);
 	ctr_add(wts->counts.peer_bytes, (int64_t)data->bytes.len);
@@ -195,7 +195,7 @@
 		ctr_add(
 		    wts->counts.cross_domain_bytes, (int64_t)data->bytes.len);
 	set_load(peer, data->load);
-	if (open_ask(peer, data->index) == NULL) {
+	if (find_request(peer, data->index) == NULL) {
 		/* Given up, or had from elsewhere meanwhile. */
 		ctr_add(wts->counts.late_bytes, (int64_t)data->bytes.len);
 		if (in != NULL)
@@ -209,7 +209,7 @@
 		in = NULL;
 	}
 	if (in == NULL && data->offset == 0)
-		in = new_intake(peer, data->index);
+		in = new_incoming(peer, data->index);
 	if (in == NULL || data->offset != in->got ||
 	    data->bytes.len > in->len - in->got) {
 		ctr_add(wts->counts.late_bytes, (int64_t)data->bytes.len);
@@ -221,21 +221,21 @@
 	pick_progress(xfer_pick_of(x, data->index),
 	    xfer_pick_index(data->index), clk_now_us(wts->clock));
 	if (in->got == in->len)
-		finish_intake(peer, in);
+		finish_incoming(peer, in);
 }
 
 static void
-take_none(struct peer *peer, const struct proto_none *none)
+handle_none(struct peer *peer, const struct proto_none *none)
 {
 	struct xfer *x = peer->xfer;
 
 	set_load(peer, none->load);
-	if (open_ask(peer, none->index) == NULL)
+	if (find_request(peer, none->index) == NULL)
 		return;
 	ctr_add(x->wts->counts.busy, (int64_t)none->busy);
 	pick_failed(xfer_pick_of(x, none->index), xfer_pick_index(none->index),
-	    side_of(peer, none->index), none->busy ? PICK_BUSY : PICK_REFUSED,
-	    clk_now_us(x->wts->clock));
+	    pick_peer_for(peer, none->index),
+	    none->busy ? PICK_BUSY : PICK_REFUSED, clk_now_us(x->wts->clock));
 }
 
 /* ------------------------------------------------------------------ */
@@ -243,7 +243,7 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-handle(struct peer *peer, const struct msg *m)
+dispatch(struct peer *peer, const struct msg *m)
 {
 	union {
 		struct proto_join join;
@@ -255,23 +255,23 @@
 	} u;
 
 	if (m->type == PROTO_JOIN && msg_read(m, &proto_join_desc, &u, NULL))
-		take_join(peer, &u.join);
+		handle_join(peer, &u.join);
 	else if (!peer->joined)
 		return false;
 	else if (m->type == PROTO_HAVE &&
 	    msg_read(m, &proto_have_desc, &u, NULL))
-		take_have(peer, &u.have);
+		handle_have(peer, &u.have);
 	else if (m->type == PROTO_UPDATE &&
 	    msg_read(m, &proto_update_desc, &u, NULL))
-		take_news(peer, &u.news);
+		handle_update(peer, &u.news);
 	else if (m->type == PROTO_GET && msg_read(m, &proto_get_desc, &u, NULL))
 		serve_get(peer, &u.get);
 	else if (m->type == PROTO_DATA &&
 	    msg_read(m, &proto_data_desc, &u, NULL))
-		take_data(peer, &u.data);
+		handle_data(peer, &u.data);
 	else if (m->type == PROTO_NONE &&
 	    msg_read(m, &proto_none_desc, &u, NULL))
-		take_none(peer, &u.none);
+		handle_none(peer, &u.none);
 	else
 		return false;
 	return true;
@@ -286,7 +286,7 @@
 	 * later release are passed over. */
 	if (m->type > PROTO_BYE)
 		return;
-	if (!handle(peer, m))
+	if (!dispatch(peer, m))
 		peer_drop(peer);
 	else
 		peer_drop_failing(peer);
--- a/lib/weights/serve.c
+++ b/lib/weights/serve.c
@@ -8,7 +8,7 @@
 /* Chunks with fewer copies are sent first, so that a host with several new
  * chunks gives out all of them once before any twice. Beyond that the peer
  * furthest behind goes first, so that all end at about the same time. */
-#define COPIES_SAFE 3
+#define COPIES_ENOUGH 3
 #define SLICE_MIN (16u << 10)
 #define SLICE_US 20000 /* a slice takes so long at the budget's rate */
 #define SECOND_US 1000000
@@ -82,7 +82,7 @@
 
 /* Copies of the chunk that this host knows of. */
 static uint32_t
-copies_of(const struct upload *u)
+known_copies(const struct upload *u)
 {
 	if (u->index == PROTO_LIST)
 		return 0;
@@ -91,10 +91,10 @@
 
 /* Whether `u` is to be sent before `other`; neither has begun. */
 static bool
-goes_first(const struct upload *u, const struct upload *other)
+precedes(const struct upload *u, const struct upload *other)
 {
-	uint32_t copies = MIN(copies_of(u), COPIES_SAFE);
-	uint32_t other_copies = MIN(copies_of(other), COPIES_SAFE);
+	uint32_t copies = MIN(known_copies(u), COPIES_ENOUGH);
+	uint32_t other_copies = MIN(known_copies(other), COPIES_ENOUGH);
 
 	if (copies != other_copies)
 		return copies < other_copies;
@@ -109,7 +109,7 @@
 	struct upload *u;
 
 	TAILQ_FOREACH (u, &wts->uploads, link) {
-		if (u->at == 0 && (last == NULL || !goes_first(u, last)))
+		if (u->at == 0 && (last == NULL || !precedes(u, last)))
 			last = u;
 	}
 	return last;
@@ -121,7 +121,7 @@
 {
 	struct upload *last = find_last(wts);
 
-	if (last == NULL || !goes_first(u, last))
+	if (last == NULL || !precedes(u, last))
 		return false;
 	refuse(last->to, last->index, true);
 	end_upload(last);
@@ -139,7 +139,7 @@
 		.have = get->have,
 		.moved_us = clk_now_us(wts->clock),
 	};
-	struct upload *kept;
+	struct upload *queued;
 
 	if (bytes == NULL) {
 		refuse(peer, get->index, false);
@@ -147,7 +147,7 @@
 	}
 	/* On a narrow link what is sent here delays the engine's answers, and
 	 * the peer waits long: others that have the chunk serve it better. */
-	if (pick_is_link_slow(peer->xfer->pick) && copies_of(&u) > 0) {
+	if (pick_is_link_slow(peer->xfer->pick) && known_copies(&u) > 0) {
 		refuse(peer, get->index, true);
 		return;
 	}
@@ -156,11 +156,11 @@
 		refuse(peer, get->index, true);
 		return;
 	}
-	kept = g_memdup2(&u, sizeof(u));
-	kept->bytes = g_bytes_ref(bytes);
+	queued = g_memdup2(&u, sizeof(u));
+	queued->bytes = g_bytes_ref(bytes);
 	peer->nuploads++;
 	wts->nuploads++;
-	TAILQ_INSERT_TAIL(&wts->uploads, kept, link);
+	TAILQ_INSERT_TAIL(&wts->uploads, queued, link);
 	serve_run(wts);
 }
 
@@ -170,7 +170,7 @@
  * side all would end late, and nobody could pass anything on meanwhile.
  */
 static struct upload *
-choose(struct wts *wts)
+next_upload(struct wts *wts)
 {
 	struct upload *best = NULL;
 	struct upload *u;
@@ -180,7 +180,7 @@
 			continue;
 		if (u->at > 0)
 			return u;
-		if (best == NULL || goes_first(u, best))
+		if (best == NULL || precedes(u, best))
 			best = u;
 	}
 	return best;
@@ -250,7 +250,7 @@
 	bool was_busy = wts->nuploads > 0;
 	struct upload *u;
 
-	while ((u = choose(wts)) != NULL) {
+	while ((u = next_upload(wts)) != NULL) {
 		int64_t ready_us = bucket_ready_us(&wts->up, now_us);
 
 		if (ready_us > now_us) {
--- a/lib/weights/wts.c
+++ b/lib/weights/wts.c
@@ -13,7 +13,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-find_counters(struct wts *wts)
+init_counters(struct wts *wts)
 {
 	struct ctr_set *set = wts->conf.node->counters;
 
@@ -94,7 +94,7 @@
 	wts->source = *source;
 	wts->clock = conf->node->clock;
 	now_us = clk_now_us(wts->clock);
-	find_counters(wts);
+	init_counters(wts);
 	rng_seed(&wts->rng, conf->seed ^ hash64(0, conf->id, strlen(conf->id)));
 	wts->hold = hold_new(conf->memory_bytes);
 	bucket_init(&wts->down, conf->download_bytes_s, now_us);
@@ -324,7 +324,7 @@
 
 /* The first message on an accepted connection. */
 static struct peer *
-welcome(struct wts *wts, struct conn *c, const struct msg *m)
+accept_peer(struct wts *wts, struct conn *c, const struct msg *m)
 {
 	struct proto_join join;
 	struct proto_bye bye = { 0 };
@@ -350,7 +350,7 @@
 	if (m->type < PROTO_FIRST || m->type > PROTO_LAST)
 		return false;
 	if (peer == NULL)
-		peer = welcome(wts, c, m);
+		peer = accept_peer(wts, c, m);
 	if (peer != NULL)
 		peer_message(peer, m);
 	return true;
--- a/lib/weights/xfer.c
+++ b/lib/weights/xfer.c
@@ -9,13 +9,13 @@
 /* News wait so long at most, or a hundredth of the shortest possible
  * transfer: often enough to show no loss of time, and control bytes stay in
  * proportion to the weights. */
-#define NEWS_MIN_US 50000
-#define NEWS_MAX_US SECOND_US
-#define NEWS_SHARE 100
+#define UPDATE_INTERVAL_MIN_US 50000
+#define UPDATE_INTERVAL_MAX_US SECOND_US
+#define UPDATES_PER_TRANSFER 100
 /* Fetches are begun while the download budget is at most so far in debt, in
  * chunk times: the answer comes a round trip and a queue later. */
-#define FETCH_DEBT_CHUNKS 1
-#define BAD_READS_TO_TELL 2
+#define FETCH_DEBT_MAX_CHUNKS 1
+#define CORRUPT_READS_REPORTED 2
 
 static void
 on_pump(void *ctx)
@@ -60,7 +60,7 @@
 }
 
 static void
-note_phase(const struct xfer *x)
+record_phase(const struct xfer *x)
 {
 	static const char *const names[] = {
 		[WTS_UNKNOWN] = "unknown",
@@ -87,7 +87,7 @@
 	if (x->phase == phase)
 		return;
 	x->phase = phase;
-	note_phase(x);
+	record_phase(x);
 	if (x->notify_idle == 0)
 		x->notify_idle = g_idle_add(on_notify, x);
 }
@@ -116,9 +116,9 @@
  * nothing to hear, and the first word of a peer ends the wait.
  */
 static void
-settle(struct xfer *x)
+update_settling(struct xfer *x)
 {
-	bool told = x->members->len == 0;
+	bool received = x->members->len == 0;
 	struct peer *peer;
 
 	if (x->pick->settle_until_us == 0 || x->pick->have > 0)
@@ -126,9 +126,9 @@
 	TAILQ_FOREACH (peer, &x->peers, link) {
 		if (peer->for_chunks.have > 0)
 			return;
-		told = told || peer->has_list;
+		received = received || peer->has_list;
 	}
-	if (told)
+	if (received)
 		pick_settle(x->pick, 0);
 }
 
@@ -195,7 +195,8 @@
 	x->want = *want;
 	x->phase = WTS_LIST;
 	x->update_interval_us =
-	    (int64_t)CLAMP(shortest_us / NEWS_SHARE, NEWS_MIN_US, NEWS_MAX_US);
+	    (int64_t)CLAMP(shortest_us / UPDATES_PER_TRANSFER,
+		UPDATE_INTERVAL_MIN_US, UPDATE_INTERVAL_MAX_US);
 	TAILQ_INIT(&x->peers);
 	TAILQ_INIT(&x->reads);
 	x->members = g_ptr_array_new_with_free_func(free_member);
@@ -281,7 +282,7 @@
 
 /* Keeps the dial state of a member that was there before. */
 static void
-keep_state(struct xfer *x, GPtrArray *fresh)
+copy_dial_state(struct xfer *x, GPtrArray *fresh)
 {
 	guint i;
 
@@ -298,7 +299,8 @@
 }
 
 static void
-rank_far_chunks(struct xfer *x, const struct rank_member *all, size_t self)
+rank_chunks_cross_domain(
+    struct xfer *x, const struct rank_member *all, size_t self)
 {
 	const struct digest *root = &x->want.version.root;
 	int64_t step_us = (int64_t)x->want.cross_domain_step_ms * 1000;
@@ -329,7 +331,7 @@
 	all[n] = (struct rank_member){ x->wts->conf.id, x->wts->conf.domain };
 	rank_build_in(&rank, root, all, n + 1, n,
 	    x->want.origin_domain[0] == '\0' ? NULL : x->want.origin_domain);
-	rank_far_chunks(x, all, n);
+	rank_chunks_cross_domain(x, all, n);
 	for (i = 0; i < n; i++) {
 		struct member *m = x->members->pdata[i];
 
@@ -351,7 +353,7 @@
 			g_ptr_array_add(fresh, new_member(x, &peers[i]));
 	}
 	g_ptr_array_sort(fresh, by_score);
-	keep_state(x, fresh);
+	copy_dial_state(x, fresh);
 	g_ptr_array_unref(x->members);
 	x->members = fresh;
 	peers_drop_removed(x);
@@ -401,13 +403,13 @@
     const struct digest *got, struct peer *peer)
 {
 	bool list = index == PROTO_LIST;
-	const struct digest *right =
+	const struct digest *expected =
 	    list ? &x->want.version.root : version_chunk_digest(x->list, index);
 	struct pick_peer *from = NULL;
 
 	if (peer != NULL)
 		from = list ? &peer->for_list : &peer->for_chunks;
-	if (!digest_equal(got, right)) {
+	if (!digest_equal(got, expected)) {
 		/* Never kept, never passed on: the digest of what this host
 		 * serves is always the one it checked itself. */
 		pick_failed(xfer_pick_of(x, index), xfer_pick_index(index),
@@ -433,11 +435,11 @@
 may_fetch(
     struct xfer *x, const struct pick *pick, int64_t now_us, int64_t *until_us)
 {
-	int64_t allowed =
-	    (int64_t)(FETCH_DEBT_CHUNKS * (double)pick->conf.chunk_bytes *
+	int64_t allowed_debt_us =
+	    (int64_t)(FETCH_DEBT_MAX_CHUNKS * (double)pick->conf.chunk_bytes *
 		SECOND_US / (double)pick->conf.rate);
 
-	*until_us = bucket_ready_us(&x->wts->down, now_us) - allowed;
+	*until_us = bucket_ready_us(&x->wts->down, now_us) - allowed_debt_us;
 	if (*until_us > now_us)
 		return false;
 	*until_us = INT64_MAX;
@@ -456,7 +458,7 @@
 }
 
 static void
-act(struct xfer *x, struct pick *pick, const struct pick_action *a,
+run_action(struct xfer *x, struct pick *pick, const struct pick_action *a,
     int64_t now_us)
 {
 	struct wts *wts = x->wts;
@@ -486,9 +488,9 @@
 }
 
 static void
-tell_wait(struct xfer *x, const struct pick *pick, const char *why)
+set_wait_reason(struct xfer *x, const struct pick *pick, const char *why)
 {
-	if (pick->corrupt_reads >= BAD_READS_TO_TELL) {
+	if (pick->corrupt_reads >= CORRUPT_READS_REPORTED) {
 		snprintf(x->why, sizeof(x->why),
 		    "origin: the copy of %s %" G_GUINT64_FORMAT
 		    " does not match its digest (%u tries)",
@@ -516,13 +518,13 @@
 
 	if (x->phase != WTS_LIST && x->phase != WTS_FETCHING)
 		return;
-	settle(x);
+	update_settling(x);
 	for (;;) {
 		fetch = may_fetch(x, pick, now_us, &fetch_us);
 		pick_next(pick, fetch, now_us, &x->wts->rng, &a);
 		if (a.kind == PICK_WAIT || a.kind == PICK_DONE)
 			break;
-		act(x, pick, &a, now_us);
+		run_action(x, pick, &a, now_us);
 	}
 	if (a.kind == PICK_DONE) {
 		set_why(x, "");
@@ -530,7 +532,7 @@
 			set_phase(x, WTS_COMPLETE);
 		return;
 	}
-	tell_wait(x, pick, a.why);
+	set_wait_reason(x, pick, a.why);
 	if (MIN(a.until_us, fetch_us) != INT64_MAX)
 		timer_set(&x->pump_timer, MIN(a.until_us, fetch_us));
 }
--- a/tests/weights/nodes.h
+++ b/tests/weights/nodes.h
@@ -17,7 +17,7 @@
 #include "weights/xfer.h"
 
 #define NODES_MAX 16
-#define PATIENCE_MS 20000 /* a hang ends the test */
+#define TIMEOUT_MS 20000 /* a hang ends the test */
 
 /* A model of `chunks` chunks of 4 KB; `seed` decides the bytes. */
 struct model {
@@ -44,7 +44,7 @@
 	struct rng rng;
 	unsigned int corrupt; /* the next so many answers */
 	bool down;
-	bool hold; /* reads of weights are not answered meanwhile */
+	bool hold_weights; /* reads of weights are not answered meanwhile */
 	uint64_t bytes_sent; /* of weights, not lists */
 	unsigned int reads;
 	TAILQ_HEAD(open_list, origin_read) open;
@@ -74,7 +74,7 @@
 static const uint8_t nodes_key[] = "0123456789abcdef";
 
 static inline void
-model_make(struct model *m, const char *name, uint64_t chunks, uint64_t seed)
+model_init(struct model *m, const char *name, uint64_t chunks, uint64_t seed)
 {
 	struct rng rng;
 	uint64_t i;
@@ -96,7 +96,7 @@
 }
 
 static inline void
-model_seal(struct model *m)
+model_compute_root(struct model *m)
 {
 	uint64_t i;
 
@@ -124,7 +124,7 @@
 /* ------------------------------------------------------------------ */
 
 static inline void
-fake_end(struct origin_read *r)
+fake_free(struct origin_read *r)
 {
 	TAILQ_REMOVE(&r->origin->open, r, link);
 	if (r->source != 0)
@@ -142,7 +142,7 @@
 	struct err err;
 	GBytes *bytes;
 
-	if (r->origin->hold && g_str_has_suffix(r->name, ".weights"))
+	if (r->origin->hold_weights && g_str_has_suffix(r->name, ".weights"))
 		return G_SOURCE_CONTINUE;
 	bytes = g_steal_pointer(&r->bytes);
 
@@ -150,7 +150,7 @@
 	err_set(&err, ERR_UNAVAILABLE, VERDICT_NOT_RUN, "down");
 	if (r->origin->down)
 		g_clear_pointer(&bytes, g_bytes_unref);
-	fake_end(r);
+	fake_free(r);
 	done(bytes, bytes == NULL ? &err : NULL, ctx);
 	g_clear_pointer(&bytes, g_bytes_unref);
 	return G_SOURCE_REMOVE;
@@ -209,7 +209,7 @@
 static inline void
 fake_cancel(struct origin_read *read, void *ctx)
 {
-	fake_end(read);
+	fake_free(read);
 }
 
 /* ------------------------------------------------------------------ */
@@ -361,7 +361,7 @@
 }
 
 static inline bool
-node_whole(const struct node *n, const struct model *m)
+node_complete(const struct node *n, const struct model *m)
 {
 	struct wts_progress p;
 
@@ -370,19 +370,19 @@
 }
 
 static inline bool
-nodes_whole(const struct nodes *s, const struct model *m)
+nodes_complete(const struct nodes *s, const struct model *m)
 {
 	size_t i;
 
 	for (i = 0; i < s->n; i++) {
-		if (s->node[i].wts != NULL && !node_whole(&s->node[i], m))
+		if (s->node[i].wts != NULL && !node_complete(&s->node[i], m))
 			return false;
 	}
 	return true;
 }
 
 static inline gboolean
-nodes_late(gpointer data)
+nodes_on_timeout(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
@@ -390,18 +390,18 @@
 
 /* Runs the loop until `done`; fails the test when that never comes. */
 static inline void
-nodes_until(struct nodes *s,
+nodes_run_until(struct nodes *s,
     bool (*done)(const struct nodes *s, const struct model *m),
     const struct model *m)
 {
-	bool late = false;
-	guint timer = g_timeout_add(PATIENCE_MS, nodes_late, &late);
+	bool timed_out = false;
+	guint timer = g_timeout_add(TIMEOUT_MS, nodes_on_timeout, &timed_out);
 	struct wts_progress p;
 	size_t i;
 
-	while (!done(s, m) && !late)
+	while (!done(s, m) && !timed_out)
 		g_main_context_iteration(NULL, TRUE);
-	if (!late) {
+	if (!timed_out) {
 		g_source_remove(timer);
 		return;
 	}
--- a/tests/weights/test_faults.c
+++ b/tests/weights/test_faults.c
@@ -3,28 +3,29 @@
 #include "nodes.h"
 
 #define CHUNKS 60
-#define SLOW (512 << 10) /* bytes a second: a transfer lasts half a second */
+#define SLOW_RATE \
+	(512 << 10) /* bytes a second: a transfer lasts half a second */
 
 static struct model first;
 static struct model models[2]; /* the second: a tenth of the chunks changed */
 
 static int
-set_up(void **state)
+setup(void **state)
 {
 	uint64_t i;
 
-	model_make(&models[0], "a", CHUNKS, 1);
-	model_make(&models[1], "b", CHUNKS, 1);
+	model_init(&models[0], "a", CHUNKS, 1);
+	model_init(&models[1], "b", CHUNKS, 1);
 	for (i = 0; i < CHUNKS; i += 10)
 		models[1].bytes->data[i * WTS_CHUNK_MIN] ^= 1;
-	model_seal(&models[0]);
-	model_seal(&models[1]);
+	model_compute_root(&models[0]);
+	model_compute_root(&models[1]);
 	first = models[0];
 	return 0;
 }
 
 static int
-tear_down(void **state)
+teardown(void **state)
 {
 	model_free(&models[0]);
 	model_free(&models[1]);
@@ -32,7 +33,7 @@
 }
 
 static void
-begin(struct nodes *s, size_t n)
+start_rollout(struct nodes *s, size_t n)
 {
 	s->memory = 1 << 20;
 	s->origin.models = models;
@@ -59,11 +60,11 @@
 }
 
 static void
-end(struct nodes *s, const struct model *m)
+finish_rollout(struct nodes *s, const struct model *m)
 {
 	size_t i;
 
-	nodes_until(s, nodes_whole, m);
+	nodes_run_until(s, nodes_complete, m);
 	for (i = 0; i < s->n; i++) {
 		if (s->node[i].wts != NULL)
 			node_check(&s->node[i], m);
@@ -106,26 +107,26 @@
 static void
 test_reader_dies(void **state)
 {
-	struct nodes s = { .rate = SLOW };
-	struct wts_peer left[NODES_MAX];
+	struct nodes s = { .rate = SLOW_RATE };
+	struct wts_peer remaining[NODES_MAX];
 	size_t dead, i, n = 0;
 
-	begin(&s, 8);
+	start_rollout(&s, 8);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, half_way, &first);
+	nodes_run_until(&s, half_way, &first);
 	dead = reader_of(&s, &first);
 	node_kill(&s.node[dead]);
 	for (i = 0; i < s.n; i++) {
 		if (i != dead)
-			left[n++] = (struct wts_peer){ s.node[i].id,
+			remaining[n++] = (struct wts_peer){ s.node[i].id,
 				s.node[i].address, s.node[i].domain };
 	}
 	for (i = 0; i < s.n; i++) {
 		if (i != dead)
 			wts_set_peers(
-			    s.node[i].wts, &first.version.root, left, n);
+			    s.node[i].wts, &first.version.root, remaining, n);
 	}
-	end(&s, &first);
+	finish_rollout(&s, &first);
 	/* What only the dead host had: few of its chunks. */
 	assert_in_range(reads_beyond(&s, &first), 0, CHUNKS / 10);
 }
@@ -135,7 +136,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-fake_have_all(struct conn *c, const struct model *m, const char *domain)
+send_have_all(struct conn *c, const struct model *m, const char *domain)
 {
 	uint8_t bits[CHUNKS / 8 + 1];
 	struct proto_join join = {
@@ -154,7 +155,7 @@
 fake_stalls(struct node *n, struct conn *c, const struct msg *m)
 {
 	if (m->type == PROTO_JOIN)
-		fake_have_all(c, &first, n->domain);
+		send_have_all(c, &first, n->domain);
 }
 
 /* Has all, and one byte of each chunk is wrong. */
@@ -166,7 +167,7 @@
 	struct proto_get get;
 
 	if (m->type == PROTO_JOIN)
-		fake_have_all(c, &first, n->domain);
+		send_have_all(c, &first, n->domain);
 	if (!msg_read(m, &proto_get_desc, &get, NULL))
 		return;
 	data.index = get.index;
@@ -185,7 +186,7 @@
 }
 
 static void
-make_fake(struct node *n,
+replace_with_fake(struct node *n,
     void (*fake)(struct node *n, struct conn *c, const struct msg *m),
     void *ctx)
 {
@@ -202,14 +203,14 @@
 static void
 test_link_stalls(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 4);
-	make_fake(&s.node[1], fake_stalls, NULL);
+	start_rollout(&s, 4);
+	replace_with_fake(&s.node[1], fake_stalls, NULL);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_true(nodes_count(&s, "wts_stalls") > 0);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
 /*
@@ -219,16 +220,16 @@
 static void
 test_peer_corrupts(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	unsigned int sent = 0;
 
-	begin(&s, 4);
-	make_fake(&s.node[1], fake_corrupts, &sent);
+	start_rollout(&s, 4);
+	replace_with_fake(&s.node[1], fake_corrupts, &sent);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_true(sent > 0);
 	assert_true(nodes_count(&s, "wts_corrupt_from_peers") > 0);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
 /*
@@ -238,18 +239,18 @@
 static void
 test_origin_corrupts(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 4);
+	start_rollout(&s, 4);
 	s.origin.corrupt = 3;
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_int_equal(nodes_count(&s, "wts_corrupt_from_origin"), 3);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
 static bool
-says_bad_copy(const struct nodes *s, const struct model *m)
+reports_corrupt_copy(const struct nodes *s, const struct model *m)
 {
 	struct wts_progress p;
 
@@ -259,14 +260,14 @@
 
 /* The origin's copy itself is bad: no host gets it, and the operator reads why. */
 static void
-test_origin_copy_is_bad(void **state)
+test_origin_copy_is_corrupt(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 1);
+	start_rollout(&s, 1);
 	s.origin.corrupt = UINT_MAX;
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, says_bad_copy, &first);
+	nodes_run_until(&s, reports_corrupt_copy, &first);
 	assert_null(wts_list(s.node[0].wts, &first.version.root));
 	nodes_stop(&s);
 }
@@ -278,7 +279,7 @@
 }
 
 static bool
-all_say_origin_is_down(const struct nodes *s, const struct model *m)
+all_report_origin_down(const struct nodes *s, const struct model *m)
 {
 	struct wts_progress p;
 	size_t i;
@@ -298,15 +299,15 @@
 static void
 test_origin_down(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 4);
+	start_rollout(&s, 4);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, origin_was_read, &first);
+	nodes_run_until(&s, origin_was_read, &first);
 	s.origin.down = true;
-	nodes_until(&s, all_say_origin_is_down, &first);
+	nodes_run_until(&s, all_report_origin_down, &first);
 	s.origin.down = false;
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
 /*
@@ -317,20 +318,20 @@
 static void
 test_superseded(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	size_t i;
 
-	begin(&s, 6);
+	start_rollout(&s, 6);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, half_way, &first);
+	nodes_run_until(&s, half_way, &first);
 	nodes_want_all(&s, &models[1], 1);
 	for (i = 0; i < s.n; i++)
 		wts_drop(s.node[i].wts, &first.version.root);
-	nodes_until(&s, nodes_whole, &models[1]);
+	nodes_run_until(&s, nodes_complete, &models[1]);
 	for (i = 0; i < s.n; i++)
 		assert_null(wts_chunk(s.node[i].wts, &first.version.root, 1));
 	assert_in_range(reads_beyond(&s, &first), 0, CHUNKS / 5);
-	end(&s, &models[1]);
+	finish_rollout(&s, &models[1]);
 }
 
 /*
@@ -340,26 +341,26 @@
 static void
 test_restart_empty_and_join_late(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	uint64_t sent;
 
-	begin(&s, 6);
+	start_rollout(&s, 6);
 	node_kill(&s.node[5]);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	sent = s.origin.bytes_sent;
 	node_kill(&s.node[2]);
 	node_start(&s, 2);
 	node_start(&s, 5);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_int_equal(s.origin.bytes_sent, sent);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
 /* Whether a host that lives holds the chunk, or is reading it. */
 static bool
-is_safe(const struct nodes *s, const struct model *m, uint64_t chunk)
+is_recoverable(const struct nodes *s, const struct model *m, uint64_t chunk)
 {
 	const struct xfer *x;
 	enum pick_state state;
@@ -388,7 +389,7 @@
 	uint64_t chunk;
 
 	for (chunk = 0; chunk < CHUNKS; chunk++)
-		lost -= is_safe(s, m, chunk);
+		lost -= is_recoverable(s, m, chunk);
 	return lost;
 }
 
@@ -398,20 +399,20 @@
  * they alone had must be read again; little else is.
  */
 static void
-test_domain_gone(void **state)
+test_domain_lost(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	int64_t lost, reads;
 	size_t i;
 
-	begin(&s, 9);
+	start_rollout(&s, 9);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, origin_was_read, &first);
+	nodes_run_until(&s, origin_was_read, &first);
 	for (i = 0; i < s.n; i += 3)
 		node_kill(&s.node[i]);
 	reads = (int64_t)s.origin.bytes_sent / WTS_CHUNK_MIN;
 	lost = reads_lost(&s, &first);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 	/* Three of eight readers died: at most their part of the reads, and one
 	 * more each. How many reads there were by then is the machine's matter. */
 	assert_in_range(lost, 0, reads * 3 / 8 + 3);
@@ -422,20 +423,20 @@
 static void
 test_reader_dies_and_peer_corrupts(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	unsigned int sent = 0;
 	size_t dead = 0;
 
-	begin(&s, 6);
-	make_fake(&s.node[1], fake_corrupts, &sent);
+	start_rollout(&s, 6);
+	replace_with_fake(&s.node[1], fake_corrupts, &sent);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, origin_was_read, &first);
+	nodes_run_until(&s, origin_was_read, &first);
 	while (s.node[dead].wts == NULL ||
 	    wts_find(s.node[dead].wts, &first.version.root)->pick->rank.self ==
 		RANK_NONE)
 		dead++;
 	node_kill(&s.node[dead]);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 	assert_true(sent > 0);
 }
 
@@ -463,16 +464,16 @@
  * passes on what each has begun to read; without that both would read most chunks.
  */
 static void
-test_views_differ(void **state)
+test_member_lists_differ(void **state)
 {
 	/* A read lasts longer than news of it, as with chunks of real size. */
-	struct nodes s = { .rate = SLOW,
-		.origin = { .hold = true, .delay_ms = 100 } };
+	struct nodes s = { .rate = SLOW_RATE,
+		.origin = { .hold_weights = true, .delay_ms = 100 } };
 	struct wts_want want = { .version = first.version };
 	struct wts_peer peers[3];
 	size_t i;
 
-	begin(&s, 3);
+	start_rollout(&s, 3);
 	for (i = 0; i < s.n; i++) {
 		peers[i] = (struct wts_peer){ s.node[i].id, s.node[i].address,
 			s.node[i].domain };
@@ -481,9 +482,9 @@
 	wts_set_peers(s.node[0].wts, &first.version.root, peers, 2);
 	wts_set_peers(s.node[1].wts, &first.version.root, peers, 3);
 	wts_set_peers(s.node[2].wts, &first.version.root, &peers[1], 2);
-	nodes_until(&s, all_know_the_claims, &first);
-	s.origin.hold = false;
-	end(&s, &first);
+	nodes_run_until(&s, all_know_the_claims, &first);
+	s.origin.hold_weights = false;
+	finish_rollout(&s, &first);
 	assert_in_range(reads_beyond(&s, &first), 0, CHUNKS / 10);
 }
 
@@ -495,14 +496,14 @@
 		cmocka_unit_test(test_link_stalls),
 		cmocka_unit_test(test_peer_corrupts),
 		cmocka_unit_test(test_origin_corrupts),
-		cmocka_unit_test(test_origin_copy_is_bad),
+		cmocka_unit_test(test_origin_copy_is_corrupt),
 		cmocka_unit_test(test_origin_down),
 		cmocka_unit_test(test_superseded),
 		cmocka_unit_test(test_restart_empty_and_join_late),
-		cmocka_unit_test(test_domain_gone),
+		cmocka_unit_test(test_domain_lost),
 		cmocka_unit_test(test_reader_dies_and_peer_corrupts),
-		cmocka_unit_test(test_views_differ),
+		cmocka_unit_test(test_member_lists_differ),
 	};
 
-	return cmocka_run_group_tests(tests, set_up, tear_down);
+	return cmocka_run_group_tests(tests, setup, teardown);
 }
--- a/tests/weights/test_hold.c
+++ b/tests/weights/test_hold.c
@@ -47,7 +47,7 @@
 }
 
 static void
-test_chunks_are_shared_and_go_with_the_last_use(void **state)
+test_chunks_are_shared_and_freed_with_last_use(void **state)
 {
 	struct hold *hold = hold_new(1 << 20);
 	unsigned int filled_a = 0, filled_b = 0;
@@ -139,7 +139,7 @@
 }
 
 static void
-test_indices_on_the_wire(void **state)
+test_index_encoding(void **state)
 {
 	static const uint32_t some[] = { 0, 127, 128, 50000, 2000000,
 		PROTO_LIST };
@@ -187,7 +187,7 @@
 /* Live traffic takes from the budget at once, and weights wait; but a burst
  * holds them back for a quarter of a second at most. */
 static void
-test_live_traffic_goes_ahead(void **state)
+test_live_traffic_has_priority(void **state)
 {
 	struct bucket b;
 
@@ -203,12 +203,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(
-		    test_chunks_are_shared_and_go_with_the_last_use),
+		    test_chunks_are_shared_and_freed_with_last_use),
 		cmocka_unit_test(test_memory_budget),
 		cmocka_unit_test(test_digest_of_a_file),
-		cmocka_unit_test(test_indices_on_the_wire),
+		cmocka_unit_test(test_index_encoding),
 		cmocka_unit_test(test_bucket_keeps_the_rate),
-		cmocka_unit_test(test_live_traffic_goes_ahead),
+		cmocka_unit_test(test_live_traffic_has_priority),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/weights/test_pick.c
+++ b/tests/weights/test_pick.c
@@ -19,7 +19,7 @@
 static struct rng rng;
 
 static int
-set_up(void **state)
+setup(void **state)
 {
 	static char ids[HOSTS][8];
 	static const char *const domains[] = { "a", "b", "c" };
@@ -64,7 +64,7 @@
 
 /* Takes everything that is to be begun now; gives the last action. */
 static struct pick_action
-begin_all(struct pick *p, int64_t now_us)
+start_all(struct pick *p, int64_t now_us)
 {
 	struct pick_action a = next(p, now_us);
 
@@ -100,7 +100,7 @@
 }
 
 static void
-has_all(struct pick *p, struct pick_peer *peer)
+add_all_chunks(struct pick *p, struct pick_peer *peer)
 {
 	uint64_t i;
 
@@ -181,7 +181,7 @@
 /* Begins the first read, and ends it without the chunk, which is the only one
  * that is missing but for `other` (CHUNKS: none). */
 static uint64_t
-fail_a_read(struct pick *p, uint64_t other)
+fail_read(struct pick *p, uint64_t other)
 {
 	struct pick_action a = next(p, 0);
 	uint64_t i;
@@ -204,10 +204,10 @@
  * whose weights are due stand idle.
  */
 static void
-test_failed_read_is_repeated_soon(void **state)
+test_failed_read_is_retried_soon(void **state)
 {
 	struct pick *p = new_pick(reader(0));
-	uint64_t index = fail_a_read(p, CHUNKS);
+	uint64_t index = fail_read(p, CHUNKS);
 	struct pick_action a = next(p, SECOND / 2);
 
 	assert_int_equal(a.kind, PICK_READ);
@@ -245,7 +245,7 @@
 /* A reader's own link delays the last bytes of a chunk: with a second read open
  * the origin goes on sending meanwhile. */
 static void
-test_so_many_reads_are_open(void **state)
+test_max_reads_open(void **state)
 {
 	struct pick *p = new_pick(reader(0));
 	struct pick_action a;
@@ -269,7 +269,7 @@
  * first that finds it back tells of its chunk: the others need not rest longer.
  */
 static void
-test_a_chunk_from_the_origin_ends_the_rest(void **state)
+test_origin_chunk_at_peer_ends_backoff(void **state)
 {
 	struct pick *p = new_pick(reader(0));
 	struct pick_peer peer = { 0 };
@@ -277,7 +277,7 @@
 	uint64_t index;
 
 	pick_add_peer(p, &peer, true);
-	index = fail_a_read(p, CHUNKS - 1);
+	index = fail_read(p, CHUNKS - 1);
 	pick_peer_has(p, &peer, CHUNKS - 1, SECOND / 10);
 	a = next(p, SECOND / 10);
 	assert_int_equal(a.kind, PICK_READ);
@@ -288,7 +288,7 @@
 
 /* Chunks that a peer has do not keep the origin from other versions. */
 static void
-test_what_is_still_to_come_from_the_origin(void **state)
+test_count_origin_only(void **state)
 {
 	struct pick *p = new_pick(reader(0));
 	struct pick_peer peer = { 0 };
@@ -310,7 +310,7 @@
  * waits longer; and a claim by the first puts all of them off again.
  */
 static void
-test_next_in_rank_after_silence(void **state)
+test_next_rank_reads_after_claim_timeout(void **state)
 {
 	struct pick *p = new_pick(reader(1));
 	int64_t now = pick_claim_timeout_us(p);
@@ -345,10 +345,10 @@
  * ago, and leaves to a reader of its own pace what is that one's.
  */
 static void
-test_chunks_of_a_slow_reader_are_taken_over(void **state)
+test_takeover_from_slow_reader(void **state)
 {
 	struct pick *p = new_pick(reader(0));
-	unsigned int slow = 0, brisk = 0, taken = 0;
+	unsigned int slow = 0, fast = 0, taken = 0;
 	int64_t now = 0;
 	struct pick_action a;
 	uint64_t i;
@@ -372,7 +372,7 @@
 				pick_claimed(p, i, 0, now);
 			break;
 		case 2:
-			if (++brisk == CHUNKS / RANK_READERS)
+			if (++fast == CHUNKS / RANK_READERS)
 				break;
 			pick_claimed(p, i, 0, now);
 			pick_complete(p, i); /* it came */
@@ -402,10 +402,10 @@
  * claims are heard. The claims still show that it lives, and nobody steps in.
  */
 static void
-test_late_claim_is_a_sign_of_life(void **state)
+test_late_claim_resets_claim_timeout(void **state)
 {
 	struct pick *p = new_pick(reader(1));
-	int64_t silence = pick_claim_timeout_us(p);
+	int64_t timeout_us = pick_claim_timeout_us(p);
 	struct pick_peer peer = { 0 };
 	struct pick_action a;
 	uint64_t i, seen = CHUNKS;
@@ -418,13 +418,13 @@
 		else
 			seen = i;
 	}
-	pick_peer_has(p, &peer, seen, silence - 1);
-	assert_true(pick_claimed(p, seen, 0, silence - 1));
-	assert_false(pick_claimed(p, seen, 0, silence - 1));
+	pick_peer_has(p, &peer, seen, timeout_us - 1);
+	assert_true(pick_claimed(p, seen, 0, timeout_us - 1));
+	assert_false(pick_claimed(p, seen, 0, timeout_us - 1));
 	pick_complete(p, seen);
-	a = next(p, silence);
+	a = next(p, timeout_us);
 	assert_int_equal(a.kind, PICK_WAIT);
-	assert_int_equal(a.until_us, 2 * silence - 1);
+	assert_int_equal(a.until_us, 2 * timeout_us - 1);
 	pick_remove_peer(p, &peer, 0);
 	pick_free(p);
 }
@@ -432,31 +432,32 @@
 /* Own failure domain first; of its peers the least loaded; of its chunks the
  * rarest. */
 static void
-test_near_then_idle_then_rarest(void **state)
+test_same_domain_then_idle_then_rarest(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	struct pick_peer near = { 0 }, loaded = { 0 }, far = { 0 };
+	struct pick_peer same_domain = { 0 }, loaded = { 0 },
+			 cross_domain = { 0 };
 	struct pick_action a;
 	uint64_t i;
 
-	pick_add_peer(p, &near, true);
+	pick_add_peer(p, &same_domain, true);
 	pick_add_peer(p, &loaded, true);
-	pick_add_peer(p, &far, false);
-	has_all(p, &near);
+	pick_add_peer(p, &cross_domain, false);
+	add_all_chunks(p, &same_domain);
 	for (i = 0; i < CHUNKS; i++) {
 		if (i != 17)
 			pick_peer_has(p, &loaded, i, 0);
 	}
-	has_all(p, &far);
+	add_all_chunks(p, &cross_domain);
 	pick_peer_load(&loaded, 1, 0);
 	a = next(p, 0);
 	assert_int_equal(a.kind, PICK_REQUEST);
-	assert_ptr_equal(a.peer, &near);
+	assert_ptr_equal(a.peer, &same_domain);
 	assert_int_equal(a.index, 17);
-	pick_remove_peer(p, &near, 0);
+	pick_remove_peer(p, &same_domain, 0);
 	pick_remove_peer(p, &loaded, 0);
-	assert_ptr_equal(next(p, 0).peer, &far);
-	pick_remove_peer(p, &far, 0);
+	assert_ptr_equal(next(p, 0).peer, &cross_domain);
+	pick_remove_peer(p, &cross_domain, 0);
 	pick_free(p);
 }
 
@@ -465,10 +466,10 @@
  * has brought nothing for the patience; then of another.
  */
 static void
-test_no_duplicate_before_patience(void **state)
+test_no_duplicate_before_stall_timeout(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	int64_t late = pick_stall_timeout_us(p);
+	int64_t timeout_us = pick_stall_timeout_us(p);
 	struct pick_peer one = { 0 }, two = { 0 };
 	struct pick_action a;
 	uint64_t i;
@@ -477,21 +478,21 @@
 		pick_complete(p, i);
 	pick_add_peer(p, &one, true);
 	pick_add_peer(p, &two, true);
-	has_all(p, &one);
-	has_all(p, &two);
+	add_all_chunks(p, &one);
+	add_all_chunks(p, &two);
 	pick_peer_load(&two, 1, 0);
-	a = begin_all(p, 0);
+	a = start_all(p, 0);
 	assert_int_equal(one.open_requests, 1);
 	assert_int_equal(two.open_requests, 0);
 	assert_int_equal(a.kind, PICK_WAIT);
-	assert_int_equal(a.until_us, late);
-	a = next(p, late);
+	assert_int_equal(a.until_us, timeout_us);
+	a = next(p, timeout_us);
 	assert_int_equal(a.kind, PICK_EXPIRE);
-	pick_failed(p, a.index, a.peer, PICK_STALLED, late);
-	a = next(p, late);
+	pick_failed(p, a.index, a.peer, PICK_STALLED, timeout_us);
+	a = next(p, timeout_us);
 	assert_ptr_equal(a.peer, &two);
-	pick_remove_peer(p, &one, late);
-	pick_remove_peer(p, &two, late);
+	pick_remove_peer(p, &one, timeout_us);
+	pick_remove_peer(p, &two, timeout_us);
 	pick_free(p);
 }
 
@@ -501,7 +502,7 @@
  * say, would wait for ever.
  */
 static void
-test_busy_peer_is_asked_again(void **state)
+test_busy_peer_is_retried(void **state)
 {
 	struct pick *p = new_pick(not_reader());
 	struct pick_peer one = { 0 };
@@ -520,20 +521,20 @@
 
 /* Bytes put the deadline off: a slow link is not a stalled one. */
 static void
-test_progress_extends_patience(void **state)
+test_progress_extends_stall_timeout(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	int64_t late = pick_stall_timeout_us(p);
+	int64_t timeout_us = pick_stall_timeout_us(p);
 	struct pick_peer one = { 0 };
 	struct pick_action a;
 
 	pick_add_peer(p, &one, true);
 	pick_peer_has(p, &one, 3, 0);
-	begin_all(p, 0);
-	pick_progress(p, 3, late - 1);
-	a = next(p, late);
+	start_all(p, 0);
+	pick_progress(p, 3, timeout_us - 1);
+	a = next(p, timeout_us);
 	assert_int_not_equal(a.kind, PICK_EXPIRE);
-	pick_remove_peer(p, &one, late);
+	pick_remove_peer(p, &one, timeout_us);
 	pick_free(p);
 }
 
@@ -543,10 +544,10 @@
  * asked for it again.
  */
 static void
-test_wrong_bytes_end_being_a_holder(void **state)
+test_corrupt_chunk_removes_holder(void **state)
 {
 	struct pick *p = new_pick(reader(0));
-	struct pick_peer liar = { 0 };
+	struct pick_peer corrupt = { 0 };
 	struct pick_action a;
 	uint64_t own;
 	uint64_t i;
@@ -557,15 +558,15 @@
 		if (i != own)
 			pick_complete(p, i);
 	}
-	pick_add_peer(p, &liar, true);
-	has_all(p, &liar);
-	a = begin_all(p, 0);
-	assert_int_equal(liar.open_requests, 1);
+	pick_add_peer(p, &corrupt, true);
+	add_all_chunks(p, &corrupt);
+	a = start_all(p, 0);
+	assert_int_equal(corrupt.open_requests, 1);
 	pick_received(p, own, 0);
-	pick_failed(p, own, &liar, PICK_CORRUPT, 0);
+	pick_failed(p, own, &corrupt, PICK_CORRUPT, 0);
 	a = next(p, pick_claim_timeout_us(p));
 	assert_int_equal(a.kind, PICK_READ);
-	pick_remove_peer(p, &liar, 0);
+	pick_remove_peer(p, &corrupt, 0);
 	pick_free(p);
 }
 
@@ -603,21 +604,21 @@
 		cmocka_unit_test(test_ranking_is_the_same_everywhere),
 		cmocka_unit_test(test_no_read_before_members_are_known),
 		cmocka_unit_test(test_reads_in_turn),
-		cmocka_unit_test(test_failed_read_is_repeated_soon),
+		cmocka_unit_test(test_failed_read_is_retried_soon),
 		cmocka_unit_test(test_own_chunks_are_read_first),
-		cmocka_unit_test(test_so_many_reads_are_open),
-		cmocka_unit_test(test_a_chunk_from_the_origin_ends_the_rest),
-		cmocka_unit_test(test_what_is_still_to_come_from_the_origin),
-		cmocka_unit_test(test_next_in_rank_after_silence),
-		cmocka_unit_test(test_chunks_of_a_slow_reader_are_taken_over),
-		cmocka_unit_test(test_late_claim_is_a_sign_of_life),
-		cmocka_unit_test(test_near_then_idle_then_rarest),
-		cmocka_unit_test(test_no_duplicate_before_patience),
-		cmocka_unit_test(test_busy_peer_is_asked_again),
-		cmocka_unit_test(test_progress_extends_patience),
-		cmocka_unit_test(test_wrong_bytes_end_being_a_holder),
+		cmocka_unit_test(test_max_reads_open),
+		cmocka_unit_test(test_origin_chunk_at_peer_ends_backoff),
+		cmocka_unit_test(test_count_origin_only),
+		cmocka_unit_test(test_next_rank_reads_after_claim_timeout),
+		cmocka_unit_test(test_takeover_from_slow_reader),
+		cmocka_unit_test(test_late_claim_resets_claim_timeout),
+		cmocka_unit_test(test_same_domain_then_idle_then_rarest),
+		cmocka_unit_test(test_no_duplicate_before_stall_timeout),
+		cmocka_unit_test(test_busy_peer_is_retried),
+		cmocka_unit_test(test_progress_extends_stall_timeout),
+		cmocka_unit_test(test_corrupt_chunk_removes_holder),
 		cmocka_unit_test(test_extra_copies_are_bounded),
 	};
 
-	return cmocka_run_group_tests(tests, set_up, NULL);
+	return cmocka_run_group_tests(tests, setup, NULL);
 }
--- a/tests/weights/test_xfer.c
+++ b/tests/weights/test_xfer.c
@@ -3,19 +3,19 @@
 #include "nodes.h"
 
 static void
-test_all_whole_with_one_origin_copy(void **state)
+test_all_complete_with_one_origin_copy(void **state)
 {
 	struct nodes s = { .rate = 4 << 20, .memory = 1 << 20 };
 	struct model m;
 	size_t i;
 
-	model_make(&m, "m", 60, 1);
-	model_seal(&m);
+	model_init(&m, "m", 60, 1);
+	model_compute_root(&m);
 	s.origin.models = &m;
 	s.origin.nmodels = 1;
 	nodes_start(&s, 8);
 	nodes_want_all(&s, &m, 1);
-	nodes_until(&s, nodes_whole, &m);
+	nodes_run_until(&s, nodes_complete, &m);
 	for (i = 0; i < s.n; i++)
 		node_check(&s.node[i], &m);
 	assert_int_equal(s.origin.bytes_sent, m.version.bytes);
@@ -28,19 +28,19 @@
  * beside it is looked through while pieces come, and one that came meanwhile was
  * no proof of what lies there. */
 static void
-test_offer_is_judged_by_its_own_bytes(void **state)
+test_offer_verifies_offered_bytes(void **state)
 {
 	struct nodes s = { .rate = 4 << 20, .memory = 1 << 20 };
 	struct model m;
 	GBytes *good, *other;
 
-	model_make(&m, "m", 8, 1);
-	model_seal(&m);
+	model_init(&m, "m", 8, 1);
+	model_compute_root(&m);
 	s.origin.models = &m;
 	s.origin.nmodels = 1;
 	nodes_start(&s, 2);
 	nodes_want_all(&s, &m, 1);
-	nodes_until(&s, nodes_whole, &m);
+	nodes_run_until(&s, nodes_complete, &m);
 	good = g_bytes_new(m.bytes->data, WTS_CHUNK_MIN);
 	other = g_bytes_new(m.bytes->data + WTS_CHUNK_MIN, WTS_CHUNK_MIN);
 	assert_true(wts_offer(s.node[0].wts, &m.version.root, 0, good));
@@ -56,8 +56,8 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_all_whole_with_one_origin_copy),
-		cmocka_unit_test(test_offer_is_judged_by_its_own_bytes),
+		cmocka_unit_test(test_all_complete_with_one_origin_copy),
+		cmocka_unit_test(test_offer_verifies_offered_bytes),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
