--- a/lib/weights/pick.c
+++ b/lib/weights/pick.c
@@ -1,4 +1,4 @@
-/* The state that fetches are chosen from, and the events that change it. */
+/* The state from which fetches are chosen, and the events that change it. */
 
 #include <string.h>
 
@@ -6,30 +6,32 @@
 #include "weights/pick.h"
 
 #define SECOND_US 1000000
-#define STALL_TIMEOUT_MIN_US \
-	(SECOND_US / 2) /* above scheduling and TCP hiccups */
+/* Exceeds scheduling and TCP delays. */
+#define STALL_TIMEOUT_MIN_US (SECOND_US / 2)
 #define STALL_TIMEOUT_MAX_US (30 * (int64_t)SECOND_US)
-#define STALL_TIMEOUT_GAPS 4 /* times the usual longest gap */
-#define FIRST_GAP_CHUNKS 8 /* before anything was measured, in chunk times */
-#define CLAIM_TIMEOUT_MIN_US \
-	SECOND_US /* beside the time that a claim travels */
+#define STALL_TIMEOUT_GAPS 4 /* times the average longest gap */
+#define FIRST_GAP_CHUNKS 8 /* initial value, in chunk times */
+/* Added to the propagation time of a claim. */
+#define CLAIM_TIMEOUT_MIN_US SECOND_US
 #define CLAIM_TIMEOUT_MAX_US (60 * (int64_t)SECOND_US)
-#define CLAIM_TIMEOUT_CHUNKS 16 /* times a chunk takes on this host's link */
-#define CLAIM_TIMEOUT_READS 4 /* times a read was measured to take */
-#define BUSY_BACKOFF_CHUNKS 2 /* chunk times until a busy peer is asked again */
+/* Times the transfer time of a chunk on this host's link. */
+#define CLAIM_TIMEOUT_CHUNKS 16
+#define CLAIM_TIMEOUT_READS 4 /* times the measured duration of a read */
+/* Chunk times before a busy peer is asked again. */
+#define BUSY_BACKOFF_CHUNKS 2
 #define FAILURE_BACKOFF_US (SECOND_US / 4)
 #define FAILURES_MAX 8
 #define READ_BACKOFF_US (SECOND_US / 4)
-/* Few hosts read, so asking an origin that is away often costs little; each
- * moment from its return to the next try is one more in which engines whose
- * weights are due stand idle. */
+/* Few hosts read, so retrying an unavailable origin often costs little. Any
+ * delay between the origin's return and the next retry prolongs the time in
+ * which engines that need the weights are idle. */
 #define READ_BACKOFF_MAX_US (SECOND_US * 15 / 100)
-/* Peers that are busy halve what arrives now and then; a link squeezed to an
- * eighth stays far below. */
+/* Busy peers can halve the received rate at times; on a link limited to an
+ * eighth of its rate the fraction stays far below this value. */
 #define SLOW_LINK_FRACTION 0.3
-#define RATE_SMOOTHING 0.25 /* of the newest chunk */
+#define RATE_SMOOTHING 0.25 /* weight of the newest chunk */
 #define PAUSE_MAX_US SECOND_US
-#define AVERAGE_DIVISOR 8 /* of the newest sample: one eighth */
+#define AVERAGE_DIVISOR 8 /* the newest sample has a weight of one eighth */
 
 int64_t
 pick_chunk_us(const struct pick *p)
@@ -139,7 +141,7 @@
 	}
 	p->rank = *rank;
 	p->ranked = true;
-	/* Readers have changed places; each gets its time again. */
+	/* The readers changed, so each gets the full timeout again. */
 	p->start_us = now_us;
 	memset(p->claims_us, 0, sizeof(p->claims_us));
 	memset(p->reader_rates, 0, sizeof(p->reader_rates));
@@ -242,11 +244,9 @@
 	return is_new;
 }
 
-/*
- * A chunk that nobody had came to a peer: the origin answers. Reads that failed
- * here before need not rest longer, or the last chunks of a version come late
- * by whatever is left of that rest.
- */
+/* A chunk that no peer had has appeared at a peer, so the origin responds. Ends
+ * the backoff after failed reads of this host; otherwise the last chunks of a
+ * version would be delayed by the rest of the backoff. */
 static void
 clear_read_backoff(struct pick *p)
 {
@@ -293,10 +293,13 @@
 {
 	const struct pick_chunk *c = &p->chunks[index];
 
-	/* One of a higher rank takes the chunk over, and tells the others so.
-	 * A claim is the reader's sign of life also where the chunk itself came
-	 * sooner than the claim; passed over, a reader that is quicker than
-	 * news travel would be taken for silent. */
+	/*
+	 * A claim of a higher rank means that its host takes over the chunk;
+	 * this is forwarded. A claim also shows that the reader is alive, even
+	 * if the chunk itself was seen before the claim. Ignoring such a claim
+	 * would make a reader whose chunks arrive before its claims appear to
+	 * have failed.
+	 */
 	if (c->claim_seen && MIN(rank, PICK_RANK_UNKNOWN) <= c->claimed_rank &&
 	    now_us - c->claimed_us < pick_claim_timeout_us(p))
 		return false;
@@ -385,7 +388,8 @@
 	return count;
 }
 
-/* A chunk came from a peer, with others under way beside it. */
+/* Updates the received fraction of the download budget when a chunk arrives
+ * from a peer; the chunks requested in parallel are counted too. */
 static void
 update_rate_fraction(
     struct pick *p, const struct pick_fetch *fetch, int64_t now_us)
@@ -450,7 +454,8 @@
 	}
 	if (reason == PICK_CANCELLED)
 		return;
-	/* Each failure doubles the rest; a good chunk ends the row. */
+	/* The backoff doubles with each failure; a valid chunk resets the
+	 * count. */
 	peer->failures = MIN(peer->failures + 1, FAILURES_MAX);
 	peer->backoff_until_us =
 	    now_us + ((int64_t)FAILURE_BACKOFF_US << peer->failures);
@@ -493,9 +498,9 @@
 	bits_set(p->need, index);
 	p->next_read_us = 0;
 	if (peer != NULL) {
-		/* One that sent wrong bytes does not have the chunk. Left
-		 * as its holder, it would keep the chunk from being read
-		 * from the origin, and be asked for it for ever. */
+		/* A peer that sent wrong bytes does not have the chunk. If it
+		 * stayed a holder, the chunk would never be read from the
+		 * origin and would be requested from this peer forever. */
 		if ((reason == PICK_REFUSED || reason == PICK_CORRUPT) &&
 		    bits_get(peer->bits, index)) {
 			bits_clear(peer->bits, index);
--- a/lib/weights/pick_next.c
+++ b/lib/weights/pick_next.c
@@ -1,17 +1,19 @@
-/* The choice of the next fetch. */
+/* Chooses the next fetch. */
 
 #include "weights/bits.h"
 #include "weights/pick.h"
 
-/* The rarest of so many, from a random start on: bounds the time of a choice
- * in versions of many thousand chunks, and is as good as the rarest of all. */
+/* Chunks considered for the rarest, from a random start. Bounds the time of a
+ * choice for versions of many thousand chunks; the result is as good as the
+ * rarest of all chunks. */
 #define SCAN_CANDIDATES 1024
 
 /* ------------------------------------------------------------------ */
 /* Reading from the origin                                             */
 /* ------------------------------------------------------------------ */
 
-/* When this host may read `index`, by its rank and the claims heard of. */
+/* Earliest time at which this host may read `index`, given its rank and the
+ * claims received. */
 static int64_t
 read_due_us(const struct pick *p, uint64_t index, unsigned int rank)
 {
@@ -23,9 +25,12 @@
 
 	if (c->corrupt_reads > 0 || p->read_failures > 0)
 		due = MAX(due, p->read_backoff_until_us);
-	/* Claimed and not seen since: its reader may have died with it. A
-	 * read that failed here is repeated without that wait, or an origin
-	 * that is back would hear of the last tried chunks a second later. */
+	/*
+	 * The chunk was claimed but has not been seen since; its reader may
+	 * have failed. A failed read of this host is retried without this wait,
+	 * or the chunks tried last would be retried a second after the origin
+	 * has recovered.
+	 */
 	if (c->claimed &&
 	    !(rank == 0 && (c->corrupt_reads > 0 || c->read_failed)))
 		due = MAX(due, c->claimed_us + MAX(rank, 1) * timeout_us);
@@ -41,19 +46,21 @@
 }
 
 /*
- * A reader whose link is slow shows with each claim that it lives, so nobody
- * steps in for it, and all hosts wait for its chunks while the origin idles. So
- * whoever is through with its own chunks takes over those that such a reader has
- * not begun, or began so long ago that they would be here. Claims keep two others
- * from reading the same; it costs a second copy of the few that are on their way.
+ * A reader with a slow link still sends claims, so no other host takes over,
+ * and all hosts wait for its chunks while the origin is idle. A reader that has
+ * read all of its own chunks therefore takes over those that a slow reader has
+ * not begun, or began so long ago that they should have arrived. Claims keep
+ * two hosts from taking over the same chunk. The cost is a second copy of the
+ * few chunks in transit.
  */
-#define SLOW_FACTOR 2 /* times this host's own time a chunk */
-#define SLOW_CLAIMS 2 /* before a pace is known */
-#define SLOW_READS 4 /* times this host's own read */
-#define SLOW_CHECK_US 50000 /* until paces are compared again */
-
-/* `left`: its chunks that no host is known to have. A silent reader is given a
- * time; one that will take longer than that is not waited for, either. */
+#define SLOW_FACTOR 2 /* times this host's own time per chunk */
+#define SLOW_CLAIMS 2 /* needed before a rate is known */
+#define SLOW_READS 4 /* times the duration of this host's reads */
+#define SLOW_CHECK_US 50000 /* interval of the comparison of rates */
+
+/* `missing` is the number of the reader's chunks that no host is known to have.
+ * A reader is slow if it would take longer for these than the timeout after
+ * which a failed reader is replaced. */
 static bool
 is_slow_reader(
     const struct pick *p, unsigned int reader, uint64_t missing, int64_t now_us)
@@ -85,7 +92,7 @@
 	return c->state == PICK_MISSING && c->holders == 0;
 }
 
-/* Which readers are slow; false while this host has chunks of its own to read. */
+/* Finds the slow readers. False while this host has own chunks to read. */
 static bool
 find_slow_readers(const struct pick *p, int64_t now_us, bool slow[RANK_READERS])
 {
@@ -103,7 +110,7 @@
 	return true;
 }
 
-/* A chunk that a slow reader does not bring. */
+/* Finds a chunk to take over from a slow reader. */
 static bool
 find_takeover(const struct pick *p, int64_t now_us, struct rng *rng,
     struct pick_action *out)
@@ -128,7 +135,8 @@
 	return true;
 }
 
-/* Extra copies are split evenly; this is one host's part. */
+/* Extra copies are divided evenly among the hosts; this is the number of chunks
+ * of one host. */
 static uint64_t
 extra_read_quota(const struct pick *p)
 {
@@ -138,11 +146,12 @@
 }
 
 /*
- * Finds a missing chunk that no connected peer has and that this host may
- * read now: one of its lowest rank, as after a time without the origin it may
- * read others' chunks, too, and would leave its own to them. Otherwise gives
- * the earliest time at which one may be, and keeps it: claims only put it off,
- * so the scan need not be made again before, unless an event below resets it.
+ * Finds a missing chunk that no connected peer has and that this host may read
+ * now. The lowest rank is preferred: after an outage of the origin this host
+ * may also read chunks of other readers, and would otherwise leave its own to
+ * them. If there is no such chunk, stores the earliest time at which there may
+ * be one. Claims only postpone that time, so the scan isn't repeated before it
+ * unless an event resets next_read_us.
  */
 static bool
 find_read(struct pick *p, int64_t now_us, struct rng *rng,
@@ -194,8 +203,9 @@
 	return false;
 }
 
-/* With more than one copy allowed: once the first copy is under way the
- * origin's link is idle, and hosts with nothing to ask for may use it. */
+/* If more than one copy is allowed, the origin's link is idle once all chunks
+ * of the first copy have been claimed; hosts that have no peer to request from
+ * may use it. */
 static bool
 find_extra_read(const struct pick *p, int64_t now_us, struct rng *rng,
     struct pick_action *out)
@@ -224,11 +234,11 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Asking peers                                                        */
+/* Requests to peers                                                   */
 /* ------------------------------------------------------------------ */
 
-/* A peer that failed twice in a row looks idle and would be asked first,
- * and each ask would wait out the patience. */
+/* A peer that failed twice in a row appears idle and would be chosen first, and
+ * each request to it would last until the stall timeout. */
 static bool
 is_last_resort(const struct pick_peer *peer)
 {
@@ -236,9 +246,10 @@
 }
 
 /*
- * Uploads that an ask would wait behind. What the peer last said wears off by
- * one a chunk time: it is not told again by peers that have nothing to say,
- * and taken for lasting, a peer once busy would never be asked again.
+ * Estimates the uploads that a request would wait for. The reported load
+ * decreases by one per chunk time: peers without changes send no updates, so if
+ * the last value were kept, a peer that was busy once would never be asked
+ * again.
  */
 static unsigned int
 estimated_load(
@@ -260,11 +271,12 @@
 	    estimated_load(p, peer, now_us) < PICK_LOAD_MAX;
 }
 
-/* A chunk that is in this domain is asked of others only when it has been
- * there for so many steps without coming: near hosts are busy or gone. */
+/* A chunk that some host of this domain has is requested from another domain
+ * only after this number of additional steps: the hosts of this domain are then
+ * busy or unavailable. */
 #define STEPS_IF_IN_DOMAIN 6
 
-/* Whether another domain may be asked for `index` now. */
+/* Whether `index` may be requested from another domain now. */
 static bool
 cross_domain_is_due(struct pick *p, uint64_t index, int64_t now_us)
 {
@@ -284,7 +296,7 @@
 	return false;
 }
 
-/* The rarest missing chunk that `peer` has, or one of the rarest. */
+/* Finds a missing chunk of `peer` with the fewest holders. */
 static bool
 find_rarest(struct pick *p, const struct pick_peer *peer, int64_t now_us,
     struct rng *rng, uint64_t *index_out)
@@ -371,7 +383,7 @@
 	struct pick_fetch *fetch;
 
 	TAILQ_FOREACH (fetch, &p->fetches, link) {
-		/* Reads of the origin have their own stall limit. */
+		/* Reads of the origin have their own stall timeout. */
 		if (fetch->peer == NULL)
 			continue;
 		if (now_us - fetch->last_byte_us >= timeout_us) {
@@ -392,12 +404,12 @@
 	if (p->open_requests + p->open_reads > 0)
 		return "";
 	if (!p->ranked)
-		return "waits for the list of members";
+		return "waiting for the member list";
 	if (p->read_failures > 0)
 		return "the origin does not answer";
 	if (TAILQ_EMPTY(&p->peers))
 		return "no peer is connected";
-	return "no connected peer has the missing chunks free to send";
+	return "no connected peer can send the missing chunks now";
 }
 
 static void
--- a/lib/weights/rank.c
+++ b/lib/weights/rank.c
@@ -40,7 +40,7 @@
 	return false;
 }
 
-/* The highest of the origin's own domain. */
+/* Chooses the members with the highest hashes in the origin's domain. */
 static void
 choose_readers_in_domain(
     struct rank *r, struct candidate *c, size_t n, const char *domain)
@@ -55,8 +55,9 @@
 	}
 }
 
-/* One of each failure domain first, so that losing a domain leaves readers
- * that know what was read already; then the highest left. */
+/* Chooses one member of each failure domain first, so that after the loss of a
+ * domain there are readers that know what was read; then the remaining members
+ * with the highest hashes. */
 static void
 choose_readers(struct rank *r, struct candidate *c, size_t n)
 {
@@ -115,8 +116,9 @@
 	g_free(c);
 }
 
-/* Chunks go round the readers, so that all have the same to read: the one
- * with the most would end last, and everybody waits for its chunks. */
+/* Chunks are assigned to the readers in rotation, so that all read the same
+ * number. A reader with more chunks would finish last, and all hosts would wait
+ * for it. */
 unsigned int
 rank_first_reader(const struct rank *r, uint64_t chunk)
 {
--- a/lib/weights/rank.h
+++ b/lib/weights/rank.h
@@ -2,15 +2,15 @@
 #define WEIGHTS_RANK_H
 
 /*
- * rank: who reads which chunk from the origin, as every host computes it
- * alike from the members of the rollout (rendezvous hashing).
+ * rank: which host reads which chunk from the origin. Every host computes the
+ * same result from the members of the rollout by rendezvous hashing.
  *
- * A few members, spread over the failure domains, are the readers. Each
- * chunk has a first reader, and the others step in by turn; the other members
- * follow in one order that is the same for all chunks. Few readers keep the
- * origin's link to few reads at a time: with all members reading at once
- * every first chunk would be whole only when almost all are, and no host
- * could pass anything on until then.
+ * A few members, spread over the failure domains, are the readers. Each chunk
+ * has a first reader, and the other readers follow in rotation; the other
+ * members follow in an order that is the same for all chunks. Having few
+ * readers limits the concurrent reads on the origin's link: if all members read
+ * at once, the first chunks would be complete only when almost all are, and no
+ * host could forward anything until then.
  */
 
 #include "weights/weights.h"
@@ -26,29 +26,28 @@
 struct rank {
 	unsigned int nreaders;
 	uint64_t reader_hash[RANK_READERS]; /* hash of the reader's id */
-	unsigned int self; /* this host's place among the readers, RANK_NONE */
-	unsigned int rank_behind; /* places behind the readers, when not one */
+	/* Index of this host among the readers, or RANK_NONE. */
+	unsigned int self;
+	/* Position after the readers, if not a reader. */
+	unsigned int rank_behind;
 };
 
-/*
- * `members` are all members, this host (`self` is its index) included. Where
- * some are in `domain` (may be NULL), the readers are of these alone: what the
- * origin sends then crosses no link between domains.
- */
+/* `members` are all members, including this host (`self` is its index). If some
+ * are in `domain` (may be NULL), only these become readers, so that data from
+ * the origin crosses no link between domains. */
 void rank_build(struct rank *r, const struct digest *root,
     const struct rank_member *members, size_t n, size_t self);
 void rank_build_in(struct rank *r, const struct digest *root,
     const struct rank_member *members, size_t n, size_t self,
     const char *domain);
-/* How many of the members in `self`'s domain come before it in fetching
- * `chunk` from other domains. */
+/* Number of members in the domain of `self` that precede it in fetching `chunk`
+ * from other domains. */
 unsigned int rank_cross_domain(const struct digest *root,
     const struct rank_member *members, size_t n, size_t self, uint64_t chunk);
-/* Place of the first reader of a chunk. */
+/* Index of the first reader of a chunk. */
 unsigned int rank_first_reader(const struct rank *r, uint64_t chunk);
-/* This host's rank for a chunk; 0 reads it in turn. */
+/* This host's rank for a chunk; 0 is the first reader. */
 unsigned int rank_self(const struct rank *r, uint64_t chunk);
-/* Whether member `id` is a reader. */
 bool rank_is_reader(
     const struct rank *r, const struct digest *root, const char *id);
 
