--- a/lib/weights/hold.c
+++ b/lib/weights/hold.c
@@ -5,7 +5,7 @@
 
 struct hold_chunk;
 
-/* One place of one version that needs a chunk. */
+/* One position in one version that needs a chunk. */
 struct hold_use {
 	LIST_ENTRY(hold_use) link;
 	struct hold_version *version;
@@ -15,7 +15,7 @@
 struct hold_chunk {
 	struct digest digest;
 	uint64_t len;
-	GBytes *bytes; /* NULL until it came */
+	GBytes *bytes; /* NULL until received */
 	LIST_HEAD(use_list, hold_use) uses;
 };
 
@@ -103,7 +103,8 @@
 		add_use(version, i, version_chunk_digest(list, i),
 		    version_chunk_len(v, i));
 	}
-	/* A chunk that occurs twice, or in another version, counted once. */
+	/* A chunk that occurs twice, or in another version too, is counted
+	 * once. */
 	if (hold->reserved > hold->limit)
 		hold_release_retired(hold);
 	if (hold->reserved > hold->limit) {
--- a/lib/weights/link.c
+++ b/lib/weights/link.c
@@ -4,10 +4,10 @@
 
 #include "weights/link.h"
 
-/* Timers fire up to some milliseconds late on a busy host; so much saved-up
- * budget makes good for it and is too little to show on a link. */
+/* Timers fire up to some milliseconds late on a busy host. The saved-up budget
+ * compensates for this and is too small to be noticed on a link. */
 #define BURST_US 20000
-/* Live traffic holds weights back by at most so much at a time. */
+/* Live traffic delays weights by at most this time. */
 #define LIVE_DEBT_MAX_US 250000
 #define SECOND_US 1000000
 
@@ -25,8 +25,8 @@
 static void
 refill(struct bucket *b, int64_t now_us)
 {
-	/* Beyond this the bucket is full whatever it held; the bound also
-	 * keeps the product below from overflowing. */
+	/* After this time the bucket is full in any case; the bound also
+	 * prevents an overflow in the multiplication below. */
 	int64_t passed = MIN(now_us - b->at_us, 600 * (int64_t)SECOND_US);
 	int64_t added;
 
@@ -34,8 +34,9 @@
 		return;
 	added = (int64_t)((double)passed * (double)b->rate / SECOND_US);
 	b->tokens = MIN(b->tokens + added, (int64_t)b->burst);
-	/* Only the time that whole bytes took, or frequent calls at a low
-	 * rate would round every gain down to nothing. */
+	/* Advances only by the time that the added whole bytes represent;
+	 * otherwise frequent calls at a low rate would always add zero
+	 * bytes. */
 	if (b->tokens < (int64_t)b->burst)
 		b->at_us +=
 		    (int64_t)((double)added * SECOND_US / (double)b->rate);
--- a/lib/weights/timer.c
+++ b/lib/weights/timer.c
@@ -1,8 +1,9 @@
-/* One-shot timers over GLib's. */
+/* One-shot timers on top of GLib's. */
 
 #include "weights/timer.h"
 
-/* Longer waits are cut; the owner finds nothing due and arms it again. */
+/* Longer waits are shortened; the owner then finds nothing to do and arms the
+ * timer again. */
 #define WAIT_MAX_MS 3600000
 
 void
--- a/lib/weights/timer.h
+++ b/lib/weights/timer.h
@@ -1,7 +1,7 @@
 #ifndef WEIGHTS_TIMER_H
 #define WEIGHTS_TIMER_H
 
-/* A one-shot timer of the main loop that can be moved. */
+/* A one-shot timer of the main loop that can be rescheduled. */
 
 #include "common/common.h"
 
@@ -15,9 +15,9 @@
 
 void timer_init(struct timer *t, const struct clk *clock,
     void (*fire)(void *ctx), void *ctx);
-/* Fires at `at_us` or soon after; never from within this call. */
+/* Fires at `at_us` or shortly after; never from within this call. */
 void timer_set(struct timer *t, int64_t at_us);
-/* As timer_set, unless it is armed for an earlier time. */
+/* As timer_set, unless the timer is armed for an earlier time. */
 void timer_set_earlier(struct timer *t, int64_t at_us);
 void timer_stop(struct timer *t);
 
--- a/lib/weights/version.c
+++ b/lib/weights/version.c
@@ -73,7 +73,8 @@
 	digest_stream_end(s, out);
 }
 
-/* Appends the digest of the next chunk; its length is 0 at the end of file. */
+/* Appends the digest of the next chunk and returns the chunk's length; 0 at the
+ * end of the file. */
 static size_t
 digest_next_chunk(
     FILE *file, uint64_t chunk_bytes, uint8_t *buffer, GByteArray *list)
@@ -128,7 +129,7 @@
 	fclose(file);
 	if (bad) {
 		return err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
-		    "%s: cannot be read whole", path);
+		    "%s: read error", path);
 	}
 	wts_root(version_out->bytes, chunk_bytes, list_out->data, list_out->len,
 	    &version_out->root);
--- a/lib/weights/weights.h
+++ b/lib/weights/weights.h
@@ -2,12 +2,14 @@
 #define WEIGHTS_H
 
 /*
- * weights: brings the bytes of a version to this host, whole and verified,
- * from peers and (rarely) from the origin, holds them in memory and serves them to
- * peers and to the engine beside. Chunks are keyed by their digest, so two
- * versions can never mix and an unchanged chunk of the next version costs nothing.
+ * weights: transfers all bytes of a version to this host, from peers and, as
+ * rarely as possible, from the origin. Verifies them, stores them in memory and
+ * serves them to peers and to the engine on this host. Chunks are keyed by
+ * their digest, so versions cannot be mixed up, and a chunk that is unchanged
+ * in the next version is not fetched again.
  *
- * pick_* are decisions over (state, event, now); wts_* carries them out.
+ * pick_* functions decide over (state, event, now); wts_* functions carry out
+ * the decisions.
  */
 
 #include "common/common.h"
@@ -30,10 +32,11 @@
 };
 
 uint64_t wts_chunk_count(const struct wts_version *v);
-/* Root of a chunk list; `list` holds 32 raw bytes a chunk. */
+/* Computes the root of a chunk list; `list` holds 32 raw bytes per chunk. */
 void wts_root(uint64_t bytes, uint64_t chunk_bytes, const uint8_t *list,
     size_t list_len, struct digest *out);
-/* Computes list and root of a local file (operator command `model digest`). */
+/* Computes the list and root of a local file (operator command `model
+ * digest`). */
 bool wts_digest_file(const char *path, uint64_t chunk_bytes,
     GByteArray *list_out, struct wts_version *version_out, struct err *err);
 
@@ -43,12 +46,12 @@
 
 enum wts_policy {
 	WTS_TIME_FIRST, /* several origin copies allowed */
-	WTS_ORIGIN_FIRST, /* one origin copy in all */
+	WTS_ORIGIN_FIRST, /* one origin copy over all hosts */
 	WTS_PEERS_ONLY, /* this host never reads the origin */
 };
 
 enum wts_phase {
-	WTS_UNKNOWN, /* not wanted here */
+	WTS_UNKNOWN, /* not wanted on this host */
 	WTS_LIST, /* fetching the chunk list */
 	WTS_FETCHING,
 	WTS_COMPLETE, /* every chunk verified */
@@ -58,7 +61,7 @@
 struct wts_progress {
 	enum wts_phase phase;
 	uint64_t have, total; /* chunks */
-	char why[120]; /* what it waits for, "" when it moves on */
+	char why[120]; /* what it waits for, "" while it makes progress */
 };
 
 /* A host that takes part in the same rollout. */
@@ -86,11 +89,9 @@
 	    const struct wts_progress *progress, void *ctx);
 };
 
-/*
- * Where the origin's bytes come from, when it is not the one of platform.h:
- * `name`, `offset` and `len` are those of a version's `weights` and `chunks`.
- * `done` is called from the loop, once, unless the read is cancelled.
- */
+/* Reads the origin in place of the functions of platform.h: `name`, `offset`
+ * and `len` refer to a version's `weights` and `chunks`. `done` is called once
+ * from the main loop, unless the read is cancelled. */
 struct wts_source {
 	struct origin_read *(*start)(const char *name, uint64_t offset,
 	    uint64_t len, unsigned int stall_ms, origin_read_cb *done,
@@ -111,56 +112,66 @@
 	enum wts_policy policy;
 	unsigned int origin_copies; /* over all hosts; WTS_TIME_FIRST only */
 	/*
-	 * Where links between domains are thin: so long after each other the
-	 * hosts of a domain ask others for a chunk that theirs lacks; and the
-	 * origin's own domain, whose hosts read it. 0 and "": no difference is
-	 * made between domains beyond asking near hosts first.
+	 * For slow links between domains: the interval at which the hosts of a
+	 * domain, one after another, request a chunk that no host of the domain
+	 * has from other domains; and the domain of the origin, whose hosts
+	 * read it. 0 and "": domains only matter in that peers of the same
+	 * domain are asked first.
 	 */
 	unsigned int cross_domain_step_ms;
 	char origin_domain[64];
-	/* Reads of the origin that a reader has open at a time; 0: 1. A reader
-	 * that dies loses as many. */
+	/* Origin reads that a reader has open at a time; 0: 1. The failure of a
+	 * reader loses as many. */
 	unsigned int max_reads;
-	/* Least silence of a reader after which the next steps in; 0: 1 s. */
+	/* Minimum time without a claim of a reader after which the next one
+	 * takes over; 0: 1 s. */
 	unsigned int claim_timeout_ms;
 };
-/* Starts, or goes on with changed terms; idempotent. Chunks held for other
- * versions are reused. ERR_INVALID for sizes out of bounds. Nothing is
- * fetched before wts_set_peers was called once. */
+/*
+ * Starts the transfer of a version, or continues it with changed parameters;
+ * idempotent. Chunks stored for other versions are reused. ERR_INVALID if sizes
+ * are out of bounds. Nothing is fetched before the first call of wts_set_peers.
+ */
 bool wts_want(struct wts *wts, const struct wts_want *want, struct err *err);
-/* Stops and forgets; its chunks go unless another version has them. When a
- * version takes the place of another, want the new one first: chunks of the
- * old one are then kept until the new one's list has come. */
+/*
+ * Cancels the transfer. Its chunks are freed unless another version uses them.
+ * To replace a version by another, call wts_want for the new one first: chunks
+ * of the old one are then retained until the list of the new one has arrived.
+ */
 void wts_drop(struct wts *wts, const struct digest *root);
-/* The chunk list, and a chunk, of a wanted version that were found on this
- * host. False when they are not what the version's digests say. */
+/* Supply the chunk list or a chunk of a wanted version that was found on this
+ * host. False if it does not match the digests of the version. */
 bool wts_offer_list(struct wts *wts, const struct digest *root, GBytes *list);
 bool wts_offer(
     struct wts *wts, const struct digest *root, uint64_t index, GBytes *bytes);
-/* The chunk list as soon as it is known and verified; NULL before. Borrowed. */
+/* The chunk list once it is known and verified, or else NULL. Borrowed. */
 GBytes *wts_known_list(struct wts *wts, const struct digest *root);
-/* Who else takes part now (live or suspected members, not this host). Given
- * again whenever it changes; peers gone are closed. */
+/* Sets the other participants (live or suspected members, without this host).
+ * Called again on every change; connections to removed peers are closed. */
 void wts_set_peers(struct wts *wts, const struct digest *root,
     const struct wts_peer *peers, size_t n);
 void wts_progress(
     struct wts *wts, const struct digest *root, struct wts_progress *out);
-/* Missing chunks of a wanted version that are at no connected peer: they are
- * still to come from the origin. UINT64_MAX: the version is not wanted. */
+/* Number of missing chunks of a wanted version that no connected peer has and
+ * that must still be read from the origin. UINT64_MAX: the version is not
+ * wanted. */
 uint64_t wts_count_origin_only(struct wts *wts, const struct digest *root);
-/* Chunks of some wanted version come much slower than this host's budget. */
+/* Chunks of a wanted version arrive much slower than this host's budget. */
 bool wts_is_link_slow(const struct wts *wts);
-/* Live traffic asks for the link: uploads and downloads shrink meanwhile. */
+/* Charges live traffic to the link budgets; uploads and downloads slow down
+ * meanwhile. */
 void wts_live_bytes(struct wts *wts, uint64_t bytes);
 
-/* Connections accepted by the program: a peer's first message of type 40-59
- * makes it ours (false: not a message of this package). The program tells when it closes. */
+/* Connections accepted by the program. A peer's first message of type 40-59
+ * assigns the connection to this package (false: not a message of this
+ * package). The program reports when it closes. */
 bool wts_message(struct wts *wts, struct conn *c, const struct msg *m);
 void wts_drained(struct wts *wts, struct conn *c);
 void wts_closed(struct wts *wts, struct conn *c);
 
-/* For the engine beside: the chunk list and the chunks of a whole version.
- * NULL unless the version is whole. Borrowed until the version is dropped. */
+/* The chunk list and the chunks of a complete version, for the engine on this
+ * host. NULL unless the version is complete. Borrowed until the version is
+ * dropped. */
 GBytes *wts_list(struct wts *wts, const struct digest *root);
 GBytes *wts_chunk(struct wts *wts, const struct digest *root, uint64_t index);
 
