--- a/lib/weights/peers.c
+++ b/lib/weights/peers.c
@@ -1,4 +1,4 @@
-/* Connections to the other hosts of a rollout, and what they are told. */
+/* Connections to the other hosts of a rollout, and updates sent to them. */
 
 #include <string.h>
 
@@ -7,22 +7,23 @@
 
 /*
  * A host dials as many peers as the number of members has binary digits, and
- * about as many dial it: with fewer some corners of a large rollout starve,
- * and end late. Two of them are in other domains, and keep the domains from
- * running dry of each other's chunks.
+ * about as many dial it. With fewer connections some hosts of a large rollout
+ * lack sources and finish late. Two of the peers are in other domains, so that
+ * no domain runs out of chunks that only another one has.
  */
 #define DIAL_MIN 4
 #define DIAL_CROSS_DOMAIN 2
-#define DIAL_ALL 12 /* members of a rollout that connects all to all */
+#define DIAL_ALL 12 /* with fewer members, all hosts connect to each other */
 #define PEERS_MAX 40
 #define REDIAL_US 250000
 #define REDIAL_DOUBLINGS 5
-/* Long beside the time that others need to take a chunk's place, short beside
- * a rollout: a host that was only slow comes back into use. */
+/* Long compared to the time in which other hosts take over the chunks of the
+ * refused one, short compared to a rollout, so that a host that was only slow
+ * is used again. */
 #define REFUSAL_US (10 * (int64_t)1000000)
 
 /* ------------------------------------------------------------------ */
-/* Telling                                                             */
+/* Updates                                                             */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -49,7 +50,8 @@
 	clear_update(peer);
 }
 
-/* The first news go at once, what follows within the interval as one. */
+/* The first update is sent at once; changes within the interval are combined
+ * into the next. */
 static void
 schedule_update(struct peer *peer)
 {
@@ -63,8 +65,8 @@
 	struct peer *peer;
 
 	TAILQ_FOREACH (peer, &x->peers, link) {
-		/* One that has the chunk only gains by it for its count of
-		 * holders; that is not worth the bytes. */
+		/* A peer that has the chunk would only update its count of
+		 * holders; this is not worth the bytes. */
 		if (!peer->have_sent || bits_get(peer->for_chunks.bits, index))
 			continue;
 		proto_add_index(peer->gained, (uint32_t)index);
@@ -238,7 +240,8 @@
 	}
 	if (peer->conn != NULL) {
 		g_hash_table_remove(wts->by_conn, peer->conn);
-		/* `closed` comes from the loop, maybe after wts has gone. */
+		/* `closed` is called from the main loop, possibly after wts was
+		 * freed. */
 		if (peer->dialled)
 			conn_set_ctx(peer->conn, NULL);
 		conn_close(peer->conn);
@@ -261,7 +264,8 @@
 	if (MAX(peer->for_list.failures, peer->for_chunks.failures) <
 	    PICK_FAILURES_DROP)
 		return;
-	log_warn("weights: %s failed too often; refused for a while", peer->id);
+	log_warn("weights: peer %s failed repeatedly; refused temporarily",
+	    peer->id);
 	peer_drop(peer);
 	if (m == NULL)
 		return;
@@ -278,7 +282,8 @@
 		struct peer *next = TAILQ_NEXT(peer, link);
 		struct member *m = peers_member(x, peer->id);
 
-		/* One that dialled us may know of its membership earlier. */
+		/* A host that dialled this one may have learned of its
+		 * membership earlier. */
 		if (m == NULL && peer->dialled)
 			peer_drop(peer);
 		else if (m != NULL)
@@ -303,7 +308,7 @@
 	if (peer == NULL)
 		return;
 	if (strcmp(conn_peer(c), peer->id) != 0) {
-		/* Another host has taken the address over. */
+		/* Another host uses the address now. */
 		peer_drop(peer);
 		return;
 	}
@@ -350,7 +355,8 @@
 	g_hash_table_insert(wts->by_conn, peer->conn, peer);
 }
 
-/* How many dials go to the own failure domain and to others. */
+/* Number of connections to dial within this host's failure domain and to
+ * others. */
 struct quota {
 	unsigned int same_domain, cross_domain;
 };
@@ -392,8 +398,9 @@
 		--*quota;
 		return true;
 	}
-	/* Readers know each other, so that one which falls silent is missed
-	 * by those who step in for it and not by chance of the graph. */
+	/* Readers are connected to each other, so that a failed reader is
+	 * detected directly by those that take over, independently of the
+	 * connection graph. */
 	return x->members->len < DIAL_ALL ||
 	    (m->reader && x->pick->rank.self != RANK_NONE);
 }
@@ -408,7 +415,8 @@
 	for (i = 0; i < x->members->len; i++) {
 		struct member *m = x->members->pdata[i];
 
-		/* One that cannot be reached now is replaced by the next. */
+		/* A member that cannot be reached now is replaced by the
+		 * next. */
 		if (m->peer == NULL && m->redial_at_us > now_us) {
 			timer_set_earlier(&x->dial_timer, m->redial_at_us);
 			continue;
@@ -422,8 +430,8 @@
 /* Accepting                                                           */
 /* ------------------------------------------------------------------ */
 
-/* Two hosts that dialled each other keep the connection that the lower id
- * dialled; both ends choose alike. */
+/* Two hosts that dialled each other keep the connection dialled by the host
+ * with the lower id; both ends decide alike. */
 static bool
 is_replaceable(const struct peer *old, const char *own_id)
 {
--- a/lib/weights/proto.c
+++ b/lib/weights/proto.c
@@ -55,7 +55,7 @@
 const struct msg_desc proto_bye_desc =
     MSG_DESC(PROTO_BYE, "bye", struct proto_bye, bye_fields);
 
-#define INDEX_BITS 7 /* of a byte; the top bit says that more follow */
+#define INDEX_BITS 7 /* per byte; the top bit indicates that more follow */
 #define INDEX_MORE (1u << INDEX_BITS)
 
 void
--- a/lib/weights/proto.h
+++ b/lib/weights/proto.h
@@ -2,9 +2,9 @@
 #define WEIGHTS_PROTO_H
 
 /*
- * Messages between the hosts of a rollout, types 40-59. A connection belongs
- * to one version: its first message, from both ends, is `join`. `have`
- * follows once the sender has the chunk list.
+ * Messages between the hosts of a rollout, types 40-59. A connection serves one
+ * version: the first message in both directions is `join`. The sender sends
+ * `have` once it has the chunk list.
  */
 
 #include "common/common.h"
@@ -20,7 +20,7 @@
 #define PROTO_NONE 45
 #define PROTO_BYE 46
 
-/* In place of a chunk's index: the chunk list. */
+/* The chunk list, in place of a chunk's index. */
 #define PROTO_LIST UINT32_MAX
 #define PROTO_SLICE_MAX (256u << 10)
 #define PROTO_DOMAIN_MAX 64
@@ -30,23 +30,24 @@
 	struct slice domain; /* the sender's failure domain */
 };
 
-/* The sender has the list and these chunks. */
+/* The sender has the chunk list and these chunks. */
 struct proto_have {
 	struct slice bits; /* chunk i is bit i % 8 of byte i / 8 */
 	uint64_t load;
 	struct slice known; /* as `bits`: chunks that some host has or reads */
 };
 
-/* What changed since: batched, so that control bytes stay few. */
+/* Changes since the last message, batched to limit the control traffic. */
 struct proto_update {
 	struct slice gained; /* indices */
-	struct slice claims; /* an index and a byte: the reader's rank */
+	/* Pairs of an index and one byte, the rank of the reader. */
+	struct slice claims;
 	uint64_t load; /* uploads open at the sender */
 };
 
 struct proto_get {
 	uint64_t index;
-	uint64_t have; /* chunks that the asker has */
+	uint64_t have; /* chunks that the requester has */
 };
 
 struct proto_data {
@@ -58,7 +59,8 @@
 
 struct proto_none {
 	uint64_t index;
-	uint64_t busy; /* 1: it has the chunk, but enough to do */
+	/* 1: the sender has the chunk but too many open uploads. */
+	uint64_t busy;
 	uint64_t load;
 };
 
@@ -74,9 +76,10 @@
 extern const struct msg_desc proto_none_desc;
 extern const struct msg_desc proto_bye_desc;
 
-/* Indices take as few bytes as they need: most of what a host says is them. */
+/* Encodes an index in as few bytes as possible: most of the control traffic
+ * consists of indices. */
 void proto_add_index(GByteArray *out, uint32_t index);
-/* Takes one off the front of `in`; false when there is none (left). */
+/* Removes an index from the front of `in`. False if there is none. */
 bool proto_next_index(struct slice *in, uint32_t *out);
 
 #endif
--- a/lib/weights/read.c
+++ b/lib/weights/read.c
@@ -1,8 +1,8 @@
-/* Reads of the origin, checked in slices from the loop. */
+/* Reads of the origin, hashed in slices from the main loop. */
 
 #include "weights/xfer.h"
 
-/* Hashed in one turn of the loop: well under a millisecond. */
+/* Bytes hashed per iteration of the main loop: well under a millisecond. */
 #define HASH_SLICE (256u << 10)
 #define STALL_MIN_MS 1000
 
@@ -83,7 +83,7 @@
 	ctr_add(x->wts->counts.origin_bytes, (int64_t)len);
 	if (pick_find(xfer_pick_of(x, r->index), xfer_pick_index(r->index)) ==
 	    NULL) {
-		/* It came by another way meanwhile. */
+		/* The chunk was received from a peer in the meantime. */
 		read_free(r);
 		return;
 	}
--- a/lib/weights/receive.c
+++ b/lib/weights/receive.c
@@ -1,4 +1,5 @@
-/* What peers send: their state, and bytes that are checked as they come. */
+/* Handles messages from peers: their state, and bytes that are hashed on
+ * arrival. */
 
 #include "weights/bits.h"
 #include "weights/xfer.h"
@@ -49,7 +50,8 @@
 	const char *own = peer->xfer->wts->conf.domain;
 	char *domain = slice_dup(join->domain);
 
-	/* Nothing of what it has was counted before. */
+	/* The peer's chunks have not been counted yet, so its domain can still
+	 * be set. */
 	if (!peer->joined) {
 		peer->joined = true;
 		peer->same_domain = strcmp(domain, own) == 0;
@@ -128,7 +130,7 @@
 /* Bytes                                                               */
 /* ------------------------------------------------------------------ */
 
-/* The ask that these bytes answer, or NULL when it was given up. */
+/* The open request that these bytes answer, or NULL if it was cancelled. */
 static struct pick_fetch *
 find_request(struct peer *peer, uint64_t index)
 {
@@ -196,15 +198,17 @@
 		    wts->counts.cross_domain_bytes, (int64_t)data->bytes.len);
 	set_load(peer, data->load);
 	if (find_request(peer, data->index) == NULL) {
-		/* Given up, or had from elsewhere meanwhile. */
+		/* The request was cancelled, or the chunk was received from
+		 * elsewhere. */
 		ctr_add(wts->counts.late_bytes, (int64_t)data->bytes.len);
 		if (in != NULL)
 			incoming_free(in);
 		return;
 	}
 	if (in != NULL && data->offset == 0) {
-		/* Given up and asked again: the first answer's rest was
-		 * dropped, this is the second one. */
+		/* The chunk was requested again after a cancelled request. The
+		 * rest of the first answer was dropped; this is the second
+		 * answer. */
 		incoming_free(in);
 		in = NULL;
 	}
@@ -282,8 +286,8 @@
 {
 	struct xfer *x = peer->xfer;
 
-	/* `bye` and whatever is malformed end the connection. Types of a
-	 * later release are passed over. */
+	/* `bye` and malformed messages end the connection. Unknown types of
+	 * later releases are ignored. */
 	if (m->type > PROTO_BYE)
 		return;
 	if (!dispatch(peer, m))
--- a/lib/weights/serve.c
+++ b/lib/weights/serve.c
@@ -1,18 +1,20 @@
-/* Uploads to peers: few at a time, paced by the upload budget. */
+/* Uploads to peers: few at a time, limited by the upload budget. */
 
 #include "weights/xfer.h"
 
-/* Open uploads of this host; more are refused as busy, so that a peer does
- * not wait here while others that have the chunk are idle. */
+/* Open uploads of this host. Further requests are refused as busy, so that a
+ * peer does not wait here while other holders of the chunk are idle. */
 #define UPLOADS_MAX PICK_LOAD_MAX
-/* Chunks with fewer copies are sent first, so that a host with several new
- * chunks gives out all of them once before any twice. Beyond that the peer
- * furthest behind goes first, so that all end at about the same time. */
+/*
+ * Chunks with fewer copies are sent first, so that a host with several new
+ * chunks sends each once before it sends one twice. Above this number the peer
+ * with the fewest chunks goes first, so that all finish at about the same time.
+ */
 #define COPIES_ENOUGH 3
 #define SLICE_MIN (16u << 10)
-#define SLICE_US 20000 /* a slice takes so long at the budget's rate */
+#define SLICE_US 20000 /* duration of a slice at the rate of the budget */
 #define SECOND_US 1000000
-/* A receiver that takes nothing for so long is dropped. */
+/* A receiver that accepts no bytes for this time is dropped. */
 #define UPLOAD_STALL_US (10 * (int64_t)SECOND_US)
 
 struct upload {
@@ -21,7 +23,8 @@
 	uint64_t index;
 	GBytes *bytes;
 	uint64_t at;
-	uint64_t have; /* chunks that the receiver had when it asked */
+	/* Chunks that the receiver had when it sent the request. */
+	uint64_t have;
 	int64_t moved_us;
 };
 
@@ -80,7 +83,7 @@
 	conn_send(peer->conn, &proto_none_desc, &none);
 }
 
-/* Copies of the chunk that this host knows of. */
+/* Number of copies of the chunk that this host knows of. */
 static uint32_t
 known_copies(const struct upload *u)
 {
@@ -89,7 +92,7 @@
 	return u->to->xfer->pick->chunks[u->index].holders;
 }
 
-/* Whether `u` is to be sent before `other`; neither has begun. */
+/* Whether to send `u` before `other`; neither has been started. */
 static bool
 precedes(const struct upload *u, const struct upload *other)
 {
@@ -101,7 +104,7 @@
 	return u->have < other->have;
 }
 
-/* The upload that would be sent last of those that have not begun. */
+/* The upload that would be sent last, among those not started. */
 static struct upload *
 find_last(struct wts *wts)
 {
@@ -115,7 +118,7 @@
 	return last;
 }
 
-/* Makes room when `u` should go before another that waits. */
+/* Refuses a waiting upload if `u` precedes it. */
 static bool
 displace(struct wts *wts, const struct upload *u)
 {
@@ -145,8 +148,8 @@
 		refuse(peer, get->index, false);
 		return;
 	}
-	/* On a narrow link what is sent here delays the engine's answers, and
-	 * the peer waits long: others that have the chunk serve it better. */
+	/* On a slow link an upload delays the engine's responses, and the peer
+	 * waits long: other holders of the chunk can serve it better. */
 	if (pick_is_link_slow(peer->xfer->pick) && known_copies(&u) > 0) {
 		refuse(peer, get->index, true);
 		return;
@@ -164,11 +167,9 @@
 	serve_run(wts);
 }
 
-/*
- * The upload to go on with: one that has begun, or else the first by
- * goes_first. Uploads are sent one after another: side by
- * side all would end late, and nobody could pass anything on meanwhile.
- */
+/* The upload to continue: one that has been started, or else the first by
+ * precedes(). Uploads are sent one after another: in parallel all would finish
+ * late, and no receiver could forward anything until then. */
 static struct upload *
 next_upload(struct wts *wts)
 {
@@ -186,7 +187,8 @@
 	return best;
 }
 
-/* Slices of one length, so that none is a crumb. */
+/* Divides `len` into slices of equal length, so that the last one is not
+ * tiny. */
 static size_t
 slice_len(const struct wts *wts, size_t len)
 {
@@ -198,7 +200,7 @@
 	return (len + n - 1) / n;
 }
 
-/* True when it was the last. */
+/* True if this was the last slice. */
 static bool
 send_slice(struct upload *u, int64_t now_us)
 {
@@ -222,7 +224,8 @@
 	return last;
 }
 
-/* Otherwise peers that stopped to read would hold all uploads in the end. */
+/* Without this, peers that have stopped reading would eventually occupy all
+ * uploads. */
 void
 serve_drop_stalled(struct wts *wts)
 {
--- a/lib/weights/source.c
+++ b/lib/weights/source.c
@@ -1,4 +1,4 @@
-/* wts over the platform's origin. */
+/* wts with the platform's origin as its source. */
 
 #include "weights/xfer.h"
 
--- a/lib/weights/wts.c
+++ b/lib/weights/wts.c
@@ -1,15 +1,16 @@
-/* The package's public face: this host's transfers and its link. */
+/* The public interface of the package: this host's transfers and its link. */
 
 #include <string.h>
 
 #include "weights/xfer.h"
 
-/* Peers are held back when the download budget is so far in debt, so that
- * TCP slows them; below it the smoothing of a slice or two is enough. */
+/* Debt of the download budget from which connections of peers are paused, so
+ * that TCP slows them down. A smaller debt, of a slice or two, evens out by
+ * itself. */
 #define PAUSE_DEBT_US 30000
 
 /* ------------------------------------------------------------------ */
-/* Making                                                              */
+/* Setup                                                               */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -54,7 +55,8 @@
 	wts->paused = paused;
 	g_hash_table_iter_init(&iter, wts->by_conn);
 	while (g_hash_table_iter_next(&iter, &c, &peer)) {
-		/* One that is still proving itself reads little. */
+		/* A connection whose handshake is not complete carries few
+		 * bytes. */
 		if (((struct peer *)peer)->open)
 			conn_pause(c, paused);
 	}
@@ -159,7 +161,7 @@
 
 	if (!version_is_sane(&want->version)) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "bytes or chunk_bytes of the version out of bounds");
+		    "bytes or chunk_bytes of the version is out of bounds");
 	}
 	if (x == NULL) {
 		x = xfer_new(wts, want);
@@ -169,7 +171,8 @@
 	return true;
 }
 
-/* A version whose list has not come yet may share what dropped ones held. */
+/* A version whose list has not arrived yet may share chunks of dropped
+ * versions. */
 void
 wts_release_retired(struct wts *wts)
 {
@@ -322,7 +325,7 @@
 /* Connections                                                         */
 /* ------------------------------------------------------------------ */
 
-/* The first message on an accepted connection. */
+/* Handles the first message on an accepted connection. */
 static struct peer *
 accept_peer(struct wts *wts, struct conn *c, const struct msg *m)
 {
--- a/lib/weights/xfer.c
+++ b/lib/weights/xfer.c
@@ -1,4 +1,5 @@
-/* One version on its way to this host: phases, decisions, verified bytes. */
+/* The transfer of one version to this host: phases, decisions, verified
+ * bytes. */
 
 #include <stdio.h>
 
@@ -6,14 +7,14 @@
 #include "weights/xfer.h"
 
 #define SECOND_US 1000000
-/* News wait so long at most, or a hundredth of the shortest possible
- * transfer: often enough to show no loss of time, and control bytes stay in
- * proportion to the weights. */
+/* Interval between updates: a hundredth of the shortest possible transfer,
+ * within bounds. This is frequent enough not to delay transfers, and keeps the
+ * control traffic in proportion to the weights. */
 #define UPDATE_INTERVAL_MIN_US 50000
 #define UPDATE_INTERVAL_MAX_US SECOND_US
 #define UPDATES_PER_TRANSFER 100
-/* Fetches are begun while the download budget is at most so far in debt, in
- * chunk times: the answer comes a round trip and a queue later. */
+/* Debt of the download budget, in chunk times, up to which fetches are started:
+ * a response arrives only after a round trip and queueing. */
 #define FETCH_DEBT_MAX_CHUNKS 1
 #define CORRUPT_READS_REPORTED 2
 
@@ -80,7 +81,8 @@
 	    names[x->phase], x->pick->have, x->pick->conf.chunks);
 }
 
-/* The owner is told from the loop: it may drop the version in answer. */
+/* The owner is notified from the main loop, because it may drop the version in
+ * the callback. */
 static void
 set_phase(struct xfer *x, enum wts_phase phase)
 {
@@ -105,15 +107,15 @@
 
 	pick_complete(x->pick, index);
 	peers_queue_gained(x, index);
-	/* Maybe through another version's transfer. */
+	/* The chunk may have been stored by another version's transfer. */
 	xfer_pump_soon(x);
 }
 
 /*
- * A host that joins late, or goes on to a next version, would fetch from the
- * origin once more what the rollout has, were it to read before the others
- * have told what they hold and know of. Where all begin with nothing there is
- * nothing to hear, and the first word of a peer ends the wait.
+ * A host that joins late, or continues with a next version, would read chunks
+ * from the origin that other hosts of the rollout already have, if it read
+ * before they had reported their chunks and claims. If all hosts start empty
+ * there is nothing to wait for, and the first report of a peer ends the wait.
  */
 static void
 update_settling(struct xfer *x)
@@ -145,7 +147,7 @@
 	    x->wts->hold, &x->want.version, x->list, on_filled, x, &missing);
 	if (x->stored == NULL) {
 		snprintf(x->why, sizeof(x->why),
-		    "memory budget: %" G_GUINT64_FORMAT " bytes too small",
+		    "memory budget is %" G_GUINT64_FORMAT " bytes too small",
 		    missing);
 		set_phase(x, WTS_NO_ROOM);
 		wts_release_retired(x->wts);
@@ -280,7 +282,7 @@
 	return (x->score > y->score) - (x->score < y->score);
 }
 
-/* Keeps the dial state of a member that was there before. */
+/* Copies the dial state of members that were present before. */
 static void
 copy_dial_state(struct xfer *x, GPtrArray *fresh)
 {
@@ -410,8 +412,8 @@
 	if (peer != NULL)
 		from = list ? &peer->for_list : &peer->for_chunks;
 	if (!digest_equal(got, expected)) {
-		/* Never kept, never passed on: the digest of what this host
-		 * serves is always the one it checked itself. */
+		/* Corrupt bytes are neither stored nor forwarded: this host
+		 * only serves bytes whose digest it has verified itself. */
 		pick_failed(xfer_pick_of(x, index), xfer_pick_index(index),
 		    from, PICK_CORRUPT, clk_now_us(x->wts->clock));
 		return false;
--- a/lib/weights/xfer.h
+++ b/lib/weights/xfer.h
@@ -2,8 +2,9 @@
 #define WEIGHTS_XFER_H
 
 /*
- * The driver's shared state: wts (this host) has transfers (one a wanted
- * version), a transfer has peers (one a connection) and reads of the origin.
+ * The driver's shared state: wts (this host) has transfers, one for each wanted
+ * version; a transfer has peers, one for each connection, and reads of the
+ * origin.
  */
 
 #include "weights/hold.h"
@@ -26,7 +27,7 @@
 	void *ctx;
 	struct wts_source source;
 	const struct clk *clock;
-	struct ctr_set *private_counters; /* when the node has none */
+	struct ctr_set *private_counters; /* used if the node has none */
 	struct counts counts;
 	struct rng rng;
 	struct hold *hold;
@@ -36,11 +37,12 @@
 	TAILQ_HEAD(upload_list, upload) uploads;
 	unsigned int nuploads;
 	struct timer serve_timer;
-	struct timer resume_timer; /* of downloads, when the debt is paid */
+	struct timer resume_timer; /* resumes downloads when the debt is paid */
 	bool paused;
 };
 
-/* Bytes of one chunk (or the list) from one peer, hashed as they come. */
+/* Bytes of one chunk (or the list) being received from one peer, hashed on
+ * arrival. */
 struct incoming {
 	LIST_ENTRY(incoming) link;
 	uint64_t index;
@@ -51,11 +53,12 @@
 
 struct member {
 	char *id, *address, *domain;
-	uint64_t score; /* order in which this host dials */
+	uint64_t score; /* determines the order in which this host dials */
 	struct peer *peer; /* NULL: not connected */
 	bool reader;
 	int64_t redial_at_us;
-	int64_t refuse_until_us; /* it failed too often */
+	/* Connections are refused after repeated failures. */
+	int64_t refuse_until_us;
 	unsigned int failures;
 };
 
@@ -65,16 +68,16 @@
 	struct conn *conn;
 	char *id;
 	bool dialled;
-	bool open; /* our join was sent */
-	bool joined; /* its join came */
+	bool open; /* this host's join was sent */
+	bool joined; /* the peer's join was received */
 	bool same_domain;
 	bool has_list;
 	bool have_sent;
 	struct pick_peer for_list, for_chunks;
 	LIST_HEAD(incoming_list, incoming) incoming_chunks;
 	unsigned int nuploads;
-	GByteArray *gained, *claims; /* not told yet */
-	unsigned int sent_load; /* uploads to others, as last told */
+	GByteArray *gained, *claims; /* not sent yet */
+	unsigned int sent_load; /* uploads to others, as last sent */
 	int64_t next_update_us;
 	struct timer update_timer;
 };
@@ -83,7 +86,7 @@
 	TAILQ_ENTRY(read) link;
 	struct xfer *xfer;
 	uint64_t index;
-	struct origin_read *handle; /* NULL once it has answered */
+	struct origin_read *handle; /* NULL after its completion */
 	GBytes *bytes;
 	uint64_t hashed;
 	struct digest_stream *stream;
@@ -97,9 +100,9 @@
 	enum wts_phase phase;
 	GBytes *list;
 	struct hold_version *stored;
-	struct pick *list_pick; /* the list as a rollout of one chunk */
+	struct pick *list_pick; /* treats the list as a rollout of one chunk */
 	struct pick *pick;
-	GPtrArray *members; /* struct member, by score */
+	GPtrArray *members; /* struct member, sorted by score */
 	TAILQ_HEAD(peer_list, peer) peers;
 	TAILQ_HEAD(read_list, read) reads;
 	int64_t update_interval_us;
@@ -111,9 +114,11 @@
 
 /* wts.c */
 struct xfer *wts_find(struct wts *wts, const struct digest *root);
-/* Lets go of dropped versions' chunks, unless a list is still to come. */
+/* Frees the chunks of dropped versions, unless some version still waits for its
+ * list. */
 void wts_release_retired(struct wts *wts);
-/* Bytes came in: over the budget, all peers' connections pause. */
+/* Charges received bytes. When the budget is exceeded, the connections of all
+ * peers are paused. */
 void wts_received(struct wts *wts, uint64_t bytes);
 
 /* xfer.c */
@@ -121,20 +126,21 @@
 void xfer_free(struct xfer *x);
 void xfer_set_want(struct xfer *x, const struct wts_want *want);
 void xfer_set_members(struct xfer *x, const struct wts_peer *peers, size_t n);
-/* Takes all decisions that are due, arms the timer for the next. */
+/* Carries out all pending decisions and arms the timer for the next. */
 void xfer_pump(struct xfer *x);
-/* The same, from the loop. */
+/* As xfer_pump, but from the main loop. */
 void xfer_pump_soon(struct xfer *x);
-struct pick *xfer_pick_of(struct xfer *x, uint64_t index); /* NULL: bad index */
-/* The index within xfer_pick_of. */
+/* NULL: invalid index. */
+struct pick *xfer_pick_of(struct xfer *x, uint64_t index);
+/* The index to use with xfer_pick_of. */
 uint64_t xfer_pick_index(uint64_t index);
 uint64_t xfer_len_of(const struct xfer *x, uint64_t index);
 struct digest_stream *xfer_stream_of(const struct xfer *x, uint64_t index);
-/* All bytes of `index` have come with digest `got`, from `peer` (NULL: the
- * origin). False when the digest is wrong. Takes no reference. */
+/* Handles the complete bytes of `index` with digest `got`, received from `peer`
+ * (NULL: the origin). False if the digest is wrong. Takes no reference. */
 bool xfer_accept_object(struct xfer *x, uint64_t index, GBytes *bytes,
     const struct digest *got, struct peer *peer);
-/* Tries again to reserve memory, after another version went. */
+/* Retries the memory reservation after another version was dropped. */
 void xfer_try_reserve(struct xfer *x);
 
 /* read.c */
@@ -143,18 +149,20 @@
 
 /* peers.c */
 void peers_dial(struct xfer *x);
-void peers_drop_removed(struct xfer *x); /* those no longer members */
+void peers_drop_removed(struct xfer *x); /* peers that are no longer members */
 struct peer *peers_accept(struct xfer *x, struct conn *c);
-/* Lets go of the connection, which closes; the peer is freed. */
+/* Closes the connection and frees the peer. */
 void peer_drop(struct peer *peer);
-/* As peer_drop, for one that failed too often; it is refused for a while. */
+/* As peer_drop for a peer that failed too often; it is refused for some
+ * time. */
 void peer_drop_failing(struct peer *peer);
-void peer_join(struct peer *peer); /* sends join, and have if there is one */
+/* Sends join, and have if the list is known. */
+void peer_join(struct peer *peer);
 void peer_send_have(struct peer *peer);
 void peers_queue_gained(struct xfer *x, uint64_t index);
 void peers_queue_claim(struct xfer *x, uint64_t index, unsigned int rank,
     const struct peer *except);
-/* This host has no uploads left. */
+/* Schedules updates when this host has no uploads left. */
 void peers_queue_idle(struct wts *wts);
 struct member *peers_member(struct xfer *x, const char *id);
 
@@ -165,10 +173,12 @@
 /* serve.c */
 void serve_get(struct peer *peer, const struct proto_get *get);
 void serve_run(struct wts *wts);
-/* Uploads to others than `peer`, noted as told to it. */
+/* Returns the number of uploads to other peers and records it as sent to
+ * `peer`. */
 unsigned int serve_record_load(struct peer *peer);
-/* Drops peers that take nothing; not from within a peer's message. */
+/* Drops peers that do not receive. Must not be called while a peer's message is
+ * being handled. */
 void serve_drop_stalled(struct wts *wts);
-void serve_cancel(struct peer *peer); /* drops its uploads */
+void serve_cancel(struct peer *peer); /* ends its uploads */
 
 #endif
