--- a/tests/weights/nodes.h
+++ b/tests/weights/nodes.h
@@ -2,8 +2,8 @@
 #define TESTS_WEIGHTS_NODES_H
 
 /*
- * Small rollouts in one process for the tests of the driver: real
- * connections on loopback and an origin that answers from memory.
+ * Small rollouts in one process for the tests of the driver: real connections
+ * on loopback and an origin that responds from memory.
  */
 
 #include <setjmp.h>
@@ -17,7 +17,7 @@
 #include "weights/xfer.h"
 
 #define NODES_MAX 16
-#define TIMEOUT_MS 20000 /* a hang ends the test */
+#define TIMEOUT_MS 20000 /* a test that hangs fails after this time */
 
 /* A model of `chunks` chunks of 4 KB; `seed` decides the bytes. */
 struct model {
@@ -40,12 +40,12 @@
 struct fake_origin {
 	const struct model *models;
 	size_t nmodels;
-	unsigned int delay_ms; /* of an answer, on average */
+	unsigned int delay_ms; /* average delay of a response */
 	struct rng rng;
-	unsigned int corrupt; /* the next so many answers */
+	unsigned int corrupt; /* number of next responses to corrupt */
 	bool down;
-	bool hold_weights; /* reads of weights are not answered meanwhile */
-	uint64_t bytes_sent; /* of weights, not lists */
+	bool hold_weights; /* reads of weights are not answered while set */
+	uint64_t bytes_sent; /* bytes of weights, without lists */
 	unsigned int reads;
 	TAILQ_HEAD(open_list, origin_read) open;
 };
@@ -58,7 +58,7 @@
 	struct conn_server *server;
 	GHashTable *conns; /* accepted and open */
 	struct wts *wts;
-	/* In place of `wts`: a host that breaks the rules. */
+	/* In place of `wts`: a host that violates the protocol. */
 	void (*fake)(struct node *n, struct conn *c, const struct msg *m);
 	void *fake_ctx;
 };
@@ -67,7 +67,7 @@
 	struct fake_origin origin;
 	struct node node[NODES_MAX];
 	size_t n;
-	uint64_t rate; /* bytes a second of each link */
+	uint64_t rate; /* bytes per second of each link */
 	uint64_t memory;
 };
 
@@ -199,7 +199,8 @@
 	if (!o->down && g_str_has_suffix(name, ".weights"))
 		o->bytes_sent += len;
 	TAILQ_INSERT_TAIL(&o->open, r, link);
-	/* Uneven, or hosts would choose in step and never hear in time. */
+	/* Varied delays; otherwise all hosts would choose simultaneously and
+	 * never receive claims in time. */
 	r->source = g_timeout_add(
 	    o->delay_ms / 2 + (guint)rng_below(&o->rng, o->delay_ms + 1),
 	    fake_answer, r);
@@ -315,7 +316,8 @@
 	}
 }
 
-/* A host that dies: its connections close, nothing of it is left. */
+/* Simulates the failure of a host: its connections close, and its state is
+ * lost. */
 static inline void
 node_kill(struct node *n)
 {
@@ -388,7 +390,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Runs the loop until `done`; fails the test when that never comes. */
+/* Runs the loop until `done`; fails the test if that takes too long. */
 static inline void
 nodes_run_until(struct nodes *s,
     bool (*done)(const struct nodes *s, const struct model *m),
@@ -415,7 +417,7 @@
 	fail_msg("not done in time");
 }
 
-/* What the engine beside would load is the origin's, byte for byte. */
+/* The bytes for the engine on the host are identical to the origin's. */
 static inline void
 node_check(const struct node *n, const struct model *m)
 {
--- a/tests/weights/test_faults.c
+++ b/tests/weights/test_faults.c
@@ -1,13 +1,14 @@
-/* What a rollout lives through; each test causes the fault it names. */
+/* Faults during a rollout; each test causes the fault it is named after. */
 
 #include "nodes.h"
 
 #define CHUNKS 60
 #define SLOW_RATE \
-	(512 << 10) /* bytes a second: a transfer lasts half a second */
+	(512 << 10) /* bytes per second: a transfer takes half a second */
 
 static struct model first;
-static struct model models[2]; /* the second: a tenth of the chunks changed */
+/* In the second, a tenth of the chunks is changed. */
+static struct model models[2];
 
 static int
 setup(void **state)
@@ -72,7 +73,7 @@
 	nodes_stop(s);
 }
 
-/* Chunks read from the origin more often than once, in all. */
+/* Number of chunks read from the origin more than once, over all hosts. */
 static int64_t
 reads_beyond(const struct nodes *s, const struct model *m)
 {
@@ -99,10 +100,10 @@
 }
 
 /*
- * A host that reads from the origin dies half way, and its connections
- * close; the members list follows. The chunks it was to read are nobody's in
- * turn until the ranking is made anew without it; what it had passed on need
- * not be read again.
+ * A host that reads from the origin fails half way. Its connections close, and
+ * the member list follows. Nobody is first reader of its chunks until the
+ * ranking is computed without it; chunks that it had forwarded need not be read
+ * again.
  */
 static void
 test_reader_dies(void **state)
@@ -127,12 +128,12 @@
 			    s.node[i].wts, &first.version.root, remaining, n);
 	}
 	finish_rollout(&s, &first);
-	/* What only the dead host had: few of its chunks. */
+	/* Few chunks were only at the failed host. */
 	assert_in_range(reads_beyond(&s, &first), 0, CHUNKS / 10);
 }
 
 /* ------------------------------------------------------------------ */
-/* Hosts that break the rules                                          */
+/* Hosts that violate the protocol */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -150,7 +151,7 @@
 	conn_send(c, &proto_have_desc, &have);
 }
 
-/* Has all, answers nothing, closes nothing. */
+/* Announces all chunks, answers nothing and keeps its connection open. */
 static void
 fake_stalls(struct node *n, struct conn *c, const struct msg *m)
 {
@@ -158,7 +159,7 @@
 		send_have_all(c, &first, n->domain);
 }
 
-/* Has all, and one byte of each chunk is wrong. */
+/* Announces all chunks and sends each with one wrong byte. */
 static void
 fake_corrupts(struct node *n, struct conn *c, const struct msg *m)
 {
@@ -195,11 +196,9 @@
 	n->fake_ctx = ctx;
 }
 
-/*
- * A host says that it has everything, takes requests and never answers; its
- * connection stays open. Without a deadline on progress the others wait for
- * its answers for ever.
- */
+/* A host announces all chunks, accepts requests and never answers; its
+ * connection stays open. Without a stall timeout the others would wait for its
+ * answers forever. */
 static void
 test_link_stalls(void **state)
 {
@@ -213,10 +212,9 @@
 	finish_rollout(&s, &first);
 }
 
-/*
- * A host sends chunks and a list with a wrong byte. Nothing of that may be kept or
- * passed on: every host checks each digest itself, and asks elsewhere.
- */
+/* A host sends chunks and a list with a wrong byte. None of these bytes may be
+ * stored or forwarded: every host verifies each digest itself and requests the
+ * chunk elsewhere. */
 static void
 test_peer_corrupts(void **state)
 {
@@ -232,10 +230,8 @@
 	finish_rollout(&s, &first);
 }
 
-/*
- * The origin's answers are spoiled for a while. The reader drops them and reads
- * again after a pause; the bad bytes reach nobody.
- */
+/* The origin's responses are corrupt for some time. The reader discards them
+ * and reads again after a pause; no host receives the corrupt bytes. */
 static void
 test_origin_corrupts(void **state)
 {
@@ -258,7 +254,8 @@
 	return strstr(p.why, "does not match its digest") != NULL;
 }
 
-/* The origin's copy itself is bad: no host gets it, and the operator reads why. */
+/* The origin's own copy is corrupt: no host stores it, and the operator is
+ * shown the reason. */
 static void
 test_origin_copy_is_corrupt(void **state)
 {
@@ -292,10 +289,9 @@
 	return true;
 }
 
-/*
- * The origin stops answering in the middle. What it has sent reaches all hosts,
- * each then says what it waits for, and the rest comes when it is back.
- */
+/* The origin stops responding during a rollout. What it has sent reaches all
+ * hosts, each host then reports what it waits for, and the rest is read when
+ * the origin has recovered. */
 static void
 test_origin_down(void **state)
 {
@@ -310,11 +306,9 @@
 	finish_rollout(&s, &first);
 }
 
-/*
- * Another version is wanted while the first is under way. No chunk of the first can
- * get into the second, what both share is not fetched again, and the first
- * is gone everywhere.
- */
+/* Another version is wanted while the first is being transferred. No chunk of
+ * the first may get into the second, chunks in both are not fetched again, and
+ * the first is removed from all hosts. */
 static void
 test_superseded(void **state)
 {
@@ -334,10 +328,8 @@
 	finish_rollout(&s, &models[1]);
 }
 
-/*
- * A host comes back with empty memory after all others are whole, and a
- * new one joins. Both are served by the others; the origin is left alone.
- */
+/* A host restarts with empty memory after all others are complete, and a new
+ * one joins. Both are served by the others; the origin is not read. */
 static void
 test_restart_empty_and_join_late(void **state)
 {
@@ -358,7 +350,7 @@
 	finish_rollout(&s, &first);
 }
 
-/* Whether a host that lives holds the chunk, or is reading it. */
+/* Whether a live host has the chunk or is reading it. */
 static bool
 is_recoverable(const struct nodes *s, const struct model *m, uint64_t chunk)
 {
@@ -380,8 +372,8 @@
 	return false;
 }
 
-/* Chunks that were read and went with the hosts that died: reads of them that
- * had not ended, or that nobody else had the bytes of yet. */
+/* Number of chunks that were read and lost with the failed hosts: reads that
+ * had not completed, or chunks that no other host had yet. */
 static int64_t
 reads_lost(const struct nodes *s, const struct model *m)
 {
@@ -394,9 +386,10 @@
 }
 
 /*
- * All hosts of a failure domain go at once, readers among them, and nobody is told:
- * no new members list comes. The readers' silence brings in the next by rank. What
- * they alone had must be read again; little else is.
+ * All hosts of a failure domain fail at once, including readers, and no new
+ * member list arrives. After the claim timeout the hosts of the next rank take
+ * over. Chunks that only the failed hosts had must be read again, and few
+ * others.
  */
 static void
 test_domain_lost(void **state)
@@ -413,13 +406,14 @@
 	reads = (int64_t)s.origin.bytes_sent / WTS_CHUNK_MIN;
 	lost = reads_lost(&s, &first);
 	finish_rollout(&s, &first);
-	/* Three of eight readers died: at most their part of the reads, and one
-	 * more each. How many reads there were by then is the machine's matter. */
+	/* Three of eight readers failed: at most their share of the reads, and
+	 * one more each. The number of reads by then depends on the machine. */
 	assert_in_range(lost, 0, reads * 3 / 8 + 3);
 	assert_in_range(reads_beyond(&s, &first), 0, lost + CHUNKS / 20);
 }
 
-/* Two at once: one host sends bad bytes while another, a reader, dies untold. */
+/* Two faults at once: one host sends corrupt bytes while a reader fails without
+ * a change of the member list. */
 static void
 test_reader_dies_and_peer_corrupts(void **state)
 {
@@ -440,7 +434,8 @@
 	assert_true(sent > 0);
 }
 
-/* Three chunks are being read, and all hosts know of the same number. */
+/* Each of the three hosts is reading, and all know of the same number of
+ * claims. */
 static bool
 all_know_the_claims(const struct nodes *s, const struct model *m)
 {
@@ -459,14 +454,16 @@
 }
 
 /*
- * The two outer hosts of three have not heard of each other, so that each holds
- * itself for the first reader of chunks that the other reads. The host between them
- * passes on what each has begun to read; without that both would read most chunks.
+ * The first and the last of three hosts are not in each other's member list, so
+ * each considers itself the first reader of chunks that the other reads. The
+ * host between them forwards their claims; without that both would read most
+ * chunks.
  */
 static void
 test_member_lists_differ(void **state)
 {
-	/* A read lasts longer than news of it, as with chunks of real size. */
+	/* A read takes longer than the propagation of its claim, as it does
+	 * with chunks of real size. */
 	struct nodes s = { .rate = SLOW_RATE,
 		.origin = { .hold_weights = true, .delay_ms = 100 } };
 	struct wts_want want = { .version = first.version };
--- a/tests/weights/test_hold.c
+++ b/tests/weights/test_hold.c
@@ -77,8 +77,8 @@
 	hold_free(hold);
 }
 
-/* A version that does not fit is refused before any of it is fetched; what a
- * dropped one still holds makes room first. */
+/* A version that does not fit is refused before any chunk of it is fetched;
+ * chunks retained for a dropped version are freed first. */
 static void
 test_memory_budget(void **state)
 {
@@ -125,7 +125,7 @@
 	assert_memory_equal(got->data, g_bytes_get_data(list, NULL), got->len);
 	wts_root(v.bytes, CHUNK, got->data, got->len, &root);
 	assert_true(digest_equal(&root, &read.root));
-	/* The same list of a version cut otherwise is another version. */
+	/* The same list with another chunk size is another version. */
 	wts_root(v.bytes, 2 * CHUNK, got->data, got->len, &root);
 	assert_false(digest_equal(&root, &read.root));
 	assert_false(wts_digest_file(path, 1, got, &read, &err));
@@ -157,14 +157,14 @@
 		assert_int_equal(got, some[i]);
 	}
 	assert_false(proto_next_index(&in, &got));
-	/* Cut within an index. */
+	/* Input ends within an index. */
 	in = (struct slice){ out->data + 2, 1 };
 	assert_false(proto_next_index(&in, &got));
 	g_byte_array_unref(out);
 }
 
-/* Bytes go out at the rate, whatever the steps in which the clock is read;
- * an idle link saves up next to nothing. */
+/* Bytes are sent at the configured rate, whatever the intervals at which the
+ * clock is read; an idle link saves up almost nothing. */
 static void
 test_bucket_keeps_the_rate(void **state)
 {
@@ -185,7 +185,7 @@
 }
 
 /* Live traffic takes from the budget at once, and weights wait; but a burst
- * holds them back for a quarter of a second at most. */
+ * delays them by at most a quarter of a second. */
 static void
 test_live_traffic_has_priority(void **state)
 {
--- a/tests/weights/test_pick.c
+++ b/tests/weights/test_pick.c
@@ -1,4 +1,4 @@
-/* The choice of the next fetch, from states made by hand. */
+/* The choice of the next fetch, for constructed states. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -42,7 +42,7 @@
 	struct pick_conf conf = {
 		.chunks = CHUNKS,
 		.chunk_bytes = 1 << 20,
-		.rate = 100 << 20, /* ten milliseconds a chunk */
+		.rate = 100 << 20, /* ten milliseconds per chunk */
 		.origin_copies = 1,
 		.members = HOSTS,
 	};
@@ -62,7 +62,7 @@
 	return a;
 }
 
-/* Takes everything that is to be begun now; gives the last action. */
+/* Starts all fetches that are possible now; returns the first other action. */
 static struct pick_action
 start_all(struct pick *p, int64_t now_us)
 {
@@ -75,7 +75,7 @@
 	return a;
 }
 
-/* A host that reads nothing from the origin while readers do. */
+/* A host that does not read from the origin while the readers are alive. */
 static const struct rank *
 not_reader(void)
 {
@@ -108,8 +108,8 @@
 		pick_peer_has(p, peer, i, 0);
 }
 
-/* Every host computes the same readers, one at least in each domain, and
- * exactly one of them is first for a chunk. */
+/* Every host computes the same readers, at least one in each domain, and
+ * exactly one of them is the first reader of a chunk. */
 static void
 test_ranking_is_the_same_everywhere(void **state)
 {
@@ -132,8 +132,8 @@
 	}
 }
 
-/* Before the members are known a host would hold itself for the only one, and
- * every host would read a whole copy. */
+/* Before the members are known, a host would consider itself the only one, and
+ * every host would read a complete copy. */
 static void
 test_no_read_before_members_are_known(void **state)
 {
@@ -143,10 +143,9 @@
 	pick_free(p);
 }
 
-/*
- * A reader begins with chunks of its own rank, one at a time, and leaves alone what
- * it heard was begun. The others' chunks come only after a silence.
- */
+/* A reader begins with the chunks for which it is the first reader, one at a
+ * time, and skips chunks claimed by others. Chunks of other readers follow only
+ * after the claim timeout. */
 static void
 test_reads_in_turn(void **state)
 {
@@ -178,8 +177,8 @@
 	pick_free(p);
 }
 
-/* Begins the first read, and ends it without the chunk, which is the only one
- * that is missing but for `other` (CHUNKS: none). */
+/* Begins the first read and fails it; its chunk and `other` are then the only
+ * missing ones (CHUNKS: no other). */
 static uint64_t
 fail_read(struct pick *p, uint64_t other)
 {
@@ -198,10 +197,10 @@
 }
 
 /*
- * The origin is away, and a first reader's read of a chunk fails. It tries the
- * same chunk again as soon as the origin may be back, not after the time that
- * others give a silent reader: every host waits for that chunk, and engines
- * whose weights are due stand idle.
+ * The origin is down, and a first reader's read of a chunk fails. It retries
+ * the same chunk as soon as the origin may have recovered, not after the claim
+ * timeout: every host waits for that chunk, and engines that need the weights
+ * are idle.
  */
 static void
 test_failed_read_is_retried_soon(void **state)
@@ -215,11 +214,9 @@
 	pick_free(p);
 }
 
-/*
- * The origin comes back after a while in which all claims have grown old, so a
- * reader may read chunks of other readers, too. It takes its own first: others
- * leave those to it, and everybody would wait for them.
- */
+/* The origin recovers after an outage in which all claims have expired, so a
+ * reader may also read chunks of other readers. It reads its own first: others
+ * leave those to it, and all hosts would wait for them. */
 static void
 test_own_chunks_are_read_first(void **state)
 {
@@ -242,8 +239,8 @@
 	pick_free(p);
 }
 
-/* A reader's own link delays the last bytes of a chunk: with a second read open
- * the origin goes on sending meanwhile. */
+/* A reader's own link delays the last bytes of a chunk; with a second open read
+ * the origin continues to send meanwhile. */
 static void
 test_max_reads_open(void **state)
 {
@@ -264,10 +261,9 @@
 	pick_free(p);
 }
 
-/*
- * The origin was away, and every reader rests after a read that failed. The
- * first that finds it back tells of its chunk: the others need not rest longer.
- */
+/* The origin was down, and every reader is in backoff after a failed read.
+ * When one of them succeeds and reports its chunk, the backoff of the others
+ * ends. */
 static void
 test_origin_chunk_at_peer_ends_backoff(void **state)
 {
@@ -286,7 +282,8 @@
 	pick_free(p);
 }
 
-/* Chunks that a peer has do not keep the origin from other versions. */
+/* Only chunks that no peer has count as still needed from the origin, so that
+ * other versions can use the origin otherwise. */
 static void
 test_count_origin_only(void **state)
 {
@@ -304,11 +301,9 @@
 	pick_free(p);
 }
 
-/*
- * The first reader of some chunks falls silent. The second steps in after one
- * silence and then goes on without waiting again; a host that is no reader
- * waits longer; and a claim by the first puts all of them off again.
- */
+/* The first reader of some chunks fails. The second takes over after one claim
+ * timeout and then continues without further waits; a host that is not a reader
+ * waits longer. A claim by the first restarts the timeout for all of them. */
 static void
 test_next_rank_reads_after_claim_timeout(void **state)
 {
@@ -339,10 +334,11 @@
 }
 
 /*
- * One reader's link is slow: it claims a chunk each second, so it is not silent,
- * and all hosts wait for the rest of its chunks. A reader that is through with
- * its own takes over what the slow one has not begun, and what it began long
- * ago, and leaves to a reader of its own pace what is that one's.
+ * One reader's link is slow: it claims a chunk every 0.6 s, so the claim
+ * timeout does not expire, and all hosts wait for the rest of its chunks. A
+ * reader that has read its own chunks takes over those that the slow one has
+ * not begun or began long ago. Chunks of a reader of similar speed are left to
+ * that reader.
  */
 static void
 test_takeover_from_slow_reader(void **state)
@@ -359,7 +355,7 @@
 	}
 	for (i = 0; i < CHUNKS; i++) {
 		switch (rank_first_reader(reader(0), i)) {
-		case 0: /* one of this host's each 0.1 s */
+		case 0: /* one of this host's chunks every 0.1 s */
 			a = next(p, now += SECOND / 10);
 			assert_int_equal(a.rank, 0);
 			pick_begin(p, &a, now);
@@ -375,12 +371,12 @@
 			if (++fast == CHUNKS / RANK_READERS)
 				break;
 			pick_claimed(p, i, 0, now);
-			pick_complete(p, i); /* it came */
+			pick_complete(p, i); /* received */
 			break;
 		}
 	}
-	/* What is left of its chunks then comes sooner than a silent reader is
-	 * waited for; but it does not come. */
+	/* The rest of its chunks would then arrive sooner than the claim
+	 * timeout, but does not arrive. */
 	while ((now += SECOND * 4 / 10) < 3 * SECOND) {
 		for (a = next(p, now); a.kind == PICK_READ; a = next(p, now)) {
 			assert_int_equal(
@@ -397,10 +393,8 @@
 	pick_free(p);
 }
 
-/*
- * A reader is quicker than news travel: its chunks are seen at a peer before its
- * claims are heard. The claims still show that it lives, and nobody steps in.
- */
+/* A reader's chunks are seen at a peer before its claims arrive. The claims
+ * still show that it is alive, and no other host takes over. */
 static void
 test_late_claim_resets_claim_timeout(void **state)
 {
@@ -429,8 +423,8 @@
 	pick_free(p);
 }
 
-/* Own failure domain first; of its peers the least loaded; of its chunks the
- * rarest. */
+/* Peers of the same failure domain come first, then the least loaded, then the
+ * rarest of its chunks. */
 static void
 test_same_domain_then_idle_then_rarest(void **state)
 {
@@ -461,10 +455,9 @@
 	pick_free(p);
 }
 
-/*
- * Near the end several peers have the last chunk. It is asked of one only, until that one
- * has brought nothing for the patience; then of another.
- */
+/* Near the end several peers have the last chunk. It is requested from only one
+ * peer, and from another after the first has sent nothing for the stall
+ * timeout. */
 static void
 test_no_duplicate_before_stall_timeout(void **state)
 {
@@ -496,11 +489,9 @@
 	pick_free(p);
 }
 
-/*
- * A peer said that it has enough to do, and nothing since. Its word wears off: else
- * hosts whose peers had all been busy once, and then had nothing new to
- * say, would wait for ever.
- */
+/* A peer reported that it was busy, and nothing since. The reported load must
+ * decrease with time; otherwise hosts whose peers had all been busy once, and
+ * had no changes to report since, would wait forever. */
 static void
 test_busy_peer_is_retried(void **state)
 {
@@ -519,7 +510,7 @@
 	pick_free(p);
 }
 
-/* Bytes put the deadline off: a slow link is not a stalled one. */
+/* Received bytes extend the deadline: a slow link is not a stalled one. */
 static void
 test_progress_extends_stall_timeout(void **state)
 {
@@ -538,11 +529,9 @@
 	pick_free(p);
 }
 
-/*
- * A peer sends wrong bytes for the one chunk that it alone has. It does not count as its
- * holder any more, so that the chunk can be read from the origin, and it is not
- * asked for it again.
- */
+/* A peer sends wrong bytes for a chunk that no other peer has. It no longer
+ * counts as a holder, so that the chunk can be read from the origin and is not
+ * requested from this peer again. */
 static void
 test_corrupt_chunk_removes_holder(void **state)
 {
@@ -570,8 +559,8 @@
 	pick_free(p);
 }
 
-/* Further copies are read only once the first is under way, and each host
- * takes no more than its part of them. */
+/* Further copies are read only once all chunks of the first are claimed, and
+ * each host reads at most its share of them. */
 static void
 test_extra_copies_are_bounded(void **state)
 {
--- a/tests/weights/test_xfer.c
+++ b/tests/weights/test_xfer.c
@@ -1,4 +1,4 @@
-/* Whole rollouts between a few hosts, without faults. */
+/* Complete rollouts between a few hosts, without faults. */
 
 #include "nodes.h"
 
@@ -24,9 +24,9 @@
 	model_free(&m);
 }
 
-/* Guards against an engine that loads a piece of an older version: what lies
- * beside it is looked through while pieces come, and one that came meanwhile was
- * no proof of what lies there. */
+/* Guards against an engine that loads a chunk of an older version. Local copies
+ * are offered while chunks are being received; a chunk received meanwhile
+ * proves nothing about the offered bytes. */
 static void
 test_offer_verifies_offered_bytes(void **state)
 {
