--- a/lib/weights/link.c
+++ b/lib/weights/link.c
@@ -18,7 +18,7 @@
 	*b = (struct bucket){
 		.rate = rate,
 		.burst = rate / (SECOND_US / BURST_US),
-		.at_us = now_us,
+		.updated_us = now_us,
 	};
 }
 
@@ -27,7 +27,7 @@
 {
 	/* After this time the bucket is full in any case; the bound also
 	 * prevents an overflow in the multiplication below. */
-	int64_t passed = MIN(now_us - b->at_us, 600 * (int64_t)SECOND_US);
+	int64_t passed = MIN(now_us - b->updated_us, 600 * (int64_t)SECOND_US);
 	int64_t added;
 
 	if (passed <= 0)
@@ -38,10 +38,10 @@
 	 * otherwise frequent calls at a low rate would always add zero
 	 * bytes. */
 	if (b->tokens < (int64_t)b->burst)
-		b->at_us +=
+		b->updated_us +=
 		    (int64_t)((double)added * SECOND_US / (double)b->rate);
 	else
-		b->at_us = now_us;
+		b->updated_us = now_us;
 }
 
 void
--- a/lib/weights/link.h
+++ b/lib/weights/link.h
@@ -15,7 +15,7 @@
 	uint64_t rate; /* bytes per second */
 	uint64_t burst; /* maximum number of tokens saved up while idle */
 	int64_t tokens; /* bytes; negative is debt */
-	int64_t at_us; /* time for which `tokens` is valid */
+	int64_t updated_us; /* time for which `tokens` is valid */
 };
 
 void bucket_init(struct bucket *b, uint64_t rate, int64_t now_us);
--- a/lib/weights/receive.c
+++ b/lib/weights/receive.c
@@ -78,14 +78,14 @@
 	peer->has_list = true;
 	pick_peer_has(x->list_pick, &peer->for_list, 0, now_us);
 	for (i = 0; i < n; i++) {
-		bool news = false;
+		bool is_new = false;
 
 		if (has_bit(have->bits, i))
-			news = pick_peer_has(
+			is_new = pick_peer_has(
 			    x->pick, &peer->for_chunks, i, now_us);
 		else if (has_bit(have->known, i))
-			news = pick_mark_known(x->pick, i, now_us);
-		if (news)
+			is_new = pick_mark_known(x->pick, i, now_us);
+		if (is_new)
 			peers_queue_claim(x, i, PICK_RANK_UNKNOWN, peer);
 	}
 	set_load(peer, have->load);
@@ -110,20 +110,20 @@
 }
 
 static void
-handle_update(struct peer *peer, const struct proto_update *news)
+handle_update(struct peer *peer, const struct proto_update *update)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
-	struct slice gained = news->gained;
+	struct slice gained = update->gained;
 	uint32_t index;
 
-	handle_claims(peer, news->claims);
+	handle_claims(peer, update->claims);
 	while (proto_next_index(&gained, &index)) {
 		if (index < x->pick->conf.chunks)
 			pick_peer_has(
 			    x->pick, &peer->for_chunks, index, now_us);
 	}
-	set_load(peer, news->load);
+	set_load(peer, update->load);
 }
 
 /* ------------------------------------------------------------------ */
@@ -252,7 +252,7 @@
 	union {
 		struct proto_join join;
 		struct proto_have have;
-		struct proto_update news;
+		struct proto_update update;
 		struct proto_get get;
 		struct proto_data data;
 		struct proto_none none;
@@ -267,7 +267,7 @@
 		handle_have(peer, &u.have);
 	else if (m->type == PROTO_UPDATE &&
 	    msg_read(m, &proto_update_desc, &u, NULL))
-		handle_update(peer, &u.news);
+		handle_update(peer, &u.update);
 	else if (m->type == PROTO_GET && msg_read(m, &proto_get_desc, &u, NULL))
 		serve_get(peer, &u.get);
 	else if (m->type == PROTO_DATA &&
--- a/lib/weights/serve.c
+++ b/lib/weights/serve.c
@@ -22,10 +22,10 @@
 	struct peer *to;
 	uint64_t index;
 	GBytes *bytes;
-	uint64_t at;
+	uint64_t sent;
 	/* Chunks that the receiver had when it sent the request. */
 	uint64_t have;
-	int64_t moved_us;
+	int64_t progress_us;
 };
 
 static void
@@ -106,13 +106,13 @@
 
 /* The upload that would be sent last, among those not started. */
 static struct upload *
-find_last(struct wts *wts)
+find_last_waiting(struct wts *wts)
 {
 	struct upload *last = NULL;
 	struct upload *u;
 
 	TAILQ_FOREACH (u, &wts->uploads, link) {
-		if (u->at == 0 && (last == NULL || !precedes(u, last)))
+		if (u->sent == 0 && (last == NULL || !precedes(u, last)))
 			last = u;
 	}
 	return last;
@@ -122,7 +122,7 @@
 static bool
 displace(struct wts *wts, const struct upload *u)
 {
-	struct upload *last = find_last(wts);
+	struct upload *last = find_last_waiting(wts);
 
 	if (last == NULL || !precedes(u, last))
 		return false;
@@ -140,7 +140,7 @@
 		.to = peer,
 		.index = get->index,
 		.have = get->have,
-		.moved_us = clk_now_us(wts->clock),
+		.progress_us = clk_now_us(wts->clock),
 	};
 	struct upload *queued;
 
@@ -179,7 +179,7 @@
 	TAILQ_FOREACH (u, &wts->uploads, link) {
 		if (conn_queued(u->to->conn) >= CONN_LOW_WATER)
 			continue;
-		if (u->at > 0)
+		if (u->sent > 0)
 			return u;
 		if (best == NULL || precedes(u, best))
 			best = u;
@@ -192,11 +192,11 @@
 static size_t
 slice_len(const struct wts *wts, size_t len)
 {
-	uint64_t most = wts->conf.upload_bytes_s / (SECOND_US / SLICE_US);
+	uint64_t max_len = wts->conf.upload_bytes_s / (SECOND_US / SLICE_US);
 	size_t n;
 
-	most = CLAMP(most, SLICE_MIN, PROTO_SLICE_MAX);
-	n = (len + most - 1) / most;
+	max_len = CLAMP(max_len, SLICE_MIN, PROTO_SLICE_MAX);
+	n = (len + max_len - 1) / max_len;
 	return (len + n - 1) / n;
 }
 
@@ -207,20 +207,20 @@
 	struct wts *wts = u->to->xfer->wts;
 	gsize len;
 	const uint8_t *data = g_bytes_get_data(u->bytes, &len);
-	size_t n = MIN(slice_len(wts, len), len - u->at);
-	bool last = u->at + n == len;
+	size_t n = MIN(slice_len(wts, len), len - u->sent);
+	bool last = u->sent + n == len;
 	struct proto_data slice = {
 		.index = u->index,
-		.offset = u->at,
+		.offset = u->sent,
 		.load = serve_record_load(u->to),
-		.bytes = { data + u->at, n },
+		.bytes = { data + u->sent, n },
 	};
 
 	conn_send(u->to->conn, &proto_data_desc, &slice);
 	bucket_take(&wts->up, n, now_us);
 	ctr_add(wts->counts.sent_bytes, (int64_t)n);
-	u->at += n;
-	u->moved_us = now_us;
+	u->sent += n;
+	u->progress_us = now_us;
 	return last;
 }
 
@@ -236,7 +236,7 @@
 		struct peer *peer = u->to;
 
 		if (conn_queued(peer->conn) < CONN_LOW_WATER ||
-		    now_us - u->moved_us < UPLOAD_STALL_US) {
+		    now_us - u->progress_us < UPLOAD_STALL_US) {
 			u = TAILQ_NEXT(u, link);
 			continue;
 		}
--- a/lib/weights/xfer.c
+++ b/lib/weights/xfer.c
@@ -101,7 +101,7 @@
 }
 
 static void
-on_filled(struct hold_version *held, uint64_t index, void *ctx)
+on_filled(struct hold_version *version, uint64_t index, void *ctx)
 {
 	struct xfer *x = ctx;
 
--- a/tests/weights/test_pick.c
+++ b/tests/weights/test_pick.c
@@ -87,15 +87,15 @@
 }
 
 static const struct rank *
-reader(unsigned int place)
+reader(unsigned int index)
 {
 	size_t i;
 
 	for (i = 0; i < HOSTS; i++) {
-		if (ranks[i].self == place)
+		if (ranks[i].self == index)
 			return &ranks[i];
 	}
-	fail_msg("no reader %u", place);
+	fail_msg("no reader %u", index);
 	return NULL;
 }
 
