--- a/lib/weights/hold.c
+++ b/lib/weights/hold.c
@@ -5,7 +5,7 @@
 
 struct hold_chunk;
 
-/* One place of one version that needs a chunk. */
+/* One position in one version that needs a chunk. */
 struct hold_use {
 	LIST_ENTRY(hold_use) link;
 	struct hold_version *version;
@@ -15,7 +15,7 @@
 struct hold_chunk {
 	struct digest digest;
 	uint64_t len;
-	GBytes *bytes; /* NULL until it came */
+	GBytes *bytes; /* NULL until received */
 	LIST_HEAD(use_list, hold_use) uses;
 };
 
@@ -61,7 +61,7 @@
 {
 	if (hold == NULL)
 		return;
-	hold_sweep(hold);
+	hold_release_retired(hold);
 	g_assert(g_hash_table_size(hold->chunks) == 0);
 	g_hash_table_unref(hold->chunks);
 	g_free(hold);
@@ -103,9 +103,10 @@
 		add_use(version, i, version_chunk_digest(list, i),
 		    version_chunk_len(v, i));
 	}
-	/* A chunk that occurs twice, or in another version, counted once. */
+	/* A chunk that occurs twice, or in another version too, is counted
+	 * once. */
 	if (hold->reserved > hold->limit)
-		hold_sweep(hold);
+		hold_release_retired(hold);
 	if (hold->reserved > hold->limit) {
 		if (missing_out != NULL)
 			*missing_out = hold->reserved - hold->limit;
@@ -146,7 +147,7 @@
 }
 
 void
-hold_sweep(struct hold *hold)
+hold_release_retired(struct hold *hold)
 {
 	struct hold_version *version;
 
--- a/lib/weights/peers.c
+++ b/lib/weights/peers.c
@@ -1,4 +1,4 @@
-/* Connections to the other hosts of a rollout, and what they are told. */
+/* Connections to the other hosts of a rollout, and updates sent to them. */
 
 #include <string.h>
 
@@ -7,73 +7,75 @@
 
 /*
  * A host dials as many peers as the number of members has binary digits, and
- * about as many dial it: with fewer some corners of a large rollout starve,
- * and end late. Two of them are in other domains, and keep the domains from
- * running dry of each other's chunks.
+ * about as many dial it. With fewer connections some hosts of a large rollout
+ * lack sources and finish late. Two of the peers are in other domains, so that
+ * no domain runs out of chunks that only another one has.
  */
 #define DIAL_MIN 4
-#define DIAL_FAR 2
-#define DIAL_ALL 12 /* members of a rollout that connects all to all */
+#define DIAL_CROSS_DOMAIN 2
+#define DIAL_ALL 12 /* with fewer members, all hosts connect to each other */
 #define PEERS_MAX 40
 #define REDIAL_US 250000
 #define REDIAL_DOUBLINGS 5
-/* Long beside the time that others need to take a chunk's place, short beside
- * a rollout: a host that was only slow comes back into use. */
-#define REFUSE_US (10 * (int64_t)1000000)
+/* Long compared to the time in which other hosts take over the chunks of the
+ * refused one, short compared to a rollout, so that a host that was only slow
+ * is used again. */
+#define REFUSAL_US (10 * (int64_t)1000000)
 
 /* ------------------------------------------------------------------ */
-/* Telling                                                             */
+/* Updates                                                             */
 /* ------------------------------------------------------------------ */
 
 static void
-clear_news(struct peer *peer)
+clear_update(struct peer *peer)
 {
 	g_byte_array_set_size(peer->gained, 0);
 	g_byte_array_set_size(peer->claims, 0);
 }
 
 static void
-send_news(void *ctx)
+send_update(void *ctx)
 {
 	struct peer *peer = ctx;
 	struct wts *wts = peer->xfer->wts;
-	struct proto_news news = {
+	struct proto_update update = {
 		.gained = { peer->gained->data, peer->gained->len },
 		.claims = { peer->claims->data, peer->claims->len },
-		.load = serve_load(peer),
+		.load = serve_record_load(peer),
 	};
 
-	peer->news_after_us =
-	    clk_now_us(wts->clock) + peer->xfer->news_interval_us;
-	conn_send(peer->conn, &proto_news_desc, &news);
-	clear_news(peer);
+	peer->next_update_us =
+	    clk_now_us(wts->clock) + peer->xfer->update_interval_us;
+	conn_send(peer->conn, &proto_update_desc, &update);
+	clear_update(peer);
 }
 
-/* The first news go at once, what follows within the interval as one. */
+/* The first update is sent at once; changes within the interval are combined
+ * into the next. */
 static void
-tell_soon(struct peer *peer)
+schedule_update(struct peer *peer)
 {
 	if (peer->open)
-		timer_set_earlier(&peer->news_timer, peer->news_after_us);
+		timer_set_earlier(&peer->update_timer, peer->next_update_us);
 }
 
 void
-peers_tell_gained(struct xfer *x, uint64_t index)
+peers_queue_gained(struct xfer *x, uint64_t index)
 {
 	struct peer *peer;
 
 	TAILQ_FOREACH (peer, &x->peers, link) {
-		/* One that has the chunk only gains by it for its count of
-		 * holders; that is not worth the bytes. */
-		if (!peer->told_have || bits_get(peer->for_chunks.bits, index))
+		/* A peer that has the chunk would only update its count of
+		 * holders; this is not worth the bytes. */
+		if (!peer->have_sent || bits_get(peer->for_chunks.bits, index))
 			continue;
 		proto_add_index(peer->gained, (uint32_t)index);
-		tell_soon(peer);
+		schedule_update(peer);
 	}
 }
 
 void
-peers_tell_claim(struct xfer *x, uint64_t index, unsigned int rank,
+peers_queue_claim(struct xfer *x, uint64_t index, unsigned int rank,
     const struct peer *except)
 {
 	uint8_t rank8 = (uint8_t)MIN(rank, UINT8_MAX);
@@ -84,20 +86,20 @@
 			continue;
 		proto_add_index(peer->claims, (uint32_t)index);
 		g_byte_array_append(peer->claims, &rank8, 1);
-		tell_soon(peer);
+		schedule_update(peer);
 	}
 }
 
 void
-peers_tell_idle(struct wts *wts)
+peers_queue_idle(struct wts *wts)
 {
 	struct peer *peer;
 	struct xfer *x;
 
 	TAILQ_FOREACH (x, &wts->xfers, link) {
 		TAILQ_FOREACH (peer, &x->peers, link) {
-			if (peer->told_load > 0)
-				tell_soon(peer);
+			if (peer->sent_load > 0)
+				schedule_update(peer);
 		}
 	}
 }
@@ -119,7 +121,7 @@
 }
 
 void
-peer_tell_have(struct peer *peer)
+peer_send_have(struct peer *peer)
 {
 	struct xfer *x = peer->xfer;
 	uint64_t n = x->pick->conf.chunks;
@@ -136,12 +138,12 @@
 	}
 	have = (struct proto_have){
 		.bits = { bits->data, bits->len },
-		.load = serve_load(peer),
+		.load = serve_record_load(peer),
 		.known = { known->data, known->len },
 	};
 	conn_send(peer->conn, &proto_have_desc, &have);
-	peer->told_have = true;
-	clear_news(peer);
+	peer->have_sent = true;
+	clear_update(peer);
 	g_byte_array_unref(bits);
 	g_byte_array_unref(known);
 }
@@ -157,8 +159,8 @@
 
 	peer->open = true;
 	conn_send(peer->conn, &proto_join_desc, &join);
-	if (x->held != NULL)
-		peer_tell_have(peer);
+	if (x->stored != NULL)
+		peer_send_have(peer);
 }
 
 /* ------------------------------------------------------------------ */
@@ -192,22 +194,22 @@
 }
 
 static struct peer *
-new_peer(struct xfer *x, const char *id, bool near)
+new_peer(struct xfer *x, const char *id, bool same_domain)
 {
 	struct peer *peer = g_new0(struct peer, 1);
 	struct member *m = peers_member(x, id);
 
 	peer->xfer = x;
 	peer->id = g_strdup(id);
-	peer->near = near;
+	peer->same_domain = same_domain;
 	peer->gained = g_byte_array_new();
 	peer->claims = g_byte_array_new();
-	LIST_INIT(&peer->intakes);
-	timer_init(&peer->news_timer, x->wts->clock, send_news, peer);
+	LIST_INIT(&peer->incoming_chunks);
+	timer_init(&peer->update_timer, x->wts->clock, send_update, peer);
 	peer->for_list.owner = peer;
 	peer->for_chunks.owner = peer;
-	pick_add_peer(x->list_pick, &peer->for_list, near);
-	pick_add_peer(x->pick, &peer->for_chunks, near);
+	pick_add_peer(x->list_pick, &peer->for_list, same_domain);
+	pick_add_peer(x->pick, &peer->for_chunks, same_domain);
 	TAILQ_INSERT_TAIL(&x->peers, peer, link);
 	if (m != NULL)
 		m->peer = peer;
@@ -221,24 +223,25 @@
 	struct wts *wts = x->wts;
 	struct member *m = peers_member(x, peer->id);
 	int64_t now_us = clk_now_us(wts->clock);
-	struct intake *in;
+	struct incoming *chunk;
 
-	serve_forget(peer);
-	while ((in = LIST_FIRST(&peer->intakes)) != NULL)
-		intake_free(in);
+	serve_cancel(peer);
+	while ((chunk = LIST_FIRST(&peer->incoming_chunks)) != NULL)
+		incoming_free(chunk);
 	pick_remove_peer(x->list_pick, &peer->for_list, now_us);
 	pick_remove_peer(x->pick, &peer->for_chunks, now_us);
-	timer_stop(&peer->news_timer);
+	timer_stop(&peer->update_timer);
 	TAILQ_REMOVE(&x->peers, peer, link);
 	if (m != NULL && m->peer == peer) {
 		m->peer = NULL;
-		m->dial_after_us = now_us +
+		m->redial_at_us = now_us +
 		    ((int64_t)REDIAL_US << MIN(m->failures, REDIAL_DOUBLINGS));
 		m->failures = peer->has_list ? 1 : m->failures + 1;
 	}
 	if (peer->conn != NULL) {
 		g_hash_table_remove(wts->by_conn, peer->conn);
-		/* `closed` comes from the loop, maybe after wts has gone. */
+		/* `closed` is called from the main loop, possibly after wts was
+		 * freed. */
 		if (peer->dialled)
 			conn_set_ctx(peer->conn, NULL);
 		conn_close(peer->conn);
@@ -256,21 +259,22 @@
 {
 	struct xfer *x = peer->xfer;
 	struct member *m = peers_member(x, peer->id);
-	int64_t until_us = clk_now_us(x->wts->clock) + REFUSE_US;
+	int64_t until_us = clk_now_us(x->wts->clock) + REFUSAL_US;
 
-	if (MAX(peer->for_list.strikes, peer->for_chunks.strikes) <
-	    PICK_STRIKES_DROP)
+	if (MAX(peer->for_list.failures, peer->for_chunks.failures) <
+	    PICK_FAILURES_DROP)
 		return;
-	log_warn("weights: %s failed too often; refused for a while", peer->id);
+	log_warn("weights: peer %s failed repeatedly; refused temporarily",
+	    peer->id);
 	peer_drop(peer);
 	if (m == NULL)
 		return;
-	m->dial_after_us = until_us;
+	m->redial_at_us = until_us;
 	m->refuse_until_us = until_us;
 }
 
 void
-peers_drop_gone(struct xfer *x)
+peers_drop_removed(struct xfer *x)
 {
 	struct peer *peer = TAILQ_FIRST(&x->peers);
 
@@ -278,7 +282,8 @@
 		struct peer *next = TAILQ_NEXT(peer, link);
 		struct member *m = peers_member(x, peer->id);
 
-		/* One that dialled us may know of its membership earlier. */
+		/* A host that dialled this one may have learned of its
+		 * membership earlier. */
 		if (m == NULL && peer->dialled)
 			peer_drop(peer);
 		else if (m != NULL)
@@ -303,7 +308,7 @@
 	if (peer == NULL)
 		return;
 	if (strcmp(conn_peer(c), peer->id) != 0) {
-		/* Another host has taken the address over. */
+		/* Another host uses the address now. */
 		peer_drop(peer);
 		return;
 	}
@@ -342,21 +347,22 @@
 dial(struct xfer *x, struct member *m)
 {
 	struct wts *wts = x->wts;
-	bool near = strcmp(m->domain, wts->conf.domain) == 0;
-	struct peer *peer = new_peer(x, m->id, near);
+	bool same_domain = strcmp(m->domain, wts->conf.domain) == 0;
+	struct peer *peer = new_peer(x, m->id, same_domain);
 
 	peer->dialled = true;
 	peer->conn = conn_dial(wts->conf.node, m->address, &dialled_ops, wts);
 	g_hash_table_insert(wts->by_conn, peer->conn, peer);
 }
 
-/* How many dials go to the own failure domain and to others. */
+/* Number of connections to dial within this host's failure domain and to
+ * others. */
 struct quota {
-	unsigned int near, far;
+	unsigned int same_domain, cross_domain;
 };
 
 static bool
-member_is_near(const struct xfer *x, const struct member *m)
+in_same_domain(const struct xfer *x, const struct member *m)
 {
 	return strcmp(m->domain, x->wts->conf.domain) == 0;
 }
@@ -364,34 +370,37 @@
 static struct quota
 dial_quota(const struct xfer *x)
 {
-	unsigned int near = 0;
-	unsigned int far = 0;
+	unsigned int same_domain = 0;
+	unsigned int cross_domain = 0;
 	unsigned int dials;
 	guint i;
 
 	for (i = 0; i < x->members->len; i++) {
-		if (member_is_near(x, x->members->pdata[i]))
-			near++;
+		if (in_same_domain(x, x->members->pdata[i]))
+			same_domain++;
 		else
-			far++;
+			cross_domain++;
 	}
 	dials = MAX(DIAL_MIN, g_bit_storage(x->members->len));
-	far = MIN(far, DIAL_FAR);
-	near = MIN(near, dials - far);
-	return (struct quota){ near, dials - near };
+	cross_domain = MIN(cross_domain, DIAL_CROSS_DOMAIN);
+	same_domain = MIN(same_domain, dials - cross_domain);
+	return (struct quota){ same_domain, dials - same_domain };
 }
 
 static bool
-should_connect(const struct xfer *x, const struct member *m, struct quota *left)
+should_connect(
+    const struct xfer *x, const struct member *m, struct quota *remaining)
 {
-	unsigned int *of = member_is_near(x, m) ? &left->near : &left->far;
+	unsigned int *quota = in_same_domain(x, m) ? &remaining->same_domain
+						   : &remaining->cross_domain;
 
-	if (*of > 0) {
-		--*of;
+	if (*quota > 0) {
+		--*quota;
 		return true;
 	}
-	/* Readers know each other, so that one which falls silent is missed
-	 * by those who step in for it and not by chance of the graph. */
+	/* Readers are connected to each other, so that a failed reader is
+	 * detected directly by those that take over, independently of the
+	 * connection graph. */
 	return x->members->len < DIAL_ALL ||
 	    (m->reader && x->pick->rank.self != RANK_NONE);
 }
@@ -400,18 +409,19 @@
 peers_dial(struct xfer *x)
 {
 	int64_t now_us = clk_now_us(x->wts->clock);
-	struct quota left = dial_quota(x);
+	struct quota remaining = dial_quota(x);
 	guint i;
 
 	for (i = 0; i < x->members->len; i++) {
 		struct member *m = x->members->pdata[i];
 
-		/* One that cannot be reached now is replaced by the next. */
-		if (m->peer == NULL && m->dial_after_us > now_us) {
-			timer_set_earlier(&x->dial_timer, m->dial_after_us);
+		/* A member that cannot be reached now is replaced by the
+		 * next. */
+		if (m->peer == NULL && m->redial_at_us > now_us) {
+			timer_set_earlier(&x->dial_timer, m->redial_at_us);
 			continue;
 		}
-		if (should_connect(x, m, &left) && m->peer == NULL)
+		if (should_connect(x, m, &remaining) && m->peer == NULL)
 			dial(x, m);
 	}
 }
@@ -420,10 +430,10 @@
 /* Accepting                                                           */
 /* ------------------------------------------------------------------ */
 
-/* Two hosts that dialled each other keep the connection that the lower id
- * dialled; both ends choose alike. */
+/* Two hosts that dialled each other keep the connection dialled by the host
+ * with the lower id; both ends decide alike. */
 static bool
-replaces(const struct peer *old, const char *own_id)
+is_replaceable(const struct peer *old, const char *own_id)
 {
 	return !old->dialled || strcmp(own_id, old->id) > 0;
 }
@@ -440,7 +450,7 @@
 	if (m != NULL && m->refuse_until_us > clk_now_us(x->wts->clock))
 		return NULL;
 	if (old != NULL) {
-		if (!replaces(old, x->wts->conf.id))
+		if (!is_replaceable(old, x->wts->conf.id))
 			return NULL;
 		peer_drop(old);
 	}
--- a/lib/weights/pick.c
+++ b/lib/weights/pick.c
@@ -1,4 +1,4 @@
-/* The state that fetches are chosen from, and the events that change it. */
+/* The state from which fetches are chosen, and the events that change it. */
 
 #include <string.h>
 
@@ -6,28 +6,32 @@
 #include "weights/pick.h"
 
 #define SECOND_US 1000000
-#define PATIENCE_MIN_US (SECOND_US / 2) /* above scheduling and TCP hiccups */
-#define PATIENCE_MAX_US (30 * (int64_t)SECOND_US)
-#define PATIENCE_GAPS 4 /* times the usual longest gap */
-#define FIRST_GAP_CHUNKS 8 /* before anything was measured, in chunk times */
-#define SILENCE_MIN_US SECOND_US /* beside the time that a claim travels */
-#define SILENCE_MAX_US (60 * (int64_t)SECOND_US)
-#define SILENCE_CHUNKS 16 /* times a chunk takes on this host's link */
-#define SILENCE_READS 4 /* times a read was measured to take */
-#define BUSY_REST_CHUNKS 2 /* chunk times until a busy peer is asked again */
-#define STRIKE_REST_US (SECOND_US / 4)
-#define STRIKES_MAX 8
-#define READ_REST_US (SECOND_US / 4)
-/* Few hosts read, so asking an origin that is away often costs little; each
- * moment from its return to the next try is one more in which engines whose
- * weights are due stand idle. */
-#define READ_REST_MAX_US (SECOND_US * 15 / 100)
-/* Peers that are busy halve what arrives now and then; a link squeezed to an
- * eighth stays far below. */
-#define NARROW_SHARE 0.3
-#define RATE_WEIGHT 0.25 /* of the newest chunk */
+/* Exceeds scheduling and TCP delays. */
+#define STALL_TIMEOUT_MIN_US (SECOND_US / 2)
+#define STALL_TIMEOUT_MAX_US (30 * (int64_t)SECOND_US)
+#define STALL_TIMEOUT_GAPS 4 /* times the average longest gap */
+#define FIRST_GAP_CHUNKS 8 /* initial value, in chunk times */
+/* Added to the propagation time of a claim. */
+#define CLAIM_TIMEOUT_MIN_US SECOND_US
+#define CLAIM_TIMEOUT_MAX_US (60 * (int64_t)SECOND_US)
+/* Times the transfer time of a chunk on this host's link. */
+#define CLAIM_TIMEOUT_CHUNKS 16
+#define CLAIM_TIMEOUT_READS 4 /* times the measured duration of a read */
+/* Chunk times before a busy peer is asked again. */
+#define BUSY_BACKOFF_CHUNKS 2
+#define FAILURE_BACKOFF_US (SECOND_US / 4)
+#define FAILURES_MAX 8
+#define READ_BACKOFF_US (SECOND_US / 4)
+/* Few hosts read, so retrying an unavailable origin often costs little. Any
+ * delay between the origin's return and the next retry prolongs the time in
+ * which engines that need the weights are idle. */
+#define READ_BACKOFF_MAX_US (SECOND_US * 15 / 100)
+/* Busy peers can halve the received rate at times; on a link limited to an
+ * eighth of its rate the fraction stays far below this value. */
+#define SLOW_LINK_FRACTION 0.3
+#define RATE_SMOOTHING 0.25 /* weight of the newest chunk */
 #define PAUSE_MAX_US SECOND_US
-#define AVERAGE_SHARE 8 /* of the newest sample: one eighth */
+#define AVERAGE_DIVISOR 8 /* the newest sample has a weight of one eighth */
 
 int64_t
 pick_chunk_us(const struct pick *p)
@@ -38,29 +42,29 @@
 }
 
 static void
-average(int64_t *value, int64_t sample)
+update_average(int64_t *value, int64_t sample)
 {
-	*value += (sample - *value) / AVERAGE_SHARE;
+	*value += (sample - *value) / AVERAGE_DIVISOR;
 }
 
 int64_t
-pick_patience_us(const struct pick *p)
+pick_stall_timeout_us(const struct pick *p)
 {
-	int64_t us = PATIENCE_MIN_US + PATIENCE_GAPS * p->gap_us;
+	int64_t us = STALL_TIMEOUT_MIN_US + STALL_TIMEOUT_GAPS * p->gap_us;
 
-	return MIN(us, PATIENCE_MAX_US);
+	return MIN(us, STALL_TIMEOUT_MAX_US);
 }
 
 int64_t
-pick_silence_us(const struct pick *p)
+pick_claim_timeout_us(const struct pick *p)
 {
-	int64_t us =
-	    MAX(SILENCE_CHUNKS * pick_chunk_us(p), SILENCE_READS * p->read_us);
+	int64_t us = MAX(CLAIM_TIMEOUT_CHUNKS * pick_chunk_us(p),
+	    CLAIM_TIMEOUT_READS * p->read_time_us);
 
-	us += p->conf.silence_min_us > 0 ? p->conf.silence_min_us
-					 : SILENCE_MIN_US;
-	us += PICK_NEWS_HOPS * p->conf.news_us;
-	return MIN(us, SILENCE_MAX_US);
+	us += p->conf.claim_timeout_min_us > 0 ? p->conf.claim_timeout_min_us
+					       : CLAIM_TIMEOUT_MIN_US;
+	us += PICK_UPDATE_HOPS * p->conf.update_interval_us;
+	return MIN(us, CLAIM_TIMEOUT_MAX_US);
 }
 
 /* ------------------------------------------------------------------ */
@@ -74,43 +78,43 @@
 	uint64_t i;
 
 	p->conf = *conf;
-	pick_set_reads(p, conf->reads);
+	pick_set_reads(p, conf->max_reads);
 	p->start_us = now_us;
-	p->share = 1;
+	p->rate_fraction = 1;
 	p->unclaimed = conf->chunks;
 	p->chunks = g_new0(struct pick_chunk, conf->chunks);
 	p->need = bits_new(conf->chunks);
 	for (i = 0; i < conf->chunks; i++)
 		bits_set(p->need, i);
 	TAILQ_INIT(&p->peers);
-	TAILQ_INIT(&p->asks);
+	TAILQ_INIT(&p->fetches);
 	p->gap_us = FIRST_GAP_CHUNKS * pick_chunk_us(p);
 	return p;
 }
 
 static void
-remove_ask(struct pick *p, struct pick_ask *ask)
+remove_fetch(struct pick *p, struct pick_fetch *fetch)
 {
-	TAILQ_REMOVE(&p->asks, ask, link);
-	if (ask->peer != NULL) {
-		ask->peer->open--;
-		p->open_asks--;
+	TAILQ_REMOVE(&p->fetches, fetch, link);
+	if (fetch->peer != NULL) {
+		fetch->peer->open_requests--;
+		p->open_requests--;
 	} else {
 		p->open_reads--;
 	}
-	g_free(ask);
+	g_free(fetch);
 }
 
 void
 pick_free(struct pick *p)
 {
-	struct pick_ask *ask;
+	struct pick_fetch *fetch;
 
 	if (p == NULL)
 		return;
 	g_assert(TAILQ_EMPTY(&p->peers));
-	while ((ask = TAILQ_FIRST(&p->asks)) != NULL)
-		remove_ask(p, ask);
+	while ((fetch = TAILQ_FIRST(&p->fetches)) != NULL)
+		remove_fetch(p, fetch);
 	g_free(p->chunks);
 	g_free(p->need);
 	g_free(p);
@@ -120,7 +124,7 @@
 same_readers(const struct rank *a, const struct rank *b)
 {
 	return a->nreaders == b->nreaders &&
-	    memcmp(a->reader, b->reader, sizeof(a->reader)) == 0;
+	    memcmp(a->reader_hash, b->reader_hash, sizeof(a->reader_hash)) == 0;
 }
 
 void
@@ -132,125 +136,125 @@
 	p->conf.members = members;
 	if (p->ranked && same_readers(&p->rank, rank)) {
 		p->rank = *rank;
-		p->no_read_us = 0;
+		p->next_read_us = 0;
 		return;
 	}
 	p->rank = *rank;
 	p->ranked = true;
-	/* Readers have changed places; each gets its time again. */
+	/* The readers changed, so each gets the full timeout again. */
 	p->start_us = now_us;
 	memset(p->claims_us, 0, sizeof(p->claims_us));
-	memset(p->paces, 0, sizeof(p->paces));
-	p->no_read_us = 0;
+	memset(p->reader_rates, 0, sizeof(p->reader_rates));
+	p->next_read_us = 0;
 	for (i = 0; i < p->conf.chunks; i++)
-		p->chunks[i].reader = (uint8_t)rank_first(rank, i);
+		p->chunks[i].reader = (uint8_t)rank_first_reader(rank, i);
 }
 
 void
 pick_settle(struct pick *p, int64_t until_us)
 {
-	p->settle_us = until_us;
-	p->no_read_us = 0;
+	p->settle_until_us = until_us;
+	p->next_read_us = 0;
 }
 
 void
-pick_set_far(struct pick *p, uint64_t index, unsigned int rank, int64_t step_us)
+pick_set_cross_domain(
+    struct pick *p, uint64_t index, unsigned int rank, int64_t step_us)
 {
-	p->conf.far_step_us = step_us;
-	p->chunks[index].far_rank = (uint8_t)MIN(rank, UINT8_MAX);
+	p->conf.cross_domain_step_us = step_us;
+	p->chunks[index].cross_domain_rank = (uint8_t)MIN(rank, UINT8_MAX);
 }
 
 void
-pick_set_silence(struct pick *p, int64_t min_us)
+pick_set_claim_timeout(struct pick *p, int64_t min_us)
 {
-	p->conf.silence_min_us = min_us;
+	p->conf.claim_timeout_min_us = min_us;
 }
 
 void
 pick_set_copies(struct pick *p, unsigned int copies)
 {
-	p->conf.copies = copies;
+	p->conf.origin_copies = copies;
 }
 
 void
 pick_set_reads(struct pick *p, unsigned int reads)
 {
-	p->conf.reads = MAX(1, reads);
+	p->conf.max_reads = MAX(1, reads);
 }
 
 void
-pick_add_peer(struct pick *p, struct pick_peer *peer, bool near)
+pick_add_peer(struct pick *p, struct pick_peer *peer, bool same_domain)
 {
 	peer->bits = bits_new(p->conf.chunks);
 	peer->have = 0;
-	peer->near = near;
-	peer->open = 0;
+	peer->same_domain = same_domain;
+	peer->open_requests = 0;
 	TAILQ_INSERT_TAIL(&p->peers, peer, link);
 }
 
 void
 pick_remove_peer(struct pick *p, struct pick_peer *peer, int64_t now_us)
 {
-	struct pick_ask *ask = TAILQ_FIRST(&p->asks);
+	struct pick_fetch *fetch = TAILQ_FIRST(&p->fetches);
 	uint64_t i;
 
-	while (ask != NULL) {
-		struct pick_ask *next = TAILQ_NEXT(ask, link);
+	while (fetch != NULL) {
+		struct pick_fetch *next = TAILQ_NEXT(fetch, link);
 
-		if (ask->peer == peer)
-			pick_ended(p, ask->index, peer, PICK_GONE, now_us);
-		ask = next;
+		if (fetch->peer == peer)
+			pick_failed(
+			    p, fetch->index, peer, PICK_CANCELLED, now_us);
+		fetch = next;
 	}
 	for (i = 0; i < p->conf.chunks; i++) {
 		if (!bits_get(peer->bits, i))
 			continue;
 		p->chunks[i].holders--;
-		p->chunks[i].near_holders -= peer->near;
+		p->chunks[i].domain_holders -= peer->same_domain;
 	}
 	TAILQ_REMOVE(&p->peers, peer, link);
-	p->no_read_us = 0;
+	p->next_read_us = 0;
 	g_clear_pointer(&peer->bits, g_free);
 }
 
 static void
-note_pace(struct pick_pace *pace, int64_t now_us)
+note_claim_time(struct pick_reader_rate *rate, int64_t now_us)
 {
-	if (pace->claims++ == 0)
-		pace->first_us = now_us;
-	pace->last_us = now_us;
+	if (rate->claims++ == 0)
+		rate->first_us = now_us;
+	rate->last_us = now_us;
 }
 
 static bool
 mark_claimed(struct pick *p, uint64_t index, unsigned int rank, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	bool news = !c->claimed;
+	bool is_new = !c->claimed;
 
 	c->claimed = true;
-	c->heard = true;
-	c->failed_here = false;
+	c->claim_seen = true;
+	c->read_failed = false;
 	c->claimed_us = now_us;
 	c->claimed_rank = (uint8_t)MIN(rank, PICK_RANK_UNKNOWN);
-	p->unclaimed -= news;
-	if (news && rank == 0)
-		note_pace(&p->paces[c->reader], now_us);
+	p->unclaimed -= is_new;
+	if (is_new && rank == 0)
+		note_claim_time(&p->reader_rates[c->reader], now_us);
 	p->claims_us[c->reader][MIN(rank, PICK_RANK_UNKNOWN)] = now_us;
-	return news;
+	return is_new;
 }
 
-/*
- * A chunk that nobody had came to a peer: the origin answers. Reads that failed
- * here before need not rest longer, or the last chunks of a version come late
- * by whatever is left of that rest.
- */
+/* A chunk that no peer had has appeared at a peer, so the origin responds. Ends
+ * the backoff after failed reads of this host; otherwise the last chunks of a
+ * version would be delayed by the rest of the backoff. */
 static void
-note_origin_back(struct pick *p)
+clear_read_backoff(struct pick *p)
 {
 	if (p->read_failures == 0)
 		return;
 	p->read_failures = 0;
-	p->read_after_us = 0;
-	p->no_read_us = 0;
+	p->read_backoff_until_us = 0;
+	p->next_read_us = 0;
 }
 
 bool
@@ -261,14 +265,14 @@
 
 	if (bits_get(peer->bits, index))
 		return false;
-	if (c->holders == 0 && c->state < PICK_CHECKING)
-		note_origin_back(p);
+	if (c->holders == 0 && c->state < PICK_VERIFYING)
+		clear_read_backoff(p);
 	bits_set(peer->bits, index);
 	peer->have++;
 	c->holders++;
-	c->near_holders += peer->near;
-	if (!peer->near && c->far_since_us == 0)
-		c->far_since_us = now_us;
+	c->domain_holders += peer->same_domain;
+	if (!peer->same_domain && c->cross_domain_since_us == 0)
+		c->cross_domain_since_us = now_us;
 	if (c->claimed)
 		return false;
 	c->claimed = true;
@@ -281,7 +285,7 @@
 pick_peer_load(struct pick_peer *peer, unsigned int load, int64_t now_us)
 {
 	peer->load = load;
-	peer->load_us = now_us;
+	peer->load_at_us = now_us;
 }
 
 bool
@@ -289,19 +293,22 @@
 {
 	const struct pick_chunk *c = &p->chunks[index];
 
-	/* One of a higher rank takes the chunk over, and tells the others so.
-	 * A claim is the reader's sign of life also where the chunk itself came
-	 * sooner than the claim; passed over, a reader that is quicker than
-	 * news travel would be taken for silent. */
-	if (c->heard && MIN(rank, PICK_RANK_UNKNOWN) <= c->claimed_rank &&
-	    now_us - c->claimed_us < pick_silence_us(p))
+	/*
+	 * A claim of a higher rank means that its host takes over the chunk;
+	 * this is forwarded. A claim also shows that the reader is alive, even
+	 * if the chunk itself was seen before the claim. Ignoring such a claim
+	 * would make a reader whose chunks arrive before its claims appear to
+	 * have failed.
+	 */
+	if (c->claim_seen && MIN(rank, PICK_RANK_UNKNOWN) <= c->claimed_rank &&
+	    now_us - c->claimed_us < pick_claim_timeout_us(p))
 		return false;
 	mark_claimed(p, index, rank, now_us);
 	return true;
 }
 
 bool
-pick_known(struct pick *p, uint64_t index, int64_t now_us)
+pick_mark_known(struct pick *p, uint64_t index, int64_t now_us)
 {
 	if (p->chunks[index].claimed)
 		return false;
@@ -312,116 +319,119 @@
 pick_begin(struct pick *p, const struct pick_action *a, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[a->index];
-	struct pick_ask *ask = g_new0(struct pick_ask, 1);
+	struct pick_fetch *fetch = g_new0(struct pick_fetch, 1);
 
 	g_assert(c->state == PICK_MISSING);
 	bits_clear(p->need, a->index);
-	ask->index = a->index;
-	ask->since_us = now_us;
-	ask->moved_us = now_us;
-	TAILQ_INSERT_TAIL(&p->asks, ask, link);
-	if (a->kind == PICK_ASK) {
-		c->state = PICK_ASKED;
-		ask->peer = a->peer;
-		a->peer->open++;
-		p->open_asks++;
+	fetch->index = a->index;
+	fetch->start_us = now_us;
+	fetch->last_byte_us = now_us;
+	TAILQ_INSERT_TAIL(&p->fetches, fetch, link);
+	if (a->kind == PICK_REQUEST) {
+		c->state = PICK_REQUESTED;
+		fetch->peer = a->peer;
+		a->peer->open_requests++;
+		p->open_requests++;
 		return;
 	}
 	g_assert(a->kind == PICK_READ);
 	c->state = PICK_READING;
-	p->no_read_us = 0;
+	p->next_read_us = 0;
 	p->open_reads++;
 	p->extra_reads += a->extra;
 	mark_claimed(p, a->index, a->rank, now_us);
 }
 
-struct pick_ask *
+struct pick_fetch *
 pick_find(const struct pick *p, uint64_t index)
 {
-	struct pick_ask *ask;
+	struct pick_fetch *fetch;
 
-	TAILQ_FOREACH (ask, &p->asks, link) {
-		if (ask->index == index)
-			return ask;
+	TAILQ_FOREACH (fetch, &p->fetches, link) {
+		if (fetch->index == index)
+			return fetch;
 	}
 	return NULL;
 }
 
 static void
-note_gap(struct pick_ask *ask, int64_t now_us)
+note_bytes(struct pick_fetch *fetch, int64_t now_us)
 {
-	ask->gap_us = MAX(ask->gap_us, now_us - ask->moved_us);
-	ask->moved_us = now_us;
+	fetch->gap_us = MAX(fetch->gap_us, now_us - fetch->last_byte_us);
+	fetch->last_byte_us = now_us;
 }
 
 void
-pick_moved(struct pick *p, uint64_t index, int64_t now_us)
+pick_progress(struct pick *p, uint64_t index, int64_t now_us)
 {
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	if (ask != NULL)
-		note_gap(ask, now_us);
+	if (fetch != NULL)
+		note_bytes(fetch, now_us);
 }
 
 bool
-pick_is_narrow(const struct pick *p)
+pick_is_link_slow(const struct pick *p)
 {
-	return p->share < NARROW_SHARE;
+	return p->rate_fraction < SLOW_LINK_FRACTION;
 }
 
 uint64_t
-pick_left_at_origin(const struct pick *p)
+pick_count_origin_only(const struct pick *p)
 {
-	uint64_t left = 0;
+	uint64_t count = 0;
 	uint64_t i;
 
 	for (i = 0; i < p->conf.chunks; i++)
-		left += p->chunks[i].holders == 0 &&
-		    p->chunks[i].state < PICK_CHECKING;
-	return left;
+		count += p->chunks[i].holders == 0 &&
+		    p->chunks[i].state < PICK_VERIFYING;
+	return count;
 }
 
-/* A chunk came from a peer, with others under way beside it. */
+/* Updates the received fraction of the download budget when a chunk arrives
+ * from a peer; the chunks requested in parallel are counted too. */
 static void
-note_rate(struct pick *p, const struct pick_ask *ask, int64_t now_us)
+update_rate_fraction(
+    struct pick *p, const struct pick_fetch *fetch, int64_t now_us)
 {
-	int64_t took_us = MAX(1, now_us - ask->since_us);
-	double bytes = (double)(p->open_asks * p->conf.chunk_bytes);
-	double share =
-	    bytes * SECOND_US / (double)took_us / (double)p->conf.rate;
+	int64_t elapsed_us = MAX(1, now_us - fetch->start_us);
+	double bytes = (double)(p->open_requests * p->conf.chunk_bytes);
+	double fraction =
+	    bytes * SECOND_US / (double)elapsed_us / (double)p->conf.rate;
 
-	p->share += (MIN(share, 1) - p->share) * RATE_WEIGHT;
-	if (pick_is_narrow(p))
-		p->pause_us = now_us + MIN(took_us, PAUSE_MAX_US);
+	p->rate_fraction +=
+	    (MIN(fraction, 1) - p->rate_fraction) * RATE_SMOOTHING;
+	if (pick_is_link_slow(p))
+		p->pause_until_us = now_us + MIN(elapsed_us, PAUSE_MAX_US);
 }
 
 void
-pick_arrived(struct pick *p, uint64_t index, int64_t now_us)
+pick_received(struct pick *p, uint64_t index, int64_t now_us)
 {
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	g_assert(ask != NULL);
-	note_gap(ask, now_us);
-	if (ask->peer != NULL) {
-		average(&p->gap_us, ask->gap_us);
-		note_rate(p, ask, now_us);
-	} else if (p->read_us == 0) {
-		p->read_us = now_us - ask->since_us;
+	g_assert(fetch != NULL);
+	note_bytes(fetch, now_us);
+	if (fetch->peer != NULL) {
+		update_average(&p->gap_us, fetch->gap_us);
+		update_rate_fraction(p, fetch, now_us);
+	} else if (p->read_time_us == 0) {
+		p->read_time_us = now_us - fetch->start_us;
 	} else {
-		average(&p->read_us, now_us - ask->since_us);
+		update_average(&p->read_time_us, now_us - fetch->start_us);
 	}
-	remove_ask(p, ask);
-	p->chunks[index].state = PICK_CHECKING;
+	remove_fetch(p, fetch);
+	p->chunks[index].state = PICK_VERIFYING;
 }
 
 void
-pick_got(struct pick *p, uint64_t index)
+pick_complete(struct pick *p, uint64_t index)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	if (ask != NULL)
-		remove_ask(p, ask);
+	if (fetch != NULL)
+		remove_fetch(p, fetch);
 	if (c->state == PICK_HAVE)
 		return;
 	c->state = PICK_HAVE;
@@ -434,71 +444,76 @@
 }
 
 static void
-rest_peer(struct pick *p, struct pick_peer *peer, enum pick_reason reason,
+back_off_peer(struct pick *p, struct pick_peer *peer, enum pick_failure reason,
     int64_t now_us)
 {
 	if (reason == PICK_BUSY) {
-		peer->rest_us = now_us + BUSY_REST_CHUNKS * pick_chunk_us(p);
+		peer->backoff_until_us =
+		    now_us + BUSY_BACKOFF_CHUNKS * pick_chunk_us(p);
 		return;
 	}
-	if (reason == PICK_GONE)
+	if (reason == PICK_CANCELLED)
 		return;
-	/* Each failure doubles the rest; a good chunk ends the row. */
-	peer->strikes = MIN(peer->strikes + 1, STRIKES_MAX);
-	peer->rest_us = now_us + ((int64_t)STRIKE_REST_US << peer->strikes);
+	/* The backoff doubles with each failure; a valid chunk resets the
+	 * count. */
+	peer->failures = MIN(peer->failures + 1, FAILURES_MAX);
+	peer->backoff_until_us =
+	    now_us + ((int64_t)FAILURE_BACKOFF_US << peer->failures);
 }
 
 static void
-rest_origin(struct pick *p, int64_t now_us)
+back_off_origin(struct pick *p, int64_t now_us)
 {
-	int64_t rest = READ_REST_US << MIN(p->read_failures, STRIKES_MAX);
+	int64_t backoff_us = READ_BACKOFF_US
+	    << MIN(p->read_failures, FAILURES_MAX);
 
 	p->read_failures++;
-	p->read_after_us = now_us + MIN(rest, READ_REST_MAX_US);
+	p->read_backoff_until_us =
+	    now_us + MIN(backoff_us, READ_BACKOFF_MAX_US);
 }
 
 static void
-note_bad_read(struct pick *p, uint64_t index)
+note_corrupt_read(struct pick *p, uint64_t index)
 {
 	struct pick_chunk *c = &p->chunks[index];
 
-	if (c->bad_reads < UINT8_MAX)
-		c->bad_reads++;
-	p->bad_read_index = index;
-	p->bad_reads = c->bad_reads;
+	if (c->corrupt_reads < UINT8_MAX)
+		c->corrupt_reads++;
+	p->corrupt_read_index = index;
+	p->corrupt_reads = c->corrupt_reads;
 }
 
 void
-pick_ended(struct pick *p, uint64_t index, struct pick_peer *peer,
-    enum pick_reason reason, int64_t now_us)
+pick_failed(struct pick *p, uint64_t index, struct pick_peer *peer,
+    enum pick_failure reason, int64_t now_us)
 {
 	struct pick_chunk *c = &p->chunks[index];
-	struct pick_ask *ask = pick_find(p, index);
+	struct pick_fetch *fetch = pick_find(p, index);
 
-	if (ask != NULL)
-		remove_ask(p, ask);
+	if (fetch != NULL)
+		remove_fetch(p, fetch);
 	if (c->state == PICK_HAVE)
 		return;
 	c->state = PICK_MISSING;
 	bits_set(p->need, index);
-	p->no_read_us = 0;
+	p->next_read_us = 0;
 	if (peer != NULL) {
-		/* One that sent wrong bytes does not have the chunk. Left
-		 * as its holder, it would keep the chunk from being read
-		 * from the origin, and be asked for it for ever. */
+		/* A peer that sent wrong bytes does not have the chunk. If it
+		 * stayed a holder, the chunk would never be read from the
+		 * origin and would be requested from this peer forever. */
 		if ((reason == PICK_REFUSED || reason == PICK_CORRUPT) &&
 		    bits_get(peer->bits, index)) {
 			bits_clear(peer->bits, index);
 			peer->have--;
 			c->holders--;
-			c->near_holders -= peer->near;
+			c->domain_holders -= peer->same_domain;
 		}
-		rest_peer(p, peer, reason, now_us);
+		back_off_peer(p, peer, reason, now_us);
 		return;
 	}
 	if (reason == PICK_CORRUPT)
-		note_bad_read(p, index);
-	c->failed_here = reason == PICK_FAILED;
-	if (reason != PICK_GONE)
-		rest_origin(p, now_us);
+		note_corrupt_read(p, index);
+	c->read_failed = reason == PICK_FAILED;
+	if (reason != PICK_CANCELLED)
+		back_off_origin(p, now_us);
 }
--- a/lib/weights/rank.c
+++ b/lib/weights/rank.c
@@ -40,9 +40,9 @@
 	return false;
 }
 
-/* The highest of the origin's own domain. */
+/* Chooses the members with the highest hashes in the origin's domain. */
 static void
-choose_readers_in(
+choose_readers_in_domain(
     struct rank *r, struct candidate *c, size_t n, const char *domain)
 {
 	size_t i;
@@ -51,12 +51,13 @@
 		if (strcmp(c[i].domain, domain) != 0)
 			continue;
 		c[i].reader = true;
-		r->reader[r->nreaders++] = c[i].hash;
+		r->reader_hash[r->nreaders++] = c[i].hash;
 	}
 }
 
-/* One of each failure domain first, so that losing a domain leaves readers
- * that know what was read already; then the highest left. */
+/* Chooses one member of each failure domain first, so that after the loss of a
+ * domain there are readers that know what was read; then the remaining members
+ * with the highest hashes. */
 static void
 choose_readers(struct rank *r, struct candidate *c, size_t n)
 {
@@ -70,7 +71,7 @@
 			if (round == 0 && domain_has_reader(c, n, c[i].domain))
 				continue;
 			c[i].reader = true;
-			r->reader[r->nreaders++] = c[i].hash;
+			r->reader_hash[r->nreaders++] = c[i].hash;
 		}
 	}
 }
@@ -88,7 +89,7 @@
     const char *domain)
 {
 	struct candidate *c = g_new0(struct candidate, n);
-	uint64_t own = member_hash(root, members[self].id);
+	uint64_t self_hash = member_hash(root, members[self].id);
 	unsigned int i;
 	size_t at;
 
@@ -102,23 +103,24 @@
 	}
 	qsort(c, n, sizeof(c[0]), by_hash);
 	if (domain != NULL)
-		choose_readers_in(r, c, n, domain);
+		choose_readers_in_domain(r, c, n, domain);
 	if (r->nreaders == 0)
 		choose_readers(r, c, n);
 	for (at = 0; c[at].index != self; at++)
-		r->later += !c[at].reader;
+		r->rank_behind += !c[at].reader;
 	r->self = RANK_NONE;
 	for (i = 0; i < r->nreaders; i++) {
-		if (r->reader[i] == own)
+		if (r->reader_hash[i] == self_hash)
 			r->self = i;
 	}
 	g_free(c);
 }
 
-/* Chunks go round the readers, so that all have the same to read: the one
- * with the most would end last, and everybody waits for its chunks. */
+/* Chunks are assigned to the readers in rotation, so that all read the same
+ * number. A reader with more chunks would finish last, and all hosts would wait
+ * for it. */
 unsigned int
-rank_first(const struct rank *r, uint64_t chunk)
+rank_first_reader(const struct rank *r, uint64_t chunk)
 {
 	return r->nreaders == 0 ? 0 : (unsigned int)(chunk % r->nreaders);
 }
@@ -126,29 +128,29 @@
 unsigned int
 rank_self(const struct rank *r, uint64_t chunk)
 {
-	unsigned int first = rank_first(r, chunk);
+	unsigned int first = rank_first_reader(r, chunk);
 
 	if (r->self == RANK_NONE)
-		return r->nreaders + r->later;
+		return r->nreaders + r->rank_behind;
 	return (r->self + r->nreaders - first) % r->nreaders;
 }
 
 unsigned int
-rank_far(const struct digest *root, const struct rank_member *members, size_t n,
-    size_t self, uint64_t chunk)
+rank_cross_domain(const struct digest *root, const struct rank_member *members,
+    size_t n, size_t self, uint64_t chunk)
 {
-	uint64_t own =
+	uint64_t self_hash =
 	    hash64(member_hash(root, members[self].id), &chunk, sizeof(chunk));
-	unsigned int ahead = 0;
+	unsigned int before = 0;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
 		if (i != self &&
 		    strcmp(members[i].domain, members[self].domain) == 0)
-			ahead += hash64(member_hash(root, members[i].id),
-				     &chunk, sizeof(chunk)) > own;
+			before += hash64(member_hash(root, members[i].id),
+				      &chunk, sizeof(chunk)) > self_hash;
 	}
-	return ahead;
+	return before;
 }
 
 bool
@@ -158,7 +160,7 @@
 	unsigned int i;
 
 	for (i = 0; i < r->nreaders; i++) {
-		if (r->reader[i] == hash)
+		if (r->reader_hash[i] == hash)
 			return true;
 	}
 	return false;
--- a/lib/weights/receive.c
+++ b/lib/weights/receive.c
@@ -1,10 +1,11 @@
-/* What peers send: their state, and bytes that are checked as they come. */
+/* Handles messages from peers: their state, and bytes that are hashed on
+ * arrival. */
 
 #include "weights/bits.h"
 #include "weights/xfer.h"
 
 void
-intake_free(struct intake *in)
+incoming_free(struct incoming *in)
 {
 	LIST_REMOVE(in, link);
 	digest_stream_free(in->stream);
@@ -12,12 +13,12 @@
 	g_free(in);
 }
 
-static struct intake *
-find_intake(struct peer *peer, uint64_t index)
+static struct incoming *
+find_incoming(struct peer *peer, uint64_t index)
 {
-	struct intake *in;
+	struct incoming *in;
 
-	LIST_FOREACH (in, &peer->intakes, link) {
+	LIST_FOREACH (in, &peer->incoming_chunks, link) {
 		if (in->index == index)
 			return in;
 	}
@@ -25,7 +26,7 @@
 }
 
 static struct pick_peer *
-side_of(struct peer *peer, uint64_t index)
+pick_peer_for(struct peer *peer, uint64_t index)
 {
 	return index == PROTO_LIST ? &peer->for_list : &peer->for_chunks;
 }
@@ -44,17 +45,18 @@
 /* ------------------------------------------------------------------ */
 
 static void
-take_join(struct peer *peer, const struct proto_join *join)
+handle_join(struct peer *peer, const struct proto_join *join)
 {
 	const char *own = peer->xfer->wts->conf.domain;
 	char *domain = slice_dup(join->domain);
 
-	/* Nothing of what it has was counted before. */
+	/* The peer's chunks have not been counted yet, so its domain can still
+	 * be set. */
 	if (!peer->joined) {
 		peer->joined = true;
-		peer->near = strcmp(domain, own) == 0;
-		peer->for_list.near = peer->near;
-		peer->for_chunks.near = peer->near;
+		peer->same_domain = strcmp(domain, own) == 0;
+		peer->for_list.same_domain = peer->same_domain;
+		peer->for_chunks.same_domain = peer->same_domain;
 	}
 	g_free(domain);
 }
@@ -66,7 +68,7 @@
 }
 
 static void
-take_have(struct peer *peer, const struct proto_have *have)
+handle_have(struct peer *peer, const struct proto_have *have)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
@@ -76,21 +78,21 @@
 	peer->has_list = true;
 	pick_peer_has(x->list_pick, &peer->for_list, 0, now_us);
 	for (i = 0; i < n; i++) {
-		bool news = false;
+		bool is_new = false;
 
 		if (has_bit(have->bits, i))
-			news = pick_peer_has(
+			is_new = pick_peer_has(
 			    x->pick, &peer->for_chunks, i, now_us);
 		else if (has_bit(have->known, i))
-			news = pick_known(x->pick, i, now_us);
-		if (news)
-			peers_tell_claim(x, i, PICK_RANK_UNKNOWN, peer);
+			is_new = pick_mark_known(x->pick, i, now_us);
+		if (is_new)
+			peers_queue_claim(x, i, PICK_RANK_UNKNOWN, peer);
 	}
 	set_load(peer, have->load);
 }
 
 static void
-take_claims(struct peer *peer, struct slice claims)
+handle_claims(struct peer *peer, struct slice claims)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
@@ -103,61 +105,61 @@
 		claims.len--;
 		if (pick != NULL &&
 		    pick_claimed(pick, xfer_pick_index(index), rank, now_us))
-			peers_tell_claim(x, index, rank, peer);
+			peers_queue_claim(x, index, rank, peer);
 	}
 }
 
 static void
-take_news(struct peer *peer, const struct proto_news *news)
+handle_update(struct peer *peer, const struct proto_update *update)
 {
 	struct xfer *x = peer->xfer;
 	int64_t now_us = clk_now_us(x->wts->clock);
-	struct slice gained = news->gained;
+	struct slice gained = update->gained;
 	uint32_t index;
 
-	take_claims(peer, news->claims);
+	handle_claims(peer, update->claims);
 	while (proto_next_index(&gained, &index)) {
 		if (index < x->pick->conf.chunks)
 			pick_peer_has(
 			    x->pick, &peer->for_chunks, index, now_us);
 	}
-	set_load(peer, news->load);
+	set_load(peer, update->load);
 }
 
 /* ------------------------------------------------------------------ */
 /* Bytes                                                               */
 /* ------------------------------------------------------------------ */
 
-/* The ask that these bytes answer, or NULL when it was given up. */
-static struct pick_ask *
-open_ask(struct peer *peer, uint64_t index)
+/* The open request that these bytes answer, or NULL if it was cancelled. */
+static struct pick_fetch *
+find_request(struct peer *peer, uint64_t index)
 {
 	struct pick *pick = xfer_pick_of(peer->xfer, index);
-	struct pick_ask *ask;
+	struct pick_fetch *fetch;
 
 	if (pick == NULL)
 		return NULL;
-	ask = pick_find(pick, xfer_pick_index(index));
-	if (ask == NULL || ask->peer != side_of(peer, index))
+	fetch = pick_find(pick, xfer_pick_index(index));
+	if (fetch == NULL || fetch->peer != pick_peer_for(peer, index))
 		return NULL;
-	return ask;
+	return fetch;
 }
 
-static struct intake *
-new_intake(struct peer *peer, uint64_t index)
+static struct incoming *
+new_incoming(struct peer *peer, uint64_t index)
 {
-	struct intake *in = g_new0(struct intake, 1);
+	struct incoming *in = g_new0(struct incoming, 1);
 
 	in->index = index;
 	in->len = xfer_len_of(peer->xfer, index);
 	in->buffer = g_malloc(in->len);
 	in->stream = xfer_stream_of(peer->xfer, index);
-	LIST_INSERT_HEAD(&peer->intakes, in, link);
+	LIST_INSERT_HEAD(&peer->incoming_chunks, in, link);
 	return in;
 }
 
 static void
-finish_intake(struct peer *peer, struct intake *in)
+finish_incoming(struct peer *peer, struct incoming *in)
 {
 	struct xfer *x = peer->xfer;
 	struct wts *wts = x->wts;
@@ -167,12 +169,12 @@
 
 	digest_stream_end(g_steal_pointer(&in->stream), &got);
 	bytes = g_bytes_new_take(g_steal_pointer(&in->buffer), in->len);
-	intake_free(in);
-	pick_arrived(xfer_pick_of(x, index), xfer_pick_index(index),
+	incoming_free(in);
+	pick_received(xfer_pick_of(x, index), xfer_pick_index(index),
 	    clk_now_us(wts->clock));
-	if (xfer_take(x, index, bytes, &got, peer)) {
+	if (xfer_accept_object(x, index, bytes, &got, peer)) {
 		ctr_add(wts->counts.peer_chunks, 1);
-		side_of(peer, index)->strikes = 0;
+		pick_peer_for(peer, index)->failures = 0;
 	} else {
 		ctr_add(wts->counts.corrupt_peer, 1);
 		log_warn("weights: chunk %" G_GUINT64_FORMAT
@@ -183,32 +185,35 @@
 }
 
 static void
-take_data(struct peer *peer, const struct proto_data *data)
+handle_data(struct peer *peer, const struct proto_data *data)
 {
 	struct xfer *x = peer->xfer;
 	struct wts *wts = x->wts;
-	struct intake *in = find_intake(peer, data->index);
+	struct incoming *in = find_incoming(peer, data->index);
 
 	wts_received(wts, data->bytes.len);
 	ctr_add(wts->counts.peer_bytes, (int64_t)data->bytes.len);
-	if (!peer->near)
-		ctr_add(wts->counts.far_bytes, (int64_t)data->bytes.len);
+	if (!peer->same_domain)
+		ctr_add(
+		    wts->counts.cross_domain_bytes, (int64_t)data->bytes.len);
 	set_load(peer, data->load);
-	if (open_ask(peer, data->index) == NULL) {
-		/* Given up, or had from elsewhere meanwhile. */
+	if (find_request(peer, data->index) == NULL) {
+		/* The request was cancelled, or the chunk was received from
+		 * elsewhere. */
 		ctr_add(wts->counts.late_bytes, (int64_t)data->bytes.len);
 		if (in != NULL)
-			intake_free(in);
+			incoming_free(in);
 		return;
 	}
 	if (in != NULL && data->offset == 0) {
-		/* Given up and asked again: the first answer's rest was
-		 * dropped, this is the second one. */
-		intake_free(in);
+		/* The chunk was requested again after a cancelled request. The
+		 * rest of the first answer was dropped; this is the second
+		 * answer. */
+		incoming_free(in);
 		in = NULL;
 	}
 	if (in == NULL && data->offset == 0)
-		in = new_intake(peer, data->index);
+		in = new_incoming(peer, data->index);
 	if (in == NULL || data->offset != in->got ||
 	    data->bytes.len > in->len - in->got) {
 		ctr_add(wts->counts.late_bytes, (int64_t)data->bytes.len);
@@ -217,24 +222,24 @@
 	memcpy(in->buffer + in->got, data->bytes.data, data->bytes.len);
 	digest_stream_add(in->stream, data->bytes.data, data->bytes.len);
 	in->got += data->bytes.len;
-	pick_moved(xfer_pick_of(x, data->index), xfer_pick_index(data->index),
-	    clk_now_us(wts->clock));
+	pick_progress(xfer_pick_of(x, data->index),
+	    xfer_pick_index(data->index), clk_now_us(wts->clock));
 	if (in->got == in->len)
-		finish_intake(peer, in);
+		finish_incoming(peer, in);
 }
 
 static void
-take_none(struct peer *peer, const struct proto_none *none)
+handle_none(struct peer *peer, const struct proto_none *none)
 {
 	struct xfer *x = peer->xfer;
 
 	set_load(peer, none->load);
-	if (open_ask(peer, none->index) == NULL)
+	if (find_request(peer, none->index) == NULL)
 		return;
 	ctr_add(x->wts->counts.busy, (int64_t)none->busy);
-	pick_ended(xfer_pick_of(x, none->index), xfer_pick_index(none->index),
-	    side_of(peer, none->index), none->busy ? PICK_BUSY : PICK_REFUSED,
-	    clk_now_us(x->wts->clock));
+	pick_failed(xfer_pick_of(x, none->index), xfer_pick_index(none->index),
+	    pick_peer_for(peer, none->index),
+	    none->busy ? PICK_BUSY : PICK_REFUSED, clk_now_us(x->wts->clock));
 }
 
 /* ------------------------------------------------------------------ */
@@ -242,35 +247,35 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-handle(struct peer *peer, const struct msg *m)
+dispatch(struct peer *peer, const struct msg *m)
 {
 	union {
 		struct proto_join join;
 		struct proto_have have;
-		struct proto_news news;
+		struct proto_update update;
 		struct proto_get get;
 		struct proto_data data;
 		struct proto_none none;
 	} u;
 
 	if (m->type == PROTO_JOIN && msg_read(m, &proto_join_desc, &u, NULL))
-		take_join(peer, &u.join);
+		handle_join(peer, &u.join);
 	else if (!peer->joined)
 		return false;
 	else if (m->type == PROTO_HAVE &&
 	    msg_read(m, &proto_have_desc, &u, NULL))
-		take_have(peer, &u.have);
-	else if (m->type == PROTO_NEWS &&
-	    msg_read(m, &proto_news_desc, &u, NULL))
-		take_news(peer, &u.news);
+		handle_have(peer, &u.have);
+	else if (m->type == PROTO_UPDATE &&
+	    msg_read(m, &proto_update_desc, &u, NULL))
+		handle_update(peer, &u.update);
 	else if (m->type == PROTO_GET && msg_read(m, &proto_get_desc, &u, NULL))
 		serve_get(peer, &u.get);
 	else if (m->type == PROTO_DATA &&
 	    msg_read(m, &proto_data_desc, &u, NULL))
-		take_data(peer, &u.data);
+		handle_data(peer, &u.data);
 	else if (m->type == PROTO_NONE &&
 	    msg_read(m, &proto_none_desc, &u, NULL))
-		take_none(peer, &u.none);
+		handle_none(peer, &u.none);
 	else
 		return false;
 	return true;
@@ -281,11 +286,11 @@
 {
 	struct xfer *x = peer->xfer;
 
-	/* `bye` and whatever is malformed end the connection. Types of a
-	 * later release are passed over. */
+	/* `bye` and malformed messages end the connection. Unknown types of
+	 * later releases are ignored. */
 	if (m->type > PROTO_BYE)
 		return;
-	if (!handle(peer, m))
+	if (!dispatch(peer, m))
 		peer_drop(peer);
 	else
 		peer_drop_failing(peer);
--- a/lib/weights/serve.c
+++ b/lib/weights/serve.c
@@ -1,18 +1,20 @@
-/* Uploads to peers: few at a time, paced by the upload budget. */
+/* Uploads to peers: few at a time, limited by the upload budget. */
 
 #include "weights/xfer.h"
 
-/* Open uploads of this host; more are refused as busy, so that a peer does
- * not wait here while others that have the chunk are idle. */
+/* Open uploads of this host. Further requests are refused as busy, so that a
+ * peer does not wait here while other holders of the chunk are idle. */
 #define UPLOADS_MAX PICK_LOAD_MAX
-/* Chunks with fewer copies are sent first, so that a host with several new
- * chunks gives out all of them once before any twice. Beyond that the peer
- * furthest behind goes first, so that all end at about the same time. */
-#define COPIES_SAFE 3
+/*
+ * Chunks with fewer copies are sent first, so that a host with several new
+ * chunks sends each once before it sends one twice. Above this number the peer
+ * with the fewest chunks goes first, so that all finish at about the same time.
+ */
+#define COPIES_ENOUGH 3
 #define SLICE_MIN (16u << 10)
-#define SLICE_US 20000 /* a slice takes so long at the budget's rate */
+#define SLICE_US 20000 /* duration of a slice at the rate of the budget */
 #define SECOND_US 1000000
-/* A receiver that takes nothing for so long is dropped. */
+/* A receiver that accepts no bytes for this time is dropped. */
 #define UPLOAD_STALL_US (10 * (int64_t)SECOND_US)
 
 struct upload {
@@ -20,9 +22,10 @@
 	struct peer *to;
 	uint64_t index;
 	GBytes *bytes;
-	uint64_t at;
-	uint64_t have; /* chunks that the receiver had when it asked */
-	int64_t moved_us;
+	uint64_t sent;
+	/* Chunks that the receiver had when it sent the request. */
+	uint64_t have;
+	int64_t progress_us;
 };
 
 static void
@@ -38,7 +41,7 @@
 }
 
 void
-serve_forget(struct peer *peer)
+serve_cancel(struct peer *peer)
 {
 	struct upload *u = TAILQ_FIRST(&peer->xfer->wts->uploads);
 
@@ -52,10 +55,10 @@
 }
 
 unsigned int
-serve_load(struct peer *peer)
+serve_record_load(struct peer *peer)
 {
-	peer->told_load = peer->xfer->wts->nuploads - peer->nuploads;
-	return peer->told_load;
+	peer->sent_load = peer->xfer->wts->nuploads - peer->nuploads;
+	return peer->sent_load;
 }
 
 static GBytes *
@@ -63,9 +66,9 @@
 {
 	if (index == PROTO_LIST)
 		return x->list;
-	if (x->held == NULL || index >= x->pick->conf.chunks)
+	if (x->stored == NULL || index >= x->pick->conf.chunks)
 		return NULL;
-	return hold_get(x->held, index);
+	return hold_get(x->stored, index);
 }
 
 static void
@@ -74,54 +77,54 @@
 	struct proto_none none = {
 		.index = index,
 		.busy = busy,
-		.load = serve_load(peer),
+		.load = serve_record_load(peer),
 	};
 
 	conn_send(peer->conn, &proto_none_desc, &none);
 }
 
-/* Copies of the chunk that this host knows of. */
+/* Number of copies of the chunk that this host knows of. */
 static uint32_t
-copies_of(const struct upload *u)
+known_copies(const struct upload *u)
 {
 	if (u->index == PROTO_LIST)
 		return 0;
 	return u->to->xfer->pick->chunks[u->index].holders;
 }
 
-/* Whether `u` is to be sent before `other`; neither has begun. */
+/* Whether to send `u` before `other`; neither has been started. */
 static bool
-goes_first(const struct upload *u, const struct upload *other)
+precedes(const struct upload *u, const struct upload *other)
 {
-	uint32_t copies = MIN(copies_of(u), COPIES_SAFE);
-	uint32_t other_copies = MIN(copies_of(other), COPIES_SAFE);
+	uint32_t copies = MIN(known_copies(u), COPIES_ENOUGH);
+	uint32_t other_copies = MIN(known_copies(other), COPIES_ENOUGH);
 
 	if (copies != other_copies)
 		return copies < other_copies;
 	return u->have < other->have;
 }
 
-/* The upload that would be sent last of those that have not begun. */
+/* The upload that would be sent last, among those not started. */
 static struct upload *
-find_last(struct wts *wts)
+find_last_waiting(struct wts *wts)
 {
 	struct upload *last = NULL;
 	struct upload *u;
 
 	TAILQ_FOREACH (u, &wts->uploads, link) {
-		if (u->at == 0 && (last == NULL || !goes_first(u, last)))
+		if (u->sent == 0 && (last == NULL || !precedes(u, last)))
 			last = u;
 	}
 	return last;
 }
 
-/* Makes room when `u` should go before another that waits. */
+/* Refuses a waiting upload if `u` precedes it. */
 static bool
 displace(struct wts *wts, const struct upload *u)
 {
-	struct upload *last = find_last(wts);
+	struct upload *last = find_last_waiting(wts);
 
-	if (last == NULL || !goes_first(u, last))
+	if (last == NULL || !precedes(u, last))
 		return false;
 	refuse(last->to, last->index, true);
 	end_upload(last);
@@ -137,40 +140,38 @@
 		.to = peer,
 		.index = get->index,
 		.have = get->have,
-		.moved_us = clk_now_us(wts->clock),
+		.progress_us = clk_now_us(wts->clock),
 	};
-	struct upload *kept;
+	struct upload *queued;
 
 	if (bytes == NULL) {
 		refuse(peer, get->index, false);
 		return;
 	}
-	/* On a narrow link what is sent here delays the engine's answers, and
-	 * the peer waits long: others that have the chunk serve it better. */
-	if (pick_is_narrow(peer->xfer->pick) && copies_of(&u) > 0) {
+	/* On a slow link an upload delays the engine's responses, and the peer
+	 * waits long: other holders of the chunk can serve it better. */
+	if (pick_is_link_slow(peer->xfer->pick) && known_copies(&u) > 0) {
 		refuse(peer, get->index, true);
 		return;
 	}
-	if (peer->nuploads >= PICK_ASKS_PER_PEER ||
+	if (peer->nuploads >= PICK_REQUESTS_PER_PEER ||
 	    (wts->nuploads >= UPLOADS_MAX && !displace(wts, &u))) {
 		refuse(peer, get->index, true);
 		return;
 	}
-	kept = g_memdup2(&u, sizeof(u));
-	kept->bytes = g_bytes_ref(bytes);
+	queued = g_memdup2(&u, sizeof(u));
+	queued->bytes = g_bytes_ref(bytes);
 	peer->nuploads++;
 	wts->nuploads++;
-	TAILQ_INSERT_TAIL(&wts->uploads, kept, link);
+	TAILQ_INSERT_TAIL(&wts->uploads, queued, link);
 	serve_run(wts);
 }
 
-/*
- * The upload to go on with: one that has begun, or else the first by
- * goes_first. Uploads are sent one after another: side by
- * side all would end late, and nobody could pass anything on meanwhile.
- */
+/* The upload to continue: one that has been started, or else the first by
+ * precedes(). Uploads are sent one after another: in parallel all would finish
+ * late, and no receiver could forward anything until then. */
 static struct upload *
-choose(struct wts *wts)
+next_upload(struct wts *wts)
 {
 	struct upload *best = NULL;
 	struct upload *u;
@@ -178,51 +179,53 @@
 	TAILQ_FOREACH (u, &wts->uploads, link) {
 		if (conn_queued(u->to->conn) >= CONN_LOW_WATER)
 			continue;
-		if (u->at > 0)
+		if (u->sent > 0)
 			return u;
-		if (best == NULL || goes_first(u, best))
+		if (best == NULL || precedes(u, best))
 			best = u;
 	}
 	return best;
 }
 
-/* Slices of one length, so that none is a crumb. */
+/* Divides `len` into slices of equal length, so that the last one is not
+ * tiny. */
 static size_t
 slice_len(const struct wts *wts, size_t len)
 {
-	uint64_t most = wts->conf.upload_bytes_s / (SECOND_US / SLICE_US);
+	uint64_t max_len = wts->conf.upload_bytes_s / (SECOND_US / SLICE_US);
 	size_t n;
 
-	most = CLAMP(most, SLICE_MIN, PROTO_SLICE_MAX);
-	n = (len + most - 1) / most;
+	max_len = CLAMP(max_len, SLICE_MIN, PROTO_SLICE_MAX);
+	n = (len + max_len - 1) / max_len;
 	return (len + n - 1) / n;
 }
 
-/* True when it was the last. */
+/* True if this was the last slice. */
 static bool
 send_slice(struct upload *u, int64_t now_us)
 {
 	struct wts *wts = u->to->xfer->wts;
 	gsize len;
 	const uint8_t *data = g_bytes_get_data(u->bytes, &len);
-	size_t n = MIN(slice_len(wts, len), len - u->at);
-	bool last = u->at + n == len;
+	size_t n = MIN(slice_len(wts, len), len - u->sent);
+	bool last = u->sent + n == len;
 	struct proto_data slice = {
 		.index = u->index,
-		.offset = u->at,
-		.load = serve_load(u->to),
-		.bytes = { data + u->at, n },
+		.offset = u->sent,
+		.load = serve_record_load(u->to),
+		.bytes = { data + u->sent, n },
 	};
 
 	conn_send(u->to->conn, &proto_data_desc, &slice);
 	bucket_take(&wts->up, n, now_us);
 	ctr_add(wts->counts.sent_bytes, (int64_t)n);
-	u->at += n;
-	u->moved_us = now_us;
+	u->sent += n;
+	u->progress_us = now_us;
 	return last;
 }
 
-/* Otherwise peers that stopped to read would hold all uploads in the end. */
+/* Without this, peers that have stopped reading would eventually occupy all
+ * uploads. */
 void
 serve_drop_stalled(struct wts *wts)
 {
@@ -233,7 +236,7 @@
 		struct peer *peer = u->to;
 
 		if (conn_queued(peer->conn) < CONN_LOW_WATER ||
-		    now_us - u->moved_us < UPLOAD_STALL_US) {
+		    now_us - u->progress_us < UPLOAD_STALL_US) {
 			u = TAILQ_NEXT(u, link);
 			continue;
 		}
@@ -250,7 +253,7 @@
 	bool was_busy = wts->nuploads > 0;
 	struct upload *u;
 
-	while ((u = choose(wts)) != NULL) {
+	while ((u = next_upload(wts)) != NULL) {
 		int64_t ready_us = bucket_ready_us(&wts->up, now_us);
 
 		if (ready_us > now_us) {
@@ -263,5 +266,5 @@
 	if (wts->nuploads > 0)
 		timer_set_earlier(&wts->serve_timer, now_us + UPLOAD_STALL_US);
 	else if (was_busy)
-		peers_tell_idle(wts);
+		peers_queue_idle(wts);
 }
--- a/lib/weights/wts.c
+++ b/lib/weights/wts.c
@@ -1,31 +1,32 @@
-/* The package's public face: this host's transfers and its link. */
+/* The public interface of the package: this host's transfers and its link. */
 
 #include <string.h>
 
 #include "weights/xfer.h"
 
-/* Peers are held back when the download budget is so far in debt, so that
- * TCP slows them; below it the smoothing of a slice or two is enough. */
+/* Debt of the download budget from which connections of peers are paused, so
+ * that TCP slows them down. A smaller debt, of a slice or two, evens out by
+ * itself. */
 #define PAUSE_DEBT_US 30000
 
 /* ------------------------------------------------------------------ */
-/* Making                                                              */
+/* Setup                                                               */
 /* ------------------------------------------------------------------ */
 
 static void
-find_counters(struct wts *wts)
+init_counters(struct wts *wts)
 {
 	struct ctr_set *set = wts->conf.node->counters;
 
 	if (set == NULL) {
-		wts->own_counters = ctr_set_new();
-		set = wts->own_counters;
+		wts->private_counters = ctr_set_new();
+		set = wts->private_counters;
 	}
 	wts->counts = (struct counts){
 		.peer_chunks = ctr_get(set, "wts_peer_chunks"),
 		.origin_chunks = ctr_get(set, "wts_origin_chunks"),
 		.peer_bytes = ctr_get(set, "wts_peer_bytes"),
-		.far_bytes = ctr_get(set, "wts_cross_domain_bytes"),
+		.cross_domain_bytes = ctr_get(set, "wts_cross_domain_bytes"),
 		.origin_bytes = ctr_get(set, "wts_origin_bytes"),
 		.sent_bytes = ctr_get(set, "wts_sent_bytes"),
 		.corrupt_peer = ctr_get(set, "wts_corrupt_from_peers"),
@@ -54,7 +55,8 @@
 	wts->paused = paused;
 	g_hash_table_iter_init(&iter, wts->by_conn);
 	while (g_hash_table_iter_next(&iter, &c, &peer)) {
-		/* One that is still proving itself reads little. */
+		/* A connection whose handshake is not complete carries few
+		 * bytes. */
 		if (((struct peer *)peer)->open)
 			conn_pause(c, paused);
 	}
@@ -94,7 +96,7 @@
 	wts->source = *source;
 	wts->clock = conf->node->clock;
 	now_us = clk_now_us(wts->clock);
-	find_counters(wts);
+	init_counters(wts);
 	rng_seed(&wts->rng, conf->seed ^ hash64(0, conf->id, strlen(conf->id)));
 	wts->hold = hold_new(conf->memory_bytes);
 	bucket_init(&wts->down, conf->download_bytes_s, now_us);
@@ -129,7 +131,7 @@
 	timer_stop(&wts->resume_timer);
 	g_hash_table_unref(wts->by_conn);
 	hold_free(wts->hold);
-	ctr_set_free(wts->own_counters);
+	ctr_set_free(wts->private_counters);
 	g_free((char *)wts->conf.id);
 	g_free((char *)wts->conf.domain);
 	g_free((char *)wts->conf.origin);
@@ -159,7 +161,7 @@
 
 	if (!version_is_sane(&want->version)) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "bytes or chunk_bytes of the version out of bounds");
+		    "bytes or chunk_bytes of the version is out of bounds");
 	}
 	if (x == NULL) {
 		x = xfer_new(wts, want);
@@ -169,9 +171,10 @@
 	return true;
 }
 
-/* A version whose list has not come yet may share what dropped ones held. */
+/* A version whose list has not arrived yet may share chunks of dropped
+ * versions. */
 void
-wts_sweep(struct wts *wts)
+wts_release_retired(struct wts *wts)
 {
 	struct xfer *x;
 
@@ -179,7 +182,7 @@
 		if (x->phase == WTS_LIST)
 			return;
 	}
-	hold_sweep(wts->hold);
+	hold_release_retired(wts->hold);
 }
 
 void
@@ -191,7 +194,7 @@
 		return;
 	drop_xfer(x);
 	TAILQ_FOREACH (x, &wts->xfers, link)
-		xfer_try_room(x);
+		xfer_try_reserve(x);
 }
 
 bool
@@ -210,7 +213,7 @@
 	stream = xfer_stream_of(x, PROTO_LIST);
 	digest_stream_add(stream, raw, len);
 	digest_stream_end(stream, &got);
-	if (!xfer_take(x, PROTO_LIST, list, &got, NULL))
+	if (!xfer_accept_object(x, PROTO_LIST, list, &got, NULL))
 		return false;
 	xfer_pump_soon(x);
 	return true;
@@ -225,14 +228,14 @@
 	gsize len;
 	const void *raw = g_bytes_get_data(bytes, &len);
 
-	if (x == NULL || x->held == NULL || index >= x->pick->conf.chunks)
+	if (x == NULL || x->stored == NULL || index >= x->pick->conf.chunks)
 		return false;
 	digest_of(raw, len, &got);
 	if (!digest_equal(&got, version_chunk_digest(x->list, index)))
 		return false;
-	if (hold_has(x->held, index))
+	if (hold_has(x->stored, index))
 		return true;
-	hold_put(x->held, index, bytes);
+	hold_put(x->stored, index, bytes);
 	xfer_pump_soon(x);
 	return true;
 }
@@ -263,20 +266,20 @@
 }
 
 uint64_t
-wts_left_at_origin(struct wts *wts, const struct digest *root)
+wts_count_origin_only(struct wts *wts, const struct digest *root)
 {
 	struct xfer *x = wts_find(wts, root);
 
-	return x == NULL ? UINT64_MAX : pick_left_at_origin(x->pick);
+	return x == NULL ? UINT64_MAX : pick_count_origin_only(x->pick);
 }
 
 bool
-wts_is_narrow(const struct wts *wts)
+wts_is_link_slow(const struct wts *wts)
 {
 	const struct xfer *x;
 
 	TAILQ_FOREACH (x, &wts->xfers, link) {
-		if (x->phase != WTS_WHOLE && pick_is_narrow(x->pick))
+		if (x->phase != WTS_COMPLETE && pick_is_link_slow(x->pick))
 			return true;
 	}
 	return false;
@@ -304,7 +307,7 @@
 {
 	struct xfer *x = wts_find(wts, root);
 
-	return x != NULL && x->phase == WTS_WHOLE ? x->list : NULL;
+	return x != NULL && x->phase == WTS_COMPLETE ? x->list : NULL;
 }
 
 GBytes *
@@ -312,18 +315,19 @@
 {
 	struct xfer *x = wts_find(wts, root);
 
-	if (x == NULL || x->phase != WTS_WHOLE || index >= x->pick->conf.chunks)
+	if (x == NULL || x->phase != WTS_COMPLETE ||
+	    index >= x->pick->conf.chunks)
 		return NULL;
-	return hold_get(x->held, index);
+	return hold_get(x->stored, index);
 }
 
 /* ------------------------------------------------------------------ */
 /* Connections                                                         */
 /* ------------------------------------------------------------------ */
 
-/* The first message on an accepted connection. */
+/* Handles the first message on an accepted connection. */
 static struct peer *
-welcome(struct wts *wts, struct conn *c, const struct msg *m)
+accept_peer(struct wts *wts, struct conn *c, const struct msg *m)
 {
 	struct proto_join join;
 	struct proto_bye bye = { 0 };
@@ -349,7 +353,7 @@
 	if (m->type < PROTO_FIRST || m->type > PROTO_LAST)
 		return false;
 	if (peer == NULL)
-		peer = welcome(wts, c, m);
+		peer = accept_peer(wts, c, m);
 	if (peer != NULL)
 		peer_message(peer, m);
 	return true;
--- a/lib/weights/xfer.c
+++ b/lib/weights/xfer.c
@@ -1,4 +1,5 @@
-/* One version on its way to this host: phases, decisions, verified bytes. */
+/* The transfer of one version to this host: phases, decisions, verified
+ * bytes. */
 
 #include <stdio.h>
 
@@ -6,16 +7,16 @@
 #include "weights/xfer.h"
 
 #define SECOND_US 1000000
-/* News wait so long at most, or a hundredth of the shortest possible
- * transfer: often enough to show no loss of time, and control bytes stay in
- * proportion to the weights. */
-#define NEWS_MIN_US 50000
-#define NEWS_MAX_US SECOND_US
-#define NEWS_SHARE 100
-/* Fetches are begun while the download budget is at most so far in debt, in
- * chunk times: the answer comes a round trip and a queue later. */
-#define FETCH_DEBT_CHUNKS 1
-#define BAD_READS_TO_TELL 2
+/* Interval between updates: a hundredth of the shortest possible transfer,
+ * within bounds. This is frequent enough not to delay transfers, and keeps the
+ * control traffic in proportion to the weights. */
+#define UPDATE_INTERVAL_MIN_US 50000
+#define UPDATE_INTERVAL_MAX_US SECOND_US
+#define UPDATES_PER_TRANSFER 100
+/* Debt of the download budget, in chunk times, up to which fetches are started:
+ * a response arrives only after a round trip and queueing. */
+#define FETCH_DEBT_MAX_CHUNKS 1
+#define CORRUPT_READS_REPORTED 2
 
 static void
 on_pump(void *ctx)
@@ -60,13 +61,13 @@
 }
 
 static void
-note_phase(const struct xfer *x)
+record_phase(const struct xfer *x)
 {
 	static const char *const names[] = {
 		[WTS_UNKNOWN] = "unknown",
 		[WTS_LIST] = "list",
 		[WTS_FETCHING] = "fetching",
-		[WTS_WHOLE] = "whole",
+		[WTS_COMPLETE] = "whole",
 		[WTS_NO_ROOM] = "no room",
 	};
 	struct tl *timeline = x->wts->conf.node->timeline;
@@ -80,14 +81,15 @@
 	    names[x->phase], x->pick->have, x->pick->conf.chunks);
 }
 
-/* The owner is told from the loop: it may drop the version in answer. */
+/* The owner is notified from the main loop, because it may drop the version in
+ * the callback. */
 static void
 set_phase(struct xfer *x, enum wts_phase phase)
 {
 	if (x->phase == phase)
 		return;
 	x->phase = phase;
-	note_phase(x);
+	record_phase(x);
 	if (x->notify_idle == 0)
 		x->notify_idle = g_idle_add(on_notify, x);
 }
@@ -99,69 +101,70 @@
 }
 
 static void
-on_filled(struct hold_version *held, uint64_t index, void *ctx)
+on_filled(struct hold_version *version, uint64_t index, void *ctx)
 {
 	struct xfer *x = ctx;
 
-	pick_got(x->pick, index);
-	peers_tell_gained(x, index);
-	/* Maybe through another version's transfer. */
+	pick_complete(x->pick, index);
+	peers_queue_gained(x, index);
+	/* The chunk may have been stored by another version's transfer. */
 	xfer_pump_soon(x);
 }
 
 /*
- * A host that joins late, or goes on to a next version, would fetch from the
- * origin once more what the rollout has, were it to read before the others
- * have told what they hold and know of. Where all begin with nothing there is
- * nothing to hear, and the first word of a peer ends the wait.
+ * A host that joins late, or continues with a next version, would read chunks
+ * from the origin that other hosts of the rollout already have, if it read
+ * before they had reported their chunks and claims. If all hosts start empty
+ * there is nothing to wait for, and the first report of a peer ends the wait.
  */
 static void
-settle(struct xfer *x)
+update_settling(struct xfer *x)
 {
-	bool told = x->members->len == 0;
+	bool received = x->members->len == 0;
 	struct peer *peer;
 
-	if (x->pick->settle_us == 0 || x->pick->have > 0)
+	if (x->pick->settle_until_us == 0 || x->pick->have > 0)
 		return;
 	TAILQ_FOREACH (peer, &x->peers, link) {
 		if (peer->for_chunks.have > 0)
 			return;
-		told = told || peer->has_list;
+		received = received || peer->has_list;
 	}
-	if (told)
+	if (received)
 		pick_settle(x->pick, 0);
 }
 
 void
-xfer_try_room(struct xfer *x)
+xfer_try_reserve(struct xfer *x)
 {
 	uint64_t missing;
 	struct peer *peer;
 	uint64_t i;
 
-	if (x->list == NULL || x->held != NULL)
+	if (x->list == NULL || x->stored != NULL)
 		return;
-	x->held = hold_open(
+	x->stored = hold_open(
 	    x->wts->hold, &x->want.version, x->list, on_filled, x, &missing);
-	if (x->held == NULL) {
+	if (x->stored == NULL) {
 		snprintf(x->why, sizeof(x->why),
-		    "memory budget: %" G_GUINT64_FORMAT " bytes too small",
+		    "memory budget is %" G_GUINT64_FORMAT " bytes too small",
 		    missing);
 		set_phase(x, WTS_NO_ROOM);
-		wts_sweep(x->wts);
+		wts_release_retired(x->wts);
 		return;
 	}
 	for (i = 0; i < x->pick->conf.chunks; i++) {
-		if (hold_has(x->held, i))
-			pick_got(x->pick, i);
+		if (hold_has(x->stored, i))
+			pick_complete(x->pick, i);
 	}
 	set_phase(x, WTS_FETCHING);
 	pick_settle(x->pick,
-	    clk_now_us(x->wts->clock) + PICK_NEWS_HOPS * x->news_interval_us);
-	wts_sweep(x->wts);
+	    clk_now_us(x->wts->clock) +
+		PICK_UPDATE_HOPS * x->update_interval_us);
+	wts_release_retired(x->wts);
 	TAILQ_FOREACH (peer, &x->peers, link) {
 		if (peer->open)
-			peer_tell_have(peer);
+			peer_send_have(peer);
 	}
 	xfer_pump_soon(x);
 }
@@ -174,8 +177,8 @@
 		.chunks = chunks,
 		.chunk_bytes = chunk_bytes,
 		.rate = wts->conf.download_bytes_s,
-		.news_us = x->news_interval_us,
-		.copies = 1,
+		.update_interval_us = x->update_interval_us,
+		.origin_copies = 1,
 		.members = 1,
 	};
 
@@ -193,8 +196,9 @@
 	x->wts = wts;
 	x->want = *want;
 	x->phase = WTS_LIST;
-	x->news_interval_us =
-	    (int64_t)CLAMP(shortest_us / NEWS_SHARE, NEWS_MIN_US, NEWS_MAX_US);
+	x->update_interval_us =
+	    (int64_t)CLAMP(shortest_us / UPDATES_PER_TRANSFER,
+		UPDATE_INTERVAL_MIN_US, UPDATE_INTERVAL_MAX_US);
 	TAILQ_INIT(&x->peers);
 	TAILQ_INIT(&x->reads);
 	x->members = g_ptr_array_new_with_free_func(free_member);
@@ -215,8 +219,8 @@
 		read_free(r);
 	while ((peer = TAILQ_FIRST(&x->peers)) != NULL)
 		peer_drop(peer);
-	if (x->held != NULL)
-		hold_retire(x->held);
+	if (x->stored != NULL)
+		hold_retire(x->stored);
 	pick_free(x->list_pick);
 	pick_free(x->pick);
 	timer_stop(&x->pump_timer);
@@ -235,18 +239,19 @@
 
 	x->want.policy = want->policy;
 	x->want.origin_copies = want->origin_copies;
-	x->want.far_step_ms = want->far_step_ms;
+	x->want.cross_domain_step_ms = want->cross_domain_step_ms;
 	g_strlcpy(x->want.origin_domain, want->origin_domain,
 	    sizeof(x->want.origin_domain));
-	pick_set_silence(x->pick, (int64_t)want->silence_ms * 1000);
-	pick_set_silence(x->list_pick, (int64_t)want->silence_ms * 1000);
+	pick_set_claim_timeout(x->pick, (int64_t)want->claim_timeout_ms * 1000);
+	pick_set_claim_timeout(
+	    x->list_pick, (int64_t)want->claim_timeout_ms * 1000);
 	if (want->policy == WTS_PEERS_ONLY)
 		copies = 0;
 	else if (want->policy == WTS_TIME_FIRST)
 		copies = MAX(want->origin_copies, 1);
 	pick_set_copies(x->list_pick, MIN(copies, 1));
 	pick_set_copies(x->pick, copies);
-	pick_set_reads(x->pick, want->reads);
+	pick_set_reads(x->pick, want->max_reads);
 	xfer_pump_soon(x);
 }
 
@@ -277,9 +282,9 @@
 	return (x->score > y->score) - (x->score < y->score);
 }
 
-/* Keeps the dial state of a member that was there before. */
+/* Copies the dial state of members that were present before. */
 static void
-keep_state(struct xfer *x, GPtrArray *fresh)
+copy_dial_state(struct xfer *x, GPtrArray *fresh)
 {
 	guint i;
 
@@ -289,24 +294,25 @@
 
 		if (old == NULL || strcmp(old->address, m->address) != 0)
 			continue;
-		m->dial_after_us = old->dial_after_us;
+		m->redial_at_us = old->redial_at_us;
 		m->refuse_until_us = old->refuse_until_us;
 		m->failures = old->failures;
 	}
 }
 
 static void
-rank_far_chunks(struct xfer *x, const struct rank_member *all, size_t self)
+rank_chunks_cross_domain(
+    struct xfer *x, const struct rank_member *all, size_t self)
 {
 	const struct digest *root = &x->want.version.root;
-	int64_t step_us = (int64_t)x->want.far_step_ms * 1000;
+	int64_t step_us = (int64_t)x->want.cross_domain_step_ms * 1000;
 	uint64_t i;
 
 	if (step_us == 0)
 		return;
 	for (i = 0; i < x->pick->conf.chunks; i++)
-		pick_set_far(x->pick, i, rank_far(root, all, self + 1, self, i),
-		    step_us);
+		pick_set_cross_domain(x->pick, i,
+		    rank_cross_domain(root, all, self + 1, self, i), step_us);
 }
 
 static void
@@ -327,7 +333,7 @@
 	all[n] = (struct rank_member){ x->wts->conf.id, x->wts->conf.domain };
 	rank_build_in(&rank, root, all, n + 1, n,
 	    x->want.origin_domain[0] == '\0' ? NULL : x->want.origin_domain);
-	rank_far_chunks(x, all, n);
+	rank_chunks_cross_domain(x, all, n);
 	for (i = 0; i < n; i++) {
 		struct member *m = x->members->pdata[i];
 
@@ -349,10 +355,10 @@
 			g_ptr_array_add(fresh, new_member(x, &peers[i]));
 	}
 	g_ptr_array_sort(fresh, by_score);
-	keep_state(x, fresh);
+	copy_dial_state(x, fresh);
 	g_ptr_array_unref(x->members);
 	x->members = fresh;
-	peers_drop_gone(x);
+	peers_drop_removed(x);
 	rank_members(x);
 	peers_dial(x);
 	xfer_pump_soon(x);
@@ -395,31 +401,31 @@
 }
 
 bool
-xfer_take(struct xfer *x, uint64_t index, GBytes *bytes,
+xfer_accept_object(struct xfer *x, uint64_t index, GBytes *bytes,
     const struct digest *got, struct peer *peer)
 {
 	bool list = index == PROTO_LIST;
-	const struct digest *right =
+	const struct digest *expected =
 	    list ? &x->want.version.root : version_chunk_digest(x->list, index);
 	struct pick_peer *from = NULL;
 
 	if (peer != NULL)
 		from = list ? &peer->for_list : &peer->for_chunks;
-	if (!digest_equal(got, right)) {
-		/* Never kept, never passed on: the digest of what this host
-		 * serves is always the one it checked itself. */
-		pick_ended(xfer_pick_of(x, index), xfer_pick_index(index), from,
-		    PICK_CORRUPT, clk_now_us(x->wts->clock));
+	if (!digest_equal(got, expected)) {
+		/* Corrupt bytes are neither stored nor forwarded: this host
+		 * only serves bytes whose digest it has verified itself. */
+		pick_failed(xfer_pick_of(x, index), xfer_pick_index(index),
+		    from, PICK_CORRUPT, clk_now_us(x->wts->clock));
 		return false;
 	}
 	if (!list) {
-		hold_put(x->held, index, bytes);
+		hold_put(x->stored, index, bytes);
 		return true;
 	}
-	pick_got(x->list_pick, 0);
+	pick_complete(x->list_pick, 0);
 	if (x->list == NULL)
 		x->list = g_bytes_ref(bytes);
-	xfer_try_room(x);
+	xfer_try_reserve(x);
 	return true;
 }
 
@@ -431,11 +437,11 @@
 may_fetch(
     struct xfer *x, const struct pick *pick, int64_t now_us, int64_t *until_us)
 {
-	int64_t allowed =
-	    (int64_t)(FETCH_DEBT_CHUNKS * (double)pick->conf.chunk_bytes *
+	int64_t allowed_debt_us =
+	    (int64_t)(FETCH_DEBT_MAX_CHUNKS * (double)pick->conf.chunk_bytes *
 		SECOND_US / (double)pick->conf.rate);
 
-	*until_us = bucket_ready_us(&x->wts->down, now_us) - allowed;
+	*until_us = bucket_ready_us(&x->wts->down, now_us) - allowed_debt_us;
 	if (*until_us > now_us)
 		return false;
 	*until_us = INT64_MAX;
@@ -449,12 +455,12 @@
 	struct peer *peer = a->peer->owner;
 
 	ctr_add(x->wts->counts.stalls, 1);
-	pick_ended(pick, a->index, a->peer, PICK_STALLED, now_us);
+	pick_failed(pick, a->index, a->peer, PICK_STALLED, now_us);
 	peer_drop_failing(peer);
 }
 
 static void
-act(struct xfer *x, struct pick *pick, const struct pick_action *a,
+run_action(struct xfer *x, struct pick *pick, const struct pick_action *a,
     int64_t now_us)
 {
 	struct wts *wts = x->wts;
@@ -462,7 +468,7 @@
 	struct proto_get get = { .index = index, .have = x->pick->have };
 
 	switch (a->kind) {
-	case PICK_ASK:
+	case PICK_REQUEST:
 		pick_begin(pick, a, now_us);
 		conn_send(((struct peer *)a->peer->owner)->conn,
 		    &proto_get_desc, &get);
@@ -471,7 +477,7 @@
 		pick_begin(pick, a, now_us);
 		ctr_add(wts->counts.out_of_turn, a->rank > 0 && !a->extra);
 		ctr_add(wts->counts.extra_reads, a->extra);
-		peers_tell_claim(x, index, a->rank, NULL);
+		peers_queue_claim(x, index, a->rank, NULL);
 		read_start(x, index);
 		break;
 	case PICK_EXPIRE:
@@ -484,14 +490,14 @@
 }
 
 static void
-tell_wait(struct xfer *x, const struct pick *pick, const char *why)
+set_wait_reason(struct xfer *x, const struct pick *pick, const char *why)
 {
-	if (pick->bad_reads >= BAD_READS_TO_TELL) {
+	if (pick->corrupt_reads >= CORRUPT_READS_REPORTED) {
 		snprintf(x->why, sizeof(x->why),
 		    "origin: the copy of %s %" G_GUINT64_FORMAT
 		    " does not match its digest (%u tries)",
 		    pick == x->list_pick ? "the list" : "chunk",
-		    pick->bad_read_index, pick->bad_reads);
+		    pick->corrupt_read_index, pick->corrupt_reads);
 		return;
 	}
 	set_why(x, why);
@@ -514,21 +520,21 @@
 
 	if (x->phase != WTS_LIST && x->phase != WTS_FETCHING)
 		return;
-	settle(x);
+	update_settling(x);
 	for (;;) {
 		fetch = may_fetch(x, pick, now_us, &fetch_us);
 		pick_next(pick, fetch, now_us, &x->wts->rng, &a);
 		if (a.kind == PICK_WAIT || a.kind == PICK_DONE)
 			break;
-		act(x, pick, &a, now_us);
+		run_action(x, pick, &a, now_us);
 	}
 	if (a.kind == PICK_DONE) {
 		set_why(x, "");
 		if (pick == x->pick)
-			set_phase(x, WTS_WHOLE);
+			set_phase(x, WTS_COMPLETE);
 		return;
 	}
-	tell_wait(x, pick, a.why);
+	set_wait_reason(x, pick, a.why);
 	if (MIN(a.until_us, fetch_us) != INT64_MAX)
 		timer_set(&x->pump_timer, MIN(a.until_us, fetch_us));
 }
--- a/tests/weights/nodes.h
+++ b/tests/weights/nodes.h
@@ -2,8 +2,8 @@
 #define TESTS_WEIGHTS_NODES_H
 
 /*
- * Small rollouts in one process for the tests of the driver: real
- * connections on loopback and an origin that answers from memory.
+ * Small rollouts in one process for the tests of the driver: real connections
+ * on loopback and an origin that responds from memory.
  */
 
 #include <setjmp.h>
@@ -17,7 +17,7 @@
 #include "weights/xfer.h"
 
 #define NODES_MAX 16
-#define PATIENCE_MS 20000 /* a hang ends the test */
+#define TIMEOUT_MS 20000 /* a test that hangs fails after this time */
 
 /* A model of `chunks` chunks of 4 KB; `seed` decides the bytes. */
 struct model {
@@ -40,12 +40,12 @@
 struct fake_origin {
 	const struct model *models;
 	size_t nmodels;
-	unsigned int delay_ms; /* of an answer, on average */
+	unsigned int delay_ms; /* average delay of a response */
 	struct rng rng;
-	unsigned int corrupt; /* the next so many answers */
+	unsigned int corrupt; /* number of next responses to corrupt */
 	bool down;
-	bool hold; /* reads of weights are not answered meanwhile */
-	uint64_t bytes_sent; /* of weights, not lists */
+	bool hold_weights; /* reads of weights are not answered while set */
+	uint64_t bytes_sent; /* bytes of weights, without lists */
 	unsigned int reads;
 	TAILQ_HEAD(open_list, origin_read) open;
 };
@@ -58,7 +58,7 @@
 	struct conn_server *server;
 	GHashTable *conns; /* accepted and open */
 	struct wts *wts;
-	/* In place of `wts`: a host that breaks the rules. */
+	/* In place of `wts`: a host that violates the protocol. */
 	void (*fake)(struct node *n, struct conn *c, const struct msg *m);
 	void *fake_ctx;
 };
@@ -67,14 +67,14 @@
 	struct fake_origin origin;
 	struct node node[NODES_MAX];
 	size_t n;
-	uint64_t rate; /* bytes a second of each link */
+	uint64_t rate; /* bytes per second of each link */
 	uint64_t memory;
 };
 
 static const uint8_t nodes_key[] = "0123456789abcdef";
 
 static inline void
-model_make(struct model *m, const char *name, uint64_t chunks, uint64_t seed)
+model_init(struct model *m, const char *name, uint64_t chunks, uint64_t seed)
 {
 	struct rng rng;
 	uint64_t i;
@@ -96,7 +96,7 @@
 }
 
 static inline void
-model_seal(struct model *m)
+model_compute_root(struct model *m)
 {
 	uint64_t i;
 
@@ -124,7 +124,7 @@
 /* ------------------------------------------------------------------ */
 
 static inline void
-fake_end(struct origin_read *r)
+fake_free(struct origin_read *r)
 {
 	TAILQ_REMOVE(&r->origin->open, r, link);
 	if (r->source != 0)
@@ -142,7 +142,7 @@
 	struct err err;
 	GBytes *bytes;
 
-	if (r->origin->hold && g_str_has_suffix(r->name, ".weights"))
+	if (r->origin->hold_weights && g_str_has_suffix(r->name, ".weights"))
 		return G_SOURCE_CONTINUE;
 	bytes = g_steal_pointer(&r->bytes);
 
@@ -150,7 +150,7 @@
 	err_set(&err, ERR_UNAVAILABLE, VERDICT_NOT_RUN, "down");
 	if (r->origin->down)
 		g_clear_pointer(&bytes, g_bytes_unref);
-	fake_end(r);
+	fake_free(r);
 	done(bytes, bytes == NULL ? &err : NULL, ctx);
 	g_clear_pointer(&bytes, g_bytes_unref);
 	return G_SOURCE_REMOVE;
@@ -199,7 +199,8 @@
 	if (!o->down && g_str_has_suffix(name, ".weights"))
 		o->bytes_sent += len;
 	TAILQ_INSERT_TAIL(&o->open, r, link);
-	/* Uneven, or hosts would choose in step and never hear in time. */
+	/* Varied delays; otherwise all hosts would choose simultaneously and
+	 * never receive claims in time. */
 	r->source = g_timeout_add(
 	    o->delay_ms / 2 + (guint)rng_below(&o->rng, o->delay_ms + 1),
 	    fake_answer, r);
@@ -209,7 +210,7 @@
 static inline void
 fake_cancel(struct origin_read *read, void *ctx)
 {
-	fake_end(read);
+	fake_free(read);
 }
 
 /* ------------------------------------------------------------------ */
@@ -315,7 +316,8 @@
 	}
 }
 
-/* A host that dies: its connections close, nothing of it is left. */
+/* Simulates the failure of a host: its connections close, and its state is
+ * lost. */
 static inline void
 node_kill(struct node *n)
 {
@@ -361,47 +363,47 @@
 }
 
 static inline bool
-node_whole(const struct node *n, const struct model *m)
+node_complete(const struct node *n, const struct model *m)
 {
 	struct wts_progress p;
 
 	wts_progress(n->wts, &m->version.root, &p);
-	return p.phase == WTS_WHOLE;
+	return p.phase == WTS_COMPLETE;
 }
 
 static inline bool
-nodes_whole(const struct nodes *s, const struct model *m)
+nodes_complete(const struct nodes *s, const struct model *m)
 {
 	size_t i;
 
 	for (i = 0; i < s->n; i++) {
-		if (s->node[i].wts != NULL && !node_whole(&s->node[i], m))
+		if (s->node[i].wts != NULL && !node_complete(&s->node[i], m))
 			return false;
 	}
 	return true;
 }
 
 static inline gboolean
-nodes_late(gpointer data)
+nodes_on_timeout(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
 }
 
-/* Runs the loop until `done`; fails the test when that never comes. */
+/* Runs the loop until `done`; fails the test if that takes too long. */
 static inline void
-nodes_until(struct nodes *s,
+nodes_run_until(struct nodes *s,
     bool (*done)(const struct nodes *s, const struct model *m),
     const struct model *m)
 {
-	bool late = false;
-	guint timer = g_timeout_add(PATIENCE_MS, nodes_late, &late);
+	bool timed_out = false;
+	guint timer = g_timeout_add(TIMEOUT_MS, nodes_on_timeout, &timed_out);
 	struct wts_progress p;
 	size_t i;
 
-	while (!done(s, m) && !late)
+	while (!done(s, m) && !timed_out)
 		g_main_context_iteration(NULL, TRUE);
-	if (!late) {
+	if (!timed_out) {
 		g_source_remove(timer);
 		return;
 	}
@@ -415,7 +417,7 @@
 	fail_msg("not done in time");
 }
 
-/* What the engine beside would load is the origin's, byte for byte. */
+/* The bytes for the engine on the host are identical to the origin's. */
 static inline void
 node_check(const struct node *n, const struct model *m)
 {
--- a/tests/weights/test_faults.c
+++ b/tests/weights/test_faults.c
@@ -1,30 +1,32 @@
-/* What a rollout lives through; each test causes the fault it names. */
+/* Faults during a rollout; each test causes the fault it is named after. */
 
 #include "nodes.h"
 
 #define CHUNKS 60
-#define SLOW (512 << 10) /* bytes a second: a transfer lasts half a second */
+#define SLOW_RATE \
+	(512 << 10) /* bytes per second: a transfer takes half a second */
 
 static struct model first;
-static struct model models[2]; /* the second: a tenth of the chunks changed */
+/* In the second, a tenth of the chunks is changed. */
+static struct model models[2];
 
 static int
-set_up(void **state)
+setup(void **state)
 {
 	uint64_t i;
 
-	model_make(&models[0], "a", CHUNKS, 1);
-	model_make(&models[1], "b", CHUNKS, 1);
+	model_init(&models[0], "a", CHUNKS, 1);
+	model_init(&models[1], "b", CHUNKS, 1);
 	for (i = 0; i < CHUNKS; i += 10)
 		models[1].bytes->data[i * WTS_CHUNK_MIN] ^= 1;
-	model_seal(&models[0]);
-	model_seal(&models[1]);
+	model_compute_root(&models[0]);
+	model_compute_root(&models[1]);
 	first = models[0];
 	return 0;
 }
 
 static int
-tear_down(void **state)
+teardown(void **state)
 {
 	model_free(&models[0]);
 	model_free(&models[1]);
@@ -32,7 +34,7 @@
 }
 
 static void
-begin(struct nodes *s, size_t n)
+start_rollout(struct nodes *s, size_t n)
 {
 	s->memory = 1 << 20;
 	s->origin.models = models;
@@ -59,11 +61,11 @@
 }
 
 static void
-end(struct nodes *s, const struct model *m)
+finish_rollout(struct nodes *s, const struct model *m)
 {
 	size_t i;
 
-	nodes_until(s, nodes_whole, m);
+	nodes_run_until(s, nodes_complete, m);
 	for (i = 0; i < s->n; i++) {
 		if (s->node[i].wts != NULL)
 			node_check(&s->node[i], m);
@@ -71,7 +73,7 @@
 	nodes_stop(s);
 }
 
-/* Chunks read from the origin more often than once, in all. */
+/* Number of chunks read from the origin more than once, over all hosts. */
 static int64_t
 reads_beyond(const struct nodes *s, const struct model *m)
 {
@@ -98,44 +100,44 @@
 }
 
 /*
- * A host that reads from the origin dies half way, and its connections
- * close; the members list follows. The chunks it was to read are nobody's in
- * turn until the ranking is made anew without it; what it had passed on need
- * not be read again.
+ * A host that reads from the origin fails half way. Its connections close, and
+ * the member list follows. Nobody is first reader of its chunks until the
+ * ranking is computed without it; chunks that it had forwarded need not be read
+ * again.
  */
 static void
 test_reader_dies(void **state)
 {
-	struct nodes s = { .rate = SLOW };
-	struct wts_peer left[NODES_MAX];
+	struct nodes s = { .rate = SLOW_RATE };
+	struct wts_peer remaining[NODES_MAX];
 	size_t dead, i, n = 0;
 
-	begin(&s, 8);
+	start_rollout(&s, 8);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, half_way, &first);
+	nodes_run_until(&s, half_way, &first);
 	dead = reader_of(&s, &first);
 	node_kill(&s.node[dead]);
 	for (i = 0; i < s.n; i++) {
 		if (i != dead)
-			left[n++] = (struct wts_peer){ s.node[i].id,
+			remaining[n++] = (struct wts_peer){ s.node[i].id,
 				s.node[i].address, s.node[i].domain };
 	}
 	for (i = 0; i < s.n; i++) {
 		if (i != dead)
 			wts_set_peers(
-			    s.node[i].wts, &first.version.root, left, n);
+			    s.node[i].wts, &first.version.root, remaining, n);
 	}
-	end(&s, &first);
-	/* What only the dead host had: few of its chunks. */
+	finish_rollout(&s, &first);
+	/* Few chunks were only at the failed host. */
 	assert_in_range(reads_beyond(&s, &first), 0, CHUNKS / 10);
 }
 
 /* ------------------------------------------------------------------ */
-/* Hosts that break the rules                                          */
+/* Hosts that violate the protocol */
 /* ------------------------------------------------------------------ */
 
 static void
-fake_have_all(struct conn *c, const struct model *m, const char *domain)
+send_have_all(struct conn *c, const struct model *m, const char *domain)
 {
 	uint8_t bits[CHUNKS / 8 + 1];
 	struct proto_join join = {
@@ -149,15 +151,15 @@
 	conn_send(c, &proto_have_desc, &have);
 }
 
-/* Has all, answers nothing, closes nothing. */
+/* Announces all chunks, answers nothing and keeps its connection open. */
 static void
 fake_stalls(struct node *n, struct conn *c, const struct msg *m)
 {
 	if (m->type == PROTO_JOIN)
-		fake_have_all(c, &first, n->domain);
+		send_have_all(c, &first, n->domain);
 }
 
-/* Has all, and one byte of each chunk is wrong. */
+/* Announces all chunks and sends each with one wrong byte. */
 static void
 fake_corrupts(struct node *n, struct conn *c, const struct msg *m)
 {
@@ -166,7 +168,7 @@
 	struct proto_get get;
 
 	if (m->type == PROTO_JOIN)
-		fake_have_all(c, &first, n->domain);
+		send_have_all(c, &first, n->domain);
 	if (!msg_read(m, &proto_get_desc, &get, NULL))
 		return;
 	data.index = get.index;
@@ -185,7 +187,7 @@
 }
 
 static void
-make_fake(struct node *n,
+replace_with_fake(struct node *n,
     void (*fake)(struct node *n, struct conn *c, const struct msg *m),
     void *ctx)
 {
@@ -194,62 +196,57 @@
 	n->fake_ctx = ctx;
 }
 
-/*
- * A host says that it has everything, takes requests and never answers; its
- * connection stays open. Without a deadline on progress the others wait for
- * its answers for ever.
- */
+/* A host announces all chunks, accepts requests and never answers; its
+ * connection stays open. Without a stall timeout the others would wait for its
+ * answers forever. */
 static void
 test_link_stalls(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 4);
-	make_fake(&s.node[1], fake_stalls, NULL);
+	start_rollout(&s, 4);
+	replace_with_fake(&s.node[1], fake_stalls, NULL);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_true(nodes_count(&s, "wts_stalls") > 0);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
-/*
- * A host sends chunks and a list with a wrong byte. Nothing of that may be kept or
- * passed on: every host checks each digest itself, and asks elsewhere.
- */
+/* A host sends chunks and a list with a wrong byte. None of these bytes may be
+ * stored or forwarded: every host verifies each digest itself and requests the
+ * chunk elsewhere. */
 static void
 test_peer_corrupts(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	unsigned int sent = 0;
 
-	begin(&s, 4);
-	make_fake(&s.node[1], fake_corrupts, &sent);
+	start_rollout(&s, 4);
+	replace_with_fake(&s.node[1], fake_corrupts, &sent);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_true(sent > 0);
 	assert_true(nodes_count(&s, "wts_corrupt_from_peers") > 0);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
-/*
- * The origin's answers are spoiled for a while. The reader drops them and reads
- * again after a pause; the bad bytes reach nobody.
- */
+/* The origin's responses are corrupt for some time. The reader discards them
+ * and reads again after a pause; no host receives the corrupt bytes. */
 static void
 test_origin_corrupts(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 4);
+	start_rollout(&s, 4);
 	s.origin.corrupt = 3;
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_int_equal(nodes_count(&s, "wts_corrupt_from_origin"), 3);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
 static bool
-says_bad_copy(const struct nodes *s, const struct model *m)
+reports_corrupt_copy(const struct nodes *s, const struct model *m)
 {
 	struct wts_progress p;
 
@@ -257,16 +254,17 @@
 	return strstr(p.why, "does not match its digest") != NULL;
 }
 
-/* The origin's copy itself is bad: no host gets it, and the operator reads why. */
+/* The origin's own copy is corrupt: no host stores it, and the operator is
+ * shown the reason. */
 static void
-test_origin_copy_is_bad(void **state)
+test_origin_copy_is_corrupt(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 1);
+	start_rollout(&s, 1);
 	s.origin.corrupt = UINT_MAX;
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, says_bad_copy, &first);
+	nodes_run_until(&s, reports_corrupt_copy, &first);
 	assert_null(wts_list(s.node[0].wts, &first.version.root));
 	nodes_stop(&s);
 }
@@ -278,7 +276,7 @@
 }
 
 static bool
-all_say_origin_is_down(const struct nodes *s, const struct model *m)
+all_report_origin_down(const struct nodes *s, const struct model *m)
 {
 	struct wts_progress p;
 	size_t i;
@@ -291,75 +289,70 @@
 	return true;
 }
 
-/*
- * The origin stops answering in the middle. What it has sent reaches all hosts,
- * each then says what it waits for, and the rest comes when it is back.
- */
+/* The origin stops responding during a rollout. What it has sent reaches all
+ * hosts, each host then reports what it waits for, and the rest is read when
+ * the origin has recovered. */
 static void
 test_origin_down(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 
-	begin(&s, 4);
+	start_rollout(&s, 4);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, origin_was_read, &first);
+	nodes_run_until(&s, origin_was_read, &first);
 	s.origin.down = true;
-	nodes_until(&s, all_say_origin_is_down, &first);
+	nodes_run_until(&s, all_report_origin_down, &first);
 	s.origin.down = false;
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
-/*
- * Another version is wanted while the first is under way. No chunk of the first can
- * get into the second, what both share is not fetched again, and the first
- * is gone everywhere.
- */
+/* Another version is wanted while the first is being transferred. No chunk of
+ * the first may get into the second, chunks in both are not fetched again, and
+ * the first is removed from all hosts. */
 static void
 test_superseded(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	size_t i;
 
-	begin(&s, 6);
+	start_rollout(&s, 6);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, half_way, &first);
+	nodes_run_until(&s, half_way, &first);
 	nodes_want_all(&s, &models[1], 1);
 	for (i = 0; i < s.n; i++)
 		wts_drop(s.node[i].wts, &first.version.root);
-	nodes_until(&s, nodes_whole, &models[1]);
+	nodes_run_until(&s, nodes_complete, &models[1]);
 	for (i = 0; i < s.n; i++)
 		assert_null(wts_chunk(s.node[i].wts, &first.version.root, 1));
 	assert_in_range(reads_beyond(&s, &first), 0, CHUNKS / 5);
-	end(&s, &models[1]);
+	finish_rollout(&s, &models[1]);
 }
 
-/*
- * A host comes back with empty memory after all others are whole, and a
- * new one joins. Both are served by the others; the origin is left alone.
- */
+/* A host restarts with empty memory after all others are complete, and a new
+ * one joins. Both are served by the others; the origin is not read. */
 static void
 test_restart_empty_and_join_late(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	uint64_t sent;
 
-	begin(&s, 6);
+	start_rollout(&s, 6);
 	node_kill(&s.node[5]);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	sent = s.origin.bytes_sent;
 	node_kill(&s.node[2]);
 	node_start(&s, 2);
 	node_start(&s, 5);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, nodes_whole, &first);
+	nodes_run_until(&s, nodes_complete, &first);
 	assert_int_equal(s.origin.bytes_sent, sent);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 }
 
-/* Whether a host that lives holds the chunk, or is reading it. */
+/* Whether a live host has the chunk or is reading it. */
 static bool
-is_safe(const struct nodes *s, const struct model *m, uint64_t chunk)
+is_recoverable(const struct nodes *s, const struct model *m, uint64_t chunk)
 {
 	const struct xfer *x;
 	enum pick_state state;
@@ -372,15 +365,15 @@
 		if (x == NULL)
 			continue;
 		state = x->pick->chunks[chunk].state;
-		if (state == PICK_HAVE || state == PICK_CHECKING ||
+		if (state == PICK_HAVE || state == PICK_VERIFYING ||
 		    state == PICK_READING)
 			return true;
 	}
 	return false;
 }
 
-/* Chunks that were read and went with the hosts that died: reads of them that
- * had not ended, or that nobody else had the bytes of yet. */
+/* Number of chunks that were read and lost with the failed hosts: reads that
+ * had not completed, or chunks that no other host had yet. */
 static int64_t
 reads_lost(const struct nodes *s, const struct model *m)
 {
@@ -388,58 +381,61 @@
 	uint64_t chunk;
 
 	for (chunk = 0; chunk < CHUNKS; chunk++)
-		lost -= is_safe(s, m, chunk);
+		lost -= is_recoverable(s, m, chunk);
 	return lost;
 }
 
 /*
- * All hosts of a failure domain go at once, readers among them, and nobody is told:
- * no new members list comes. The readers' silence brings in the next by rank. What
- * they alone had must be read again; little else is.
+ * All hosts of a failure domain fail at once, including readers, and no new
+ * member list arrives. After the claim timeout the hosts of the next rank take
+ * over. Chunks that only the failed hosts had must be read again, and few
+ * others.
  */
 static void
-test_domain_gone(void **state)
+test_domain_lost(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	int64_t lost, reads;
 	size_t i;
 
-	begin(&s, 9);
+	start_rollout(&s, 9);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, origin_was_read, &first);
+	nodes_run_until(&s, origin_was_read, &first);
 	for (i = 0; i < s.n; i += 3)
 		node_kill(&s.node[i]);
 	reads = (int64_t)s.origin.bytes_sent / WTS_CHUNK_MIN;
 	lost = reads_lost(&s, &first);
-	end(&s, &first);
-	/* Three of eight readers died: at most their part of the reads, and one
-	 * more each. How many reads there were by then is the machine's matter. */
+	finish_rollout(&s, &first);
+	/* Three of eight readers failed: at most their share of the reads, and
+	 * one more each. The number of reads by then depends on the machine. */
 	assert_in_range(lost, 0, reads * 3 / 8 + 3);
 	assert_in_range(reads_beyond(&s, &first), 0, lost + CHUNKS / 20);
 }
 
-/* Two at once: one host sends bad bytes while another, a reader, dies untold. */
+/* Two faults at once: one host sends corrupt bytes while a reader fails without
+ * a change of the member list. */
 static void
 test_reader_dies_and_peer_corrupts(void **state)
 {
-	struct nodes s = { .rate = SLOW };
+	struct nodes s = { .rate = SLOW_RATE };
 	unsigned int sent = 0;
 	size_t dead = 0;
 
-	begin(&s, 6);
-	make_fake(&s.node[1], fake_corrupts, &sent);
+	start_rollout(&s, 6);
+	replace_with_fake(&s.node[1], fake_corrupts, &sent);
 	nodes_want_all(&s, &first, 1);
-	nodes_until(&s, origin_was_read, &first);
+	nodes_run_until(&s, origin_was_read, &first);
 	while (s.node[dead].wts == NULL ||
 	    wts_find(s.node[dead].wts, &first.version.root)->pick->rank.self ==
 		RANK_NONE)
 		dead++;
 	node_kill(&s.node[dead]);
-	end(&s, &first);
+	finish_rollout(&s, &first);
 	assert_true(sent > 0);
 }
 
-/* Three chunks are being read, and all hosts know of the same number. */
+/* Each of the three hosts is reading, and all know of the same number of
+ * claims. */
 static bool
 all_know_the_claims(const struct nodes *s, const struct model *m)
 {
@@ -458,21 +454,23 @@
 }
 
 /*
- * The two outer hosts of three have not heard of each other, so that each holds
- * itself for the first reader of chunks that the other reads. The host between them
- * passes on what each has begun to read; without that both would read most chunks.
+ * The first and the last of three hosts are not in each other's member list, so
+ * each considers itself the first reader of chunks that the other reads. The
+ * host between them forwards their claims; without that both would read most
+ * chunks.
  */
 static void
-test_views_differ(void **state)
+test_member_lists_differ(void **state)
 {
-	/* A read lasts longer than news of it, as with chunks of real size. */
-	struct nodes s = { .rate = SLOW,
-		.origin = { .hold = true, .delay_ms = 100 } };
+	/* A read takes longer than the propagation of its claim, as it does
+	 * with chunks of real size. */
+	struct nodes s = { .rate = SLOW_RATE,
+		.origin = { .hold_weights = true, .delay_ms = 100 } };
 	struct wts_want want = { .version = first.version };
 	struct wts_peer peers[3];
 	size_t i;
 
-	begin(&s, 3);
+	start_rollout(&s, 3);
 	for (i = 0; i < s.n; i++) {
 		peers[i] = (struct wts_peer){ s.node[i].id, s.node[i].address,
 			s.node[i].domain };
@@ -481,9 +479,9 @@
 	wts_set_peers(s.node[0].wts, &first.version.root, peers, 2);
 	wts_set_peers(s.node[1].wts, &first.version.root, peers, 3);
 	wts_set_peers(s.node[2].wts, &first.version.root, &peers[1], 2);
-	nodes_until(&s, all_know_the_claims, &first);
-	s.origin.hold = false;
-	end(&s, &first);
+	nodes_run_until(&s, all_know_the_claims, &first);
+	s.origin.hold_weights = false;
+	finish_rollout(&s, &first);
 	assert_in_range(reads_beyond(&s, &first), 0, CHUNKS / 10);
 }
 
@@ -495,14 +493,14 @@
 		cmocka_unit_test(test_link_stalls),
 		cmocka_unit_test(test_peer_corrupts),
 		cmocka_unit_test(test_origin_corrupts),
-		cmocka_unit_test(test_origin_copy_is_bad),
+		cmocka_unit_test(test_origin_copy_is_corrupt),
 		cmocka_unit_test(test_origin_down),
 		cmocka_unit_test(test_superseded),
 		cmocka_unit_test(test_restart_empty_and_join_late),
-		cmocka_unit_test(test_domain_gone),
+		cmocka_unit_test(test_domain_lost),
 		cmocka_unit_test(test_reader_dies_and_peer_corrupts),
-		cmocka_unit_test(test_views_differ),
+		cmocka_unit_test(test_member_lists_differ),
 	};
 
-	return cmocka_run_group_tests(tests, set_up, tear_down);
+	return cmocka_run_group_tests(tests, setup, teardown);
 }
--- a/tests/weights/test_pick.c
+++ b/tests/weights/test_pick.c
@@ -1,4 +1,4 @@
-/* The choice of the next fetch, from states made by hand. */
+/* The choice of the next fetch, for constructed states. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,7 +19,7 @@
 static struct rng rng;
 
 static int
-set_up(void **state)
+setup(void **state)
 {
 	static char ids[HOSTS][8];
 	static const char *const domains[] = { "a", "b", "c" };
@@ -42,8 +42,8 @@
 	struct pick_conf conf = {
 		.chunks = CHUNKS,
 		.chunk_bytes = 1 << 20,
-		.rate = 100 << 20, /* ten milliseconds a chunk */
-		.copies = 1,
+		.rate = 100 << 20, /* ten milliseconds per chunk */
+		.origin_copies = 1,
 		.members = HOSTS,
 	};
 	struct pick *p = pick_new(&conf, 0);
@@ -62,20 +62,20 @@
 	return a;
 }
 
-/* Takes everything that is to be begun now; gives the last action. */
+/* Starts all fetches that are possible now; returns the first other action. */
 static struct pick_action
-begin_all(struct pick *p, int64_t now_us)
+start_all(struct pick *p, int64_t now_us)
 {
 	struct pick_action a = next(p, now_us);
 
-	while (a.kind == PICK_ASK || a.kind == PICK_READ) {
+	while (a.kind == PICK_REQUEST || a.kind == PICK_READ) {
 		pick_begin(p, &a, now_us);
 		a = next(p, now_us);
 	}
 	return a;
 }
 
-/* A host that reads nothing from the origin while readers do. */
+/* A host that does not read from the origin while the readers are alive. */
 static const struct rank *
 not_reader(void)
 {
@@ -87,20 +87,20 @@
 }
 
 static const struct rank *
-reader(unsigned int place)
+reader(unsigned int index)
 {
 	size_t i;
 
 	for (i = 0; i < HOSTS; i++) {
-		if (ranks[i].self == place)
+		if (ranks[i].self == index)
 			return &ranks[i];
 	}
-	fail_msg("no reader %u", place);
+	fail_msg("no reader %u", index);
 	return NULL;
 }
 
 static void
-has_all(struct pick *p, struct pick_peer *peer)
+add_all_chunks(struct pick *p, struct pick_peer *peer)
 {
 	uint64_t i;
 
@@ -108,8 +108,8 @@
 		pick_peer_has(p, peer, i, 0);
 }
 
-/* Every host computes the same readers, one at least in each domain, and
- * exactly one of them is first for a chunk. */
+/* Every host computes the same readers, at least one in each domain, and
+ * exactly one of them is the first reader of a chunk. */
 static void
 test_ranking_is_the_same_everywhere(void **state)
 {
@@ -119,8 +119,8 @@
 
 	for (i = 0; i < HOSTS; i++) {
 		assert_int_equal(ranks[i].nreaders, RANK_READERS);
-		assert_memory_equal(
-		    ranks[i].reader, ranks[0].reader, sizeof(ranks[0].reader));
+		assert_memory_equal(ranks[i].reader_hash, ranks[0].reader_hash,
+		    sizeof(ranks[0].reader_hash));
 		readers += ranks[i].self != RANK_NONE;
 	}
 	assert_int_equal(readers, RANK_READERS);
@@ -132,8 +132,8 @@
 	}
 }
 
-/* Before the members are known a host would hold itself for the only one, and
- * every host would read a whole copy. */
+/* Before the members are known, a host would consider itself the only one, and
+ * every host would read a complete copy. */
 static void
 test_no_read_before_members_are_known(void **state)
 {
@@ -143,10 +143,9 @@
 	pick_free(p);
 }
 
-/*
- * A reader begins with chunks of its own rank, one at a time, and leaves alone what
- * it heard was begun. The others' chunks come only after a silence.
- */
+/* A reader begins with the chunks for which it is the first reader, one at a
+ * time, and skips chunks claimed by others. Chunks of other readers follow only
+ * after the claim timeout. */
 static void
 test_reads_in_turn(void **state)
 {
@@ -168,20 +167,20 @@
 		assert_int_equal(a.index % 2, 1);
 		pick_begin(p, &a, 0);
 		assert_int_equal(next(p, 0).kind, PICK_WAIT);
-		pick_arrived(p, a.index, 0);
-		pick_got(p, a.index);
+		pick_received(p, a.index, 0);
+		pick_complete(p, a.index);
 		read++;
 	}
 	assert_int_equal(read, own);
 	assert_int_equal(a.kind, PICK_WAIT);
-	assert_int_equal(a.until_us, pick_silence_us(p));
+	assert_int_equal(a.until_us, pick_claim_timeout_us(p));
 	pick_free(p);
 }
 
-/* Begins the first read, and ends it without the chunk, which is the only one
- * that is missing but for `other` (CHUNKS: none). */
+/* Begins the first read and fails it; its chunk and `other` are then the only
+ * missing ones (CHUNKS: no other). */
 static uint64_t
-fail_a_read(struct pick *p, uint64_t other)
+fail_read(struct pick *p, uint64_t other)
 {
 	struct pick_action a = next(p, 0);
 	uint64_t i;
@@ -189,25 +188,25 @@
 	assert_int_equal(a.kind, PICK_READ);
 	for (i = 0; i < CHUNKS; i++) {
 		if (i != a.index && i != other)
-			pick_got(p, i);
+			pick_complete(p, i);
 	}
 	pick_begin(p, &a, 0);
-	pick_ended(p, a.index, NULL, PICK_FAILED, 0);
+	pick_failed(p, a.index, NULL, PICK_FAILED, 0);
 	assert_int_equal(next(p, SECOND / 10).kind, PICK_WAIT);
 	return a.index;
 }
 
 /*
- * The origin is away, and a first reader's read of a chunk fails. It tries the
- * same chunk again as soon as the origin may be back, not after the time that
- * others give a silent reader: every host waits for that chunk, and engines
- * whose weights are due stand idle.
+ * The origin is down, and a first reader's read of a chunk fails. It retries
+ * the same chunk as soon as the origin may have recovered, not after the claim
+ * timeout: every host waits for that chunk, and engines that need the weights
+ * are idle.
  */
 static void
-test_failed_read_is_repeated_soon(void **state)
+test_failed_read_is_retried_soon(void **state)
 {
 	struct pick *p = new_pick(reader(0));
-	uint64_t index = fail_a_read(p, CHUNKS);
+	uint64_t index = fail_read(p, CHUNKS);
 	struct pick_action a = next(p, SECOND / 2);
 
 	assert_int_equal(a.kind, PICK_READ);
@@ -215,11 +214,9 @@
 	pick_free(p);
 }
 
-/*
- * The origin comes back after a while in which all claims have grown old, so a
- * reader may read chunks of other readers, too. It takes its own first: others
- * leave those to it, and everybody would wait for them.
- */
+/* The origin recovers after an outage in which all claims have expired, so a
+ * reader may also read chunks of other readers. It reads its own first: others
+ * leave those to it, and all hosts would wait for them. */
 static void
 test_own_chunks_are_read_first(void **state)
 {
@@ -234,18 +231,18 @@
 		assert_true(a.rank >= before);
 		before = a.rank;
 		pick_begin(p, &a, later_us);
-		pick_arrived(p, a.index, later_us);
-		pick_got(p, a.index);
+		pick_received(p, a.index, later_us);
+		pick_complete(p, a.index);
 		read++;
 	}
 	assert_true(read > CHUNKS / HOSTS);
 	pick_free(p);
 }
 
-/* A reader's own link delays the last bytes of a chunk: with a second read open
- * the origin goes on sending meanwhile. */
+/* A reader's own link delays the last bytes of a chunk; with a second open read
+ * the origin continues to send meanwhile. */
 static void
-test_so_many_reads_are_open(void **state)
+test_max_reads_open(void **state)
 {
 	struct pick *p = new_pick(reader(0));
 	struct pick_action a;
@@ -259,17 +256,16 @@
 	}
 	assert_int_equal(next(p, 0).kind, PICK_WAIT);
 	pick_set_reads(p, 1);
-	pick_arrived(p, a.index, 0);
+	pick_received(p, a.index, 0);
 	assert_int_equal(next(p, 0).kind, PICK_WAIT);
 	pick_free(p);
 }
 
-/*
- * The origin was away, and every reader rests after a read that failed. The
- * first that finds it back tells of its chunk: the others need not rest longer.
- */
+/* The origin was down, and every reader is in backoff after a failed read.
+ * When one of them succeeds and reports its chunk, the backoff of the others
+ * ends. */
 static void
-test_a_chunk_from_the_origin_ends_the_rest(void **state)
+test_origin_chunk_at_peer_ends_backoff(void **state)
 {
 	struct pick *p = new_pick(reader(0));
 	struct pick_peer peer = { 0 };
@@ -277,7 +273,7 @@
 	uint64_t index;
 
 	pick_add_peer(p, &peer, true);
-	index = fail_a_read(p, CHUNKS - 1);
+	index = fail_read(p, CHUNKS - 1);
 	pick_peer_has(p, &peer, CHUNKS - 1, SECOND / 10);
 	a = next(p, SECOND / 10);
 	assert_int_equal(a.kind, PICK_READ);
@@ -286,9 +282,10 @@
 	pick_free(p);
 }
 
-/* Chunks that a peer has do not keep the origin from other versions. */
+/* Only chunks that no peer has count as still needed from the origin, so that
+ * other versions can use the origin otherwise. */
 static void
-test_what_is_still_to_come_from_the_origin(void **state)
+test_count_origin_only(void **state)
 {
 	struct pick *p = new_pick(reader(0));
 	struct pick_peer peer = { 0 };
@@ -297,37 +294,35 @@
 	pick_add_peer(p, &peer, true);
 	for (i = 0; i < CHUNKS - 1; i++)
 		pick_peer_has(p, &peer, i, 0);
-	assert_int_equal(pick_left_at_origin(p), 1);
-	pick_got(p, CHUNKS - 1);
-	assert_int_equal(pick_left_at_origin(p), 0);
+	assert_int_equal(pick_count_origin_only(p), 1);
+	pick_complete(p, CHUNKS - 1);
+	assert_int_equal(pick_count_origin_only(p), 0);
 	pick_remove_peer(p, &peer, 0);
 	pick_free(p);
 }
 
-/*
- * The first reader of some chunks falls silent. The second steps in after one
- * silence and then goes on without waiting again; a host that is no reader
- * waits longer; and a claim by the first puts all of them off again.
- */
+/* The first reader of some chunks fails. The second takes over after one claim
+ * timeout and then continues without further waits; a host that is not a reader
+ * waits longer. A claim by the first restarts the timeout for all of them. */
 static void
-test_next_in_rank_after_silence(void **state)
+test_next_rank_reads_after_claim_timeout(void **state)
 {
 	struct pick *p = new_pick(reader(1));
-	int64_t now = pick_silence_us(p);
+	int64_t now = pick_claim_timeout_us(p);
 	struct pick_action a;
 	uint64_t i;
 
 	for (i = 0; i < CHUNKS; i++) {
 		if (rank_self(reader(1), i) != 1)
-			pick_got(p, i);
+			pick_complete(p, i);
 	}
 	assert_int_equal(next(p, now - 1).kind, PICK_WAIT);
 	a = next(p, now);
 	assert_int_equal(a.kind, PICK_READ);
 	assert_int_equal(a.rank, 1);
 	pick_begin(p, &a, now);
-	pick_arrived(p, a.index, now);
-	pick_got(p, a.index);
+	pick_received(p, a.index, now);
+	pick_complete(p, a.index);
 	a = next(p, now);
 	assert_int_equal(a.kind, PICK_READ);
 	for (i = 0; i < CHUNKS; i++) {
@@ -339,32 +334,33 @@
 }
 
 /*
- * One reader's link is slow: it claims a chunk each second, so it is not silent,
- * and all hosts wait for the rest of its chunks. A reader that is through with
- * its own takes over what the slow one has not begun, and what it began long
- * ago, and leaves to a reader of its own pace what is that one's.
+ * One reader's link is slow: it claims a chunk every 0.6 s, so the claim
+ * timeout does not expire, and all hosts wait for the rest of its chunks. A
+ * reader that has read its own chunks takes over those that the slow one has
+ * not begun or began long ago. Chunks of a reader of similar speed are left to
+ * that reader.
  */
 static void
-test_chunks_of_a_slow_reader_are_taken_over(void **state)
+test_takeover_from_slow_reader(void **state)
 {
 	struct pick *p = new_pick(reader(0));
-	unsigned int slow = 0, brisk = 0, taken = 0;
+	unsigned int slow = 0, fast = 0, taken = 0;
 	int64_t now = 0;
 	struct pick_action a;
 	uint64_t i;
 
 	for (i = 0; i < CHUNKS; i++) {
-		if (rank_first(reader(0), i) > 2)
-			pick_got(p, i);
+		if (rank_first_reader(reader(0), i) > 2)
+			pick_complete(p, i);
 	}
 	for (i = 0; i < CHUNKS; i++) {
-		switch (rank_first(reader(0), i)) {
-		case 0: /* one of this host's each 0.1 s */
+		switch (rank_first_reader(reader(0), i)) {
+		case 0: /* one of this host's chunks every 0.1 s */
 			a = next(p, now += SECOND / 10);
 			assert_int_equal(a.rank, 0);
 			pick_begin(p, &a, now);
-			pick_arrived(p, a.index, now);
-			pick_got(p, a.index);
+			pick_received(p, a.index, now);
+			pick_complete(p, a.index);
 			break;
 		case 1:
 			if (now >= (int64_t)slow * SECOND * 6 / 10 &&
@@ -372,21 +368,22 @@
 				pick_claimed(p, i, 0, now);
 			break;
 		case 2:
-			if (++brisk == CHUNKS / RANK_READERS)
+			if (++fast == CHUNKS / RANK_READERS)
 				break;
 			pick_claimed(p, i, 0, now);
-			pick_got(p, i); /* it came */
+			pick_complete(p, i); /* received */
 			break;
 		}
 	}
-	/* What is left of its chunks then comes sooner than a silent reader is
-	 * waited for; but it does not come. */
+	/* The rest of its chunks would then arrive sooner than the claim
+	 * timeout, but does not arrive. */
 	while ((now += SECOND * 4 / 10) < 3 * SECOND) {
 		for (a = next(p, now); a.kind == PICK_READ; a = next(p, now)) {
-			assert_int_equal(rank_first(reader(0), a.index), 1);
+			assert_int_equal(
+			    rank_first_reader(reader(0), a.index), 1);
 			pick_begin(p, &a, now);
-			pick_arrived(p, a.index, now);
-			pick_got(p, a.index);
+			pick_received(p, a.index, now);
+			pick_complete(p, a.index);
 			taken++;
 		}
 		assert_true(taken > 0);
@@ -396,15 +393,13 @@
 	pick_free(p);
 }
 
-/*
- * A reader is quicker than news travel: its chunks are seen at a peer before its
- * claims are heard. The claims still show that it lives, and nobody steps in.
- */
+/* A reader's chunks are seen at a peer before its claims arrive. The claims
+ * still show that it is alive, and no other host takes over. */
 static void
-test_late_claim_is_a_sign_of_life(void **state)
+test_late_claim_resets_claim_timeout(void **state)
 {
 	struct pick *p = new_pick(reader(1));
-	int64_t silence = pick_silence_us(p);
+	int64_t timeout_us = pick_claim_timeout_us(p);
 	struct pick_peer peer = { 0 };
 	struct pick_action a;
 	uint64_t i, seen = CHUNKS;
@@ -412,95 +407,93 @@
 	pick_add_peer(p, &peer, true);
 	for (i = 0; i < CHUNKS; i++) {
 		if (rank_self(reader(1), i) != 1 ||
-		    rank_first(reader(1), i) != 0)
-			pick_got(p, i);
+		    rank_first_reader(reader(1), i) != 0)
+			pick_complete(p, i);
 		else
 			seen = i;
 	}
-	pick_peer_has(p, &peer, seen, silence - 1);
-	assert_true(pick_claimed(p, seen, 0, silence - 1));
-	assert_false(pick_claimed(p, seen, 0, silence - 1));
-	pick_got(p, seen);
-	a = next(p, silence);
+	pick_peer_has(p, &peer, seen, timeout_us - 1);
+	assert_true(pick_claimed(p, seen, 0, timeout_us - 1));
+	assert_false(pick_claimed(p, seen, 0, timeout_us - 1));
+	pick_complete(p, seen);
+	a = next(p, timeout_us);
 	assert_int_equal(a.kind, PICK_WAIT);
-	assert_int_equal(a.until_us, 2 * silence - 1);
+	assert_int_equal(a.until_us, 2 * timeout_us - 1);
 	pick_remove_peer(p, &peer, 0);
 	pick_free(p);
 }
 
-/* Own failure domain first; of its peers the least loaded; of its chunks the
- * rarest. */
+/* Peers of the same failure domain come first, then the least loaded, then the
+ * rarest of its chunks. */
 static void
-test_near_then_idle_then_rarest(void **state)
+test_same_domain_then_idle_then_rarest(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	struct pick_peer near = { 0 }, loaded = { 0 }, far = { 0 };
+	struct pick_peer same_domain = { 0 }, loaded = { 0 },
+			 cross_domain = { 0 };
 	struct pick_action a;
 	uint64_t i;
 
-	pick_add_peer(p, &near, true);
+	pick_add_peer(p, &same_domain, true);
 	pick_add_peer(p, &loaded, true);
-	pick_add_peer(p, &far, false);
-	has_all(p, &near);
+	pick_add_peer(p, &cross_domain, false);
+	add_all_chunks(p, &same_domain);
 	for (i = 0; i < CHUNKS; i++) {
 		if (i != 17)
 			pick_peer_has(p, &loaded, i, 0);
 	}
-	has_all(p, &far);
+	add_all_chunks(p, &cross_domain);
 	pick_peer_load(&loaded, 1, 0);
 	a = next(p, 0);
-	assert_int_equal(a.kind, PICK_ASK);
-	assert_ptr_equal(a.peer, &near);
+	assert_int_equal(a.kind, PICK_REQUEST);
+	assert_ptr_equal(a.peer, &same_domain);
 	assert_int_equal(a.index, 17);
-	pick_remove_peer(p, &near, 0);
+	pick_remove_peer(p, &same_domain, 0);
 	pick_remove_peer(p, &loaded, 0);
-	assert_ptr_equal(next(p, 0).peer, &far);
-	pick_remove_peer(p, &far, 0);
+	assert_ptr_equal(next(p, 0).peer, &cross_domain);
+	pick_remove_peer(p, &cross_domain, 0);
 	pick_free(p);
 }
 
-/*
- * Near the end several peers have the last chunk. It is asked of one only, until that one
- * has brought nothing for the patience; then of another.
- */
+/* Near the end several peers have the last chunk. It is requested from only one
+ * peer, and from another after the first has sent nothing for the stall
+ * timeout. */
 static void
-test_no_duplicate_before_patience(void **state)
+test_no_duplicate_before_stall_timeout(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	int64_t late = pick_patience_us(p);
+	int64_t timeout_us = pick_stall_timeout_us(p);
 	struct pick_peer one = { 0 }, two = { 0 };
 	struct pick_action a;
 	uint64_t i;
 
 	for (i = 1; i < CHUNKS; i++)
-		pick_got(p, i);
+		pick_complete(p, i);
 	pick_add_peer(p, &one, true);
 	pick_add_peer(p, &two, true);
-	has_all(p, &one);
-	has_all(p, &two);
+	add_all_chunks(p, &one);
+	add_all_chunks(p, &two);
 	pick_peer_load(&two, 1, 0);
-	a = begin_all(p, 0);
-	assert_int_equal(one.open, 1);
-	assert_int_equal(two.open, 0);
+	a = start_all(p, 0);
+	assert_int_equal(one.open_requests, 1);
+	assert_int_equal(two.open_requests, 0);
 	assert_int_equal(a.kind, PICK_WAIT);
-	assert_int_equal(a.until_us, late);
-	a = next(p, late);
+	assert_int_equal(a.until_us, timeout_us);
+	a = next(p, timeout_us);
 	assert_int_equal(a.kind, PICK_EXPIRE);
-	pick_ended(p, a.index, a.peer, PICK_STALLED, late);
-	a = next(p, late);
+	pick_failed(p, a.index, a.peer, PICK_STALLED, timeout_us);
+	a = next(p, timeout_us);
 	assert_ptr_equal(a.peer, &two);
-	pick_remove_peer(p, &one, late);
-	pick_remove_peer(p, &two, late);
+	pick_remove_peer(p, &one, timeout_us);
+	pick_remove_peer(p, &two, timeout_us);
 	pick_free(p);
 }
 
-/*
- * A peer said that it has enough to do, and nothing since. Its word wears off: else
- * hosts whose peers had all been busy once, and then had nothing new to
- * say, would wait for ever.
- */
+/* A peer reported that it was busy, and nothing since. The reported load must
+ * decrease with time; otherwise hosts whose peers had all been busy once, and
+ * had no changes to report since, would wait forever. */
 static void
-test_busy_peer_is_asked_again(void **state)
+test_busy_peer_is_retried(void **state)
 {
 	struct pick *p = new_pick(not_reader());
 	struct pick_peer one = { 0 };
@@ -512,40 +505,38 @@
 	a = next(p, 0);
 	assert_int_equal(a.kind, PICK_WAIT);
 	assert_in_range(a.until_us, 1, SECOND / 10);
-	assert_int_equal(next(p, a.until_us).kind, PICK_ASK);
+	assert_int_equal(next(p, a.until_us).kind, PICK_REQUEST);
 	pick_remove_peer(p, &one, 0);
 	pick_free(p);
 }
 
-/* Bytes put the deadline off: a slow link is not a stalled one. */
+/* Received bytes extend the deadline: a slow link is not a stalled one. */
 static void
-test_progress_extends_patience(void **state)
+test_progress_extends_stall_timeout(void **state)
 {
 	struct pick *p = new_pick(&ranks[0]);
-	int64_t late = pick_patience_us(p);
+	int64_t timeout_us = pick_stall_timeout_us(p);
 	struct pick_peer one = { 0 };
 	struct pick_action a;
 
 	pick_add_peer(p, &one, true);
 	pick_peer_has(p, &one, 3, 0);
-	begin_all(p, 0);
-	pick_moved(p, 3, late - 1);
-	a = next(p, late);
+	start_all(p, 0);
+	pick_progress(p, 3, timeout_us - 1);
+	a = next(p, timeout_us);
 	assert_int_not_equal(a.kind, PICK_EXPIRE);
-	pick_remove_peer(p, &one, late);
+	pick_remove_peer(p, &one, timeout_us);
 	pick_free(p);
 }
 
-/*
- * A peer sends wrong bytes for the one chunk that it alone has. It does not count as its
- * holder any more, so that the chunk can be read from the origin, and it is not
- * asked for it again.
- */
+/* A peer sends wrong bytes for a chunk that no other peer has. It no longer
+ * counts as a holder, so that the chunk can be read from the origin and is not
+ * requested from this peer again. */
 static void
-test_wrong_bytes_end_being_a_holder(void **state)
+test_corrupt_chunk_removes_holder(void **state)
 {
 	struct pick *p = new_pick(reader(0));
-	struct pick_peer liar = { 0 };
+	struct pick_peer corrupt = { 0 };
 	struct pick_action a;
 	uint64_t own;
 	uint64_t i;
@@ -554,22 +545,22 @@
 		;
 	for (i = 0; i < CHUNKS; i++) {
 		if (i != own)
-			pick_got(p, i);
+			pick_complete(p, i);
 	}
-	pick_add_peer(p, &liar, true);
-	has_all(p, &liar);
-	a = begin_all(p, 0);
-	assert_int_equal(liar.open, 1);
-	pick_arrived(p, own, 0);
-	pick_ended(p, own, &liar, PICK_CORRUPT, 0);
-	a = next(p, pick_silence_us(p));
+	pick_add_peer(p, &corrupt, true);
+	add_all_chunks(p, &corrupt);
+	a = start_all(p, 0);
+	assert_int_equal(corrupt.open_requests, 1);
+	pick_received(p, own, 0);
+	pick_failed(p, own, &corrupt, PICK_CORRUPT, 0);
+	a = next(p, pick_claim_timeout_us(p));
 	assert_int_equal(a.kind, PICK_READ);
-	pick_remove_peer(p, &liar, 0);
+	pick_remove_peer(p, &corrupt, 0);
 	pick_free(p);
 }
 
-/* Further copies are read only once the first is under way, and each host
- * takes no more than its part of them. */
+/* Further copies are read only once all chunks of the first are claimed, and
+ * each host reads at most its share of them. */
 static void
 test_extra_copies_are_bounded(void **state)
 {
@@ -587,8 +578,8 @@
 	for (a = next(p, 0); a.kind == PICK_READ; a = next(p, 0)) {
 		assert_true(a.extra);
 		pick_begin(p, &a, 0);
-		pick_arrived(p, a.index, 0);
-		pick_got(p, a.index);
+		pick_received(p, a.index, 0);
+		pick_complete(p, a.index);
 		extra++;
 	}
 	assert_int_equal(extra, (CHUNKS + HOSTS - 1) / HOSTS);
@@ -602,21 +593,21 @@
 		cmocka_unit_test(test_ranking_is_the_same_everywhere),
 		cmocka_unit_test(test_no_read_before_members_are_known),
 		cmocka_unit_test(test_reads_in_turn),
-		cmocka_unit_test(test_failed_read_is_repeated_soon),
+		cmocka_unit_test(test_failed_read_is_retried_soon),
 		cmocka_unit_test(test_own_chunks_are_read_first),
-		cmocka_unit_test(test_so_many_reads_are_open),
-		cmocka_unit_test(test_a_chunk_from_the_origin_ends_the_rest),
-		cmocka_unit_test(test_what_is_still_to_come_from_the_origin),
-		cmocka_unit_test(test_next_in_rank_after_silence),
-		cmocka_unit_test(test_chunks_of_a_slow_reader_are_taken_over),
-		cmocka_unit_test(test_late_claim_is_a_sign_of_life),
-		cmocka_unit_test(test_near_then_idle_then_rarest),
-		cmocka_unit_test(test_no_duplicate_before_patience),
-		cmocka_unit_test(test_busy_peer_is_asked_again),
-		cmocka_unit_test(test_progress_extends_patience),
-		cmocka_unit_test(test_wrong_bytes_end_being_a_holder),
+		cmocka_unit_test(test_max_reads_open),
+		cmocka_unit_test(test_origin_chunk_at_peer_ends_backoff),
+		cmocka_unit_test(test_count_origin_only),
+		cmocka_unit_test(test_next_rank_reads_after_claim_timeout),
+		cmocka_unit_test(test_takeover_from_slow_reader),
+		cmocka_unit_test(test_late_claim_resets_claim_timeout),
+		cmocka_unit_test(test_same_domain_then_idle_then_rarest),
+		cmocka_unit_test(test_no_duplicate_before_stall_timeout),
+		cmocka_unit_test(test_busy_peer_is_retried),
+		cmocka_unit_test(test_progress_extends_stall_timeout),
+		cmocka_unit_test(test_corrupt_chunk_removes_holder),
 		cmocka_unit_test(test_extra_copies_are_bounded),
 	};
 
-	return cmocka_run_group_tests(tests, set_up, NULL);
+	return cmocka_run_group_tests(tests, setup, NULL);
 }
