--- a/lib/serve/flow.c
+++ b/lib/serve/flow.c
@@ -24,7 +24,7 @@
 static bool
 may_go_on(const struct flow_state *s, enum flow_end end)
 {
-	if (s->held || !s->time || s->tries >= s->attempts + FLOW_REFUSALS_MAX)
+	if (s->blocked || !s->has_time || s->tries >= s->attempts + FLOW_REFUSALS_MAX)
 		return false;
 	if (s->runs >= s->attempts)
 		return false;
@@ -37,16 +37,16 @@
 {
 	/* A try at which nothing was sent is no arrival: it costs nothing. */
 	if (may_go_on(s, end) && (end == FLOW_UNREACHABLE || may_spend(ctx)))
-		return s->begun ? FLOW_RESUME : FLOW_AGAIN;
+		return s->begun ? FLOW_RESUME : FLOW_RETRY;
 	if (s->begun)
-		return FLOW_BREAK;
+		return FLOW_ABORT;
 	if (end == FLOW_FAILURE)
 		return FLOW_PASS;
 	return ran_nowhere(s) ? FLOW_REFUSE : FLOW_FAIL;
 }
 
 double
-flow_return_s(double wait_s, double random)
+flow_retry_after_s(double wait_s, double random)
 {
 	double spread = 1 - RETURN_SPREAD / 2 + RETURN_SPREAD * random;
 	double s = (RETURN_BASE_S + wait_s) * spread;
--- a/lib/serve/flow.h
+++ b/lib/serve/flow.h
@@ -16,18 +16,18 @@
 	FLOW_REFUSED, /* the target says that it did not run it */
 	FLOW_UNREACHABLE, /* nothing was sent */
 	FLOW_LOST, /* sent, and no answer or no whole one */
-	FLOW_SILENT, /* sent, and given up here for its silence */
-	FLOW_WITHDRAWN, /* sent, and taken back before its answer began */
+	FLOW_STALLED, /* sent, and given up here for its silence */
+	FLOW_RECALLED, /* sent, and taken back before its answer began */
 	FLOW_FAILURE, /* a whole answer that says failure */
 };
 
 enum flow_step {
-	FLOW_AGAIN, /* to another target, from the start */
+	FLOW_RETRY, /* to another target, from the start */
 	FLOW_RESUME, /* to another target, after the last event passed on */
 	FLOW_PASS, /* pass the target's failure on as it is */
 	FLOW_REFUSE, /* 503: it did not run */
 	FLOW_FAIL, /* 502: it may have run */
-	FLOW_BREAK, /* the answer has begun: close without its end */
+	FLOW_ABORT, /* the answer has begun: close without its end */
 };
 
 struct flow_state {
@@ -37,8 +37,8 @@
 	unsigned int runs; /* targets at which it may have run */
 	unsigned int tries; /* targets that it was sent to */
 	unsigned int attempts; /* runs that its route allows */
-	bool time; /* enough is left for another attempt */
-	bool held; /* it may be what ended its targets */
+	bool has_time; /* enough is left for another attempt */
+	bool blocked; /* it may be what ended its targets */
 };
 
 /* Tries beyond the route's attempts that refusals may use up: a refusal runs
@@ -54,6 +54,6 @@
  * for a place now, `random` is from 0 up to 1 and spreads those refused
  * together.
  */
-double flow_return_s(double wait_s, double random);
+double flow_retry_after_s(double wait_s, double random);
 
 #endif
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -103,8 +103,8 @@
 	[FLOW_REFUSED] = "target_refused",
 	[FLOW_UNREACHABLE] = "target_unreachable",
 	[FLOW_LOST] = "answer_lost",
-	[FLOW_SILENT] = "target_silent",
-	[FLOW_WITHDRAWN] = "weights_too_old",
+	[FLOW_STALLED] = "target_silent",
+	[FLOW_RECALLED] = "weights_too_old",
 	[FLOW_FAILURE] = "target_failed",
 };
 
@@ -112,8 +112,8 @@
 	[FLOW_REFUSED] = TGT_REFUSED,
 	[FLOW_UNREACHABLE] = TGT_LOST,
 	[FLOW_LOST] = TGT_ERROR,
-	[FLOW_SILENT] = TGT_SILENT,
-	[FLOW_WITHDRAWN] = TGT_REFUSED, /* says nothing against it */
+	[FLOW_STALLED] = TGT_SILENT,
+	[FLOW_RECALLED] = TGT_REFUSED, /* says nothing against it */
 	[FLOW_FAILURE] = TGT_ERROR,
 };
 
@@ -168,11 +168,11 @@
 		r->flow.may_have_run = true;
 		r->flow.runs++;
 	}
-	r->flow.time = r->due_us - fwd_now(r) > ATTEMPT_MIN_US &&
+	r->flow.has_time = r->due_us - fwd_now(r) > ATTEMPT_MIN_US &&
 	    r->ntried < FWD_TRIED_MAX;
-	r->flow.held = fwd_is_held(r, &until_us);
+	r->flow.blocked = fwd_is_held(r, &until_us);
 	switch (flow_next(&r->flow, end, may_spend, r)) {
-	case FLOW_AGAIN:
+	case FLOW_RETRY:
 	case FLOW_RESUME:
 		go_on(r, end);
 		break;
@@ -185,7 +185,7 @@
 	case FLOW_FAIL:
 		fwd_fail(r, 502, end_names[end]);
 		break;
-	case FLOW_BREAK:
+	case FLOW_ABORT:
 		fwd_break(r, end_names[end]);
 		break;
 	}
@@ -286,7 +286,7 @@
 	if (r->call != NULL && hcall_kept(r->call))
 		hpool_forget_idle(r->fwd->conf.pool);
 	cancel_call(r);
-	attempt_ended(r, FLOW_SILENT);
+	attempt_ended(r, FLOW_STALLED);
 }
 
 static void
@@ -298,7 +298,7 @@
 	if (r->call == NULL || r->status != 0)
 		return;
 	cancel_call(r);
-	attempt_ended(r, FLOW_WITHDRAWN);
+	attempt_ended(r, FLOW_RECALLED);
 }
 
 static int64_t
--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -67,7 +67,7 @@
 {
 	double wait_s = expected_wait_s(r->service, r->service->nwaiting);
 
-	return flow_return_s(
+	return flow_retry_after_s(
 	    wait_s, (double)rng_below(&r->fwd->rng, 1000) / 1000.0);
 }
 
--- a/tests/serve/test_flow.c
+++ b/tests/serve/test_flow.c
@@ -32,7 +32,7 @@
 	for (i = 0; i < CALLERS; i++) {
 		double at_s = gap_s * i / CALLERS;
 		double back_s = at_s +
-		    flow_return_s(0, (double)rng_below(&rng, 1000) / 1000);
+		    flow_retry_after_s(0, (double)rng_below(&rng, 1000) / 1000);
 
 		again += back_s < gap_s;
 		in_100_ms[(unsigned int)(back_s * 10)]++;
@@ -42,7 +42,7 @@
 	assert_true(again <= CALLERS / 20);
 	assert_true(most <= CALLERS / 10);
 	/* A caller waits for a third of its time, and that is some six seconds. */
-	assert_true(flow_return_s(5, 0.5) <= 1.9);
+	assert_true(flow_retry_after_s(5, 0.5) <= 1.9);
 }
 
 /* ------------------------------------------------------------------ */
@@ -65,16 +65,16 @@
 static void
 test_what_follows_an_attempt(void **state)
 {
-	struct flow_state s = { .attempts = 2, .time = true, .tries = 1 };
+	struct flow_state s = { .attempts = 2, .has_time = true, .tries = 1 };
 	unsigned int asked = 0;
 
 	/* May run once, and certainly did not: on it goes. */
-	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_AGAIN);
+	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_RETRY);
 	assert_int_equal(flow_next(&s, FLOW_REFUSED, no, NULL), FLOW_REFUSE);
 	/* Nothing was sent: no arrival, so nothing is spent. */
 	asked = 0;
 	assert_int_equal(
-	    flow_next(&s, FLOW_UNREACHABLE, yes, &asked), FLOW_AGAIN);
+	    flow_next(&s, FLOW_UNREACHABLE, yes, &asked), FLOW_RETRY);
 	assert_int_equal(asked, 0);
 	/* It may have run: never again, and never "not run". */
 	s.may_have_run = true;
@@ -84,17 +84,17 @@
 	assert_int_equal(flow_next(&s, FLOW_FAILURE, yes, &asked), FLOW_PASS);
 	/* May be repeated, within its attempts. */
 	s.repeatable = true;
-	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &asked), FLOW_AGAIN);
+	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &asked), FLOW_RETRY);
 	s.begun = true;
 	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &asked), FLOW_RESUME);
-	assert_int_equal(flow_next(&s, FLOW_LOST, no, NULL), FLOW_BREAK);
+	assert_int_equal(flow_next(&s, FLOW_LOST, no, NULL), FLOW_ABORT);
 	s.runs = 2;
-	assert_int_equal(flow_next(&s, FLOW_SILENT, yes, &asked), FLOW_BREAK);
+	assert_int_equal(flow_next(&s, FLOW_STALLED, yes, &asked), FLOW_ABORT);
 	/* No time left. */
 	s = (struct flow_state){ .repeatable = true, .attempts = 3 };
 	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_REFUSE);
 	/* Refusals do not go round for ever. */
-	s.time = true;
+	s.has_time = true;
 	s.tries = 3 + FLOW_REFUSALS_MAX;
 	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_REFUSE);
 }
