--- a/lib/serve/fingerprint.c
+++ b/lib/serve/fingerprint.c
@@ -29,7 +29,7 @@
 	uint64_t bits;
 
 	add_text(s, c->host);
-	add_text(s, c->caller);
+	add_text(s, c->workspace);
 	add_part(s, c->target.p, c->target.n);
 	add_part(s, c->body, c->body_len);
 	digest_stream_end(s, &digest);
--- a/lib/serve/fingerprint.h
+++ b/lib/serve/fingerprint.h
@@ -16,7 +16,7 @@
 struct fpr_content {
 	const char *host; /* of the route */
 	struct hslice target; /* path and query */
-	const char *caller; /* workspace of its key; NULL: anonymous */
+	const char *workspace; /* workspace of its key; NULL: anonymous */
 	const void *body;
 	size_t body_len;
 };
--- a/lib/serve/flow.c
+++ b/lib/serve/flow.c
@@ -24,7 +24,8 @@
 static bool
 may_go_on(const struct flow_state *s, enum flow_end end)
 {
-	if (s->blocked || !s->has_time || s->tries >= s->attempts + FLOW_REFUSALS_MAX)
+	if (s->blocked || !s->has_time ||
+	    s->tries >= s->attempts + FLOW_REFUSALS_MAX)
 		return false;
 	if (s->runs >= s->attempts)
 		return false;
--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -16,19 +16,19 @@
 }
 
 uint64_t
-fwd_content(struct fwd_req *r)
+fwd_fingerprint(struct fwd_req *r)
 {
 	struct fpr_content content = {
 		.host = r->route->host,
 		.target = hreq_msg(r->caller)->target,
-		.caller = r->workspace == NULL ? NULL : r->workspace->name,
+		.workspace = r->workspace == NULL ? NULL : r->workspace->name,
 	};
 
-	if (r->content == 0) {
+	if (r->fingerprint == 0) {
 		content.body = hreq_body(r->caller, &content.body_len);
-		r->content = fpr_of(&content);
+		r->fingerprint = fpr_of(&content);
 	}
-	return r->content;
+	return r->fingerprint;
 }
 
 /* ------------------------------------------------------------------ */
@@ -50,12 +50,12 @@
 	    "x config=%" G_GINT64_FORMAT,
 	    r->id, r->route->name, r->service->targets->name, status, why,
 	    r->flow.tries, r->flow.runs, r->events,
-	    (now_us - r->begun_us) / 1000,
+	    (now_us - r->started_us) / 1000,
 	    r->first_event_us == 0 ? -1
-				   : (r->first_event_us - r->begun_us) / 1000,
-	    r->sent_us == 0 ? -1 : (r->sent_us - r->begun_us) / 1000,
-	    r->came_back, r->target == NULL ? "-" : r->target->says.id,
-	    r->content, rtab_config(r->routes)->version);
+				   : (r->first_event_us - r->started_us) / 1000,
+	    r->sent_us == 0 ? -1 : (r->sent_us - r->started_us) / 1000,
+	    r->is_client_retry, r->target == NULL ? "-" : r->target->says.id,
+	    r->fingerprint, rtab_config(r->routes)->version);
 }
 
 void
@@ -64,10 +64,10 @@
 	struct fwd *f = r->fwd;
 
 	TAILQ_REMOVE(&f->open, r, open);
-	fwd_unwait(r);
+	fwd_dequeue(r);
 	fwd_drop_call(r);
-	evl_timer_stop(f->conf.loop, &r->due);
-	evl_timer_stop(f->conf.loop, &r->step);
+	evl_timer_stop(f->conf.loop, &r->deadline);
+	evl_timer_stop(f->conf.loop, &r->wait_timer);
 	rtab_unref(r->routes);
 	g_free(r->model);
 	f->active--;
@@ -133,7 +133,7 @@
 }
 
 void
-fwd_break(struct fwd_req *r, const char *why)
+fwd_abort(struct fwd_req *r, const char *why)
 {
 	struct hreq *caller = r->caller;
 
@@ -147,10 +147,10 @@
 static void
 on_due(struct evl_timer *timer)
 {
-	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, due);
+	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, deadline);
 
 	if (r->flow.begun)
-		fwd_break(r, "timeout");
+		fwd_abort(r, "timeout");
 	else if (r->flow.tries == 0)
 		fwd_refuse(r, "timeout_waiting");
 	else
@@ -255,13 +255,13 @@
 	    hmsg_find(m, r->fwd->conf.dialect->header[SV_F_DEADLINE_MS]);
 	int64_t ms;
 
-	r->begun_us = hreq_started_us(r->caller);
-	r->due_us = r->begun_us +
+	r->started_us = hreq_started_us(r->caller);
+	r->deadline_us = r->started_us +
 	    (r->route->timeout_us > 0 ? r->route->timeout_us : DEFAULT_DUE_US);
 	if (h == NULL || !hslice_number(h->value, &ms))
 		return;
-	r->due_us = MIN(r->due_us, r->begun_us + ms * 1000);
-	r->came_back = (double)(ms * 1000) <
+	r->deadline_us = MIN(r->deadline_us, r->started_us + ms * 1000);
+	r->is_client_retry = (double)(ms * 1000) <
 	    (double)r->route->timeout_us * (1 - OWN_TIME_SHARE);
 }
 
@@ -287,7 +287,7 @@
 	r->route = route;
 	r->workspace = workspace;
 	r->service = service_of(f, rtab_pick_service(route, rng_next(&f->rng)));
-	r->due.fire = on_due;
+	r->deadline.fire = on_due;
 	r->priority = workspace != NULL && workspace->priority != INT_MAX
 	    ? workspace->priority
 	    : route->priority;
@@ -301,7 +301,7 @@
 	hreq_set_ctx(caller, r);
 	TAILQ_INSERT_TAIL(&f->open, r, open);
 	f->active++;
-	evl_timer_set(f->conf.loop, &r->due, r->due_us);
+	evl_timer_set(f->conf.loop, &r->deadline, r->deadline_us);
 	return r;
 }
 
@@ -331,9 +331,9 @@
 	if (!authorise(f, caller, route, &workspace))
 		return;
 	r = req_new(f, caller, route, workspace);
-	fwd_note_back(r);
+	fwd_note_client_retry(r);
 	spend_request(&r->service->budget, &f->conf.budget, fwd_now(r));
-	if (fwd_is_held(r, &until_us))
+	if (fwd_is_blocked(r, &until_us))
 		fwd_refuse_until(r, "held", until_us);
 	else
 		fwd_dispatch(r);
@@ -346,7 +346,7 @@
 
 	if (r == NULL)
 		return;
-	ctr_add(r->fwd->left, 1);
+	ctr_add(r->fwd->disconnected, 1);
 	fwd_log_end(
 	    r, EVT_LEFT, 0, r->state == FWD_WAITING ? "waiting" : "running");
 	fwd_finish(r);
@@ -396,15 +396,15 @@
 	f->done = ctr_get(set, "requests_done");
 	f->refused = ctr_get(set, "requests_refused");
 	f->failed = ctr_get(set, "requests_failed");
-	f->left = ctr_get(set, "requests_left");
+	f->disconnected = ctr_get(set, "requests_left");
 	f->retries = ctr_get(set, "requests_sent_again");
 	f->resumes = ctr_get(set, "streams_resumed");
-	f->odd = ctr_get(set, "answers_not_ours");
+	f->unexpected = ctr_get(set, "answers_not_ours");
 	f->limited = ctr_get(set, "requests_to_limited");
 	f->limited_again = ctr_get(set, "requests_to_limited_again");
 	f->choices = ctr_get(set, "target_choices");
-	f->contents_held = ctr_get(set, "contents_held");
-	f->withdrawn = ctr_get(set, "requests_withdrawn_held");
+	f->blocked = ctr_get(set, "contents_held");
+	f->recalled = ctr_get(set, "requests_withdrawn_held");
 	f->cut_silent = ctr_get(set, "requests_cut_before_answer");
 	f->cut_answering = ctr_get(set, "requests_cut_midway");
 	return f;
@@ -456,9 +456,9 @@
 {
 	g_string_append_printf(out,
 	    "requests_active %u\nrequests_waiting %u\ncontents_held_now %u\n",
-	    f->active, f->waiting, sus_count_known(f->suspects));
+	    f->active, f->waiting, sus_count_blocked(f->suspects));
 	hist_print(&f->wait, "request_wait_seconds", out);
-	hist_print(&f->first, "stream_first_event_seconds", out);
+	hist_print(&f->first_event, "stream_first_event_seconds", out);
 	hist_print(&f->gap, "stream_event_gap_seconds", out);
-	hist_print(&f->whole, "request_seconds", out);
+	hist_print(&f->total, "request_seconds", out);
 }
--- a/lib/serve/fwd_answer.c
+++ b/lib/serve/fwd_answer.c
@@ -118,27 +118,27 @@
 	if (id != NULL &&
 	    (id->value.n != strlen(r->id) ||
 		memcmp(id->value.p, r->id, id->value.n) != 0)) {
-		ctr_add(r->fwd->odd, 1);
+		ctr_add(r->fwd->unexpected, 1);
 		evt(EVT_ODD, "req=%s target=%s got=%.*s", r->id,
 		    r->target->says.id, (int)MIN(id->value.n, FWD_ID_MAX),
 		    id->value.p);
 		hcall_skip(r->call);
 		return;
 	}
-	r->ours = true;
+	r->is_matched = true;
 	r->status = m->status;
 	r->sealed = field(r, m, SV_F_SEAL) != NULL;
 	read_load(r, m);
 	read_limit(r, m);
-	fwd_read(r);
-	r->refused = says_not_run(r, m);
-	r->broken =
-	    !r->refused && (!can_pass(r, m) || (is_success(r) && id == NULL));
+	fwd_prompt_read(r);
+	r->not_run = says_not_run(r, m);
+	r->unusable =
+	    !r->not_run && (!can_pass(r, m) || (is_success(r) && id == NULL));
 	if (r->headers == NULL)
 		r->headers = g_string_sized_new(256);
 	g_string_truncate(r->headers, 0);
 	fwd_answer_headers(m, r->headers);
-	if (r->refused || r->broken)
+	if (r->not_run || r->unusable)
 		hcall_spoil(r->call);
 }
 
@@ -183,9 +183,10 @@
 static void
 note_first(struct fwd_service *service, int64_t first_us)
 {
-	if (service->first_us == 0)
-		service->first_us = first_us;
-	service->first_us += (first_us - service->first_us) / FIRST_WEIGHT;
+	if (service->first_event_us == 0)
+		service->first_event_us = first_us;
+	service->first_event_us +=
+	    (first_us - service->first_event_us) / FIRST_WEIGHT;
 }
 
 static void
@@ -193,11 +194,11 @@
 {
 	int64_t now_us = fwd_now(r);
 
-	r->answering = true;
+	r->has_begun = true;
 	if (r->events == 0) {
 		note_first(r->service, now_us - r->sent_us);
 		r->first_event_us = now_us;
-		hist_add(&r->fwd->first, now_us - r->begun_us);
+		hist_add(&r->fwd->first_event, now_us - r->started_us);
 	} else
 		hist_add(&r->fwd->gap, now_us - r->last_event_us);
 	r->last_event_us = now_us;
@@ -232,7 +233,7 @@
 			hreq_write(r->caller, hbuf_front(&r->answer), len);
 			note_event(r, id);
 		} else /* passed on already, from an earlier target */
-			ctr_add(r->fwd->odd, 1);
+			ctr_add(r->fwd->unexpected, 1);
 		hbuf_use(&r->answer, len);
 	}
 	if (hreq_congested(r->caller))
@@ -244,10 +245,10 @@
 {
 	size_t most = fwd_is_stream(r) ? EVENT_MAX : ANSWER_MAX;
 
-	if (r->refused || r->broken)
+	if (r->not_run || r->unusable)
 		return;
 	if (hbuf_left(&r->answer) + len > most) {
-		r->broken = true;
+		r->unusable = true;
 		hcall_spoil(r->call);
 		return;
 	}
@@ -255,7 +256,7 @@
 	if (!fwd_is_stream(r))
 		return;
 	pass_events(r);
-	fwd_heard(r);
+	fwd_note_progress(r);
 }
 
 /* ------------------------------------------------------------------ */
@@ -264,7 +265,7 @@
 
 /* The target's answer is whole: passes on what has not gone yet. */
 void
-fwd_answer_whole(struct fwd_req *r)
+fwd_answer_complete(struct fwd_req *r)
 {
 	struct hreq *caller = r->caller;
 	struct hbuf answer = r->answer;
@@ -275,7 +276,7 @@
 	r->answer = (struct hbuf){ 0 };
 	r->headers = NULL;
 	ctr_add(r->fwd->done, 1);
-	hist_add(&r->fwd->whole, fwd_now(r) - r->begun_us);
+	hist_add(&r->fwd->total, fwd_now(r) - r->started_us);
 	fwd_log_end(r, EVT_DONE, status, status < 500 ? "ok" : "target_failed");
 	fwd_finish(r);
 	if (begun) {
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -40,7 +40,7 @@
 #define WITHDRAW_SLOW_US 980000
 
 void
-fwd_read(struct fwd_req *r)
+fwd_prompt_read(struct fwd_req *r)
 {
 	if (!r->reading)
 		return;
@@ -52,8 +52,8 @@
 static void
 stop_timers(struct fwd_req *r)
 {
-	evl_timer_stop(r->fwd->conf.loop, &r->step);
-	evl_timer_stop(r->fwd->conf.loop, &r->begin);
+	evl_timer_stop(r->fwd->conf.loop, &r->wait_timer);
+	evl_timer_stop(r->fwd->conf.loop, &r->begin_timer);
 }
 
 static void
@@ -78,11 +78,11 @@
 	hbuf_free(&r->answer);
 	if (r->target == NULL)
 		return;
-	fwd_read(r);
+	fwd_prompt_read(r);
 	tgt_ended(r->target, fwd_now(r));
 	tgt_unref(r->target);
 	r->target = NULL;
-	fwd_count_end(r->service, fwd_now(r));
+	fwd_count_completion(r->service, fwd_now(r));
 	fwd_pump(f);
 }
 
@@ -150,8 +150,8 @@
 	    "req=%s why=%s target=%s tries=%u runs=%u last_event=%" G_GINT64_FORMAT
 	    " ms=%" G_GINT64_FORMAT " content=%016" G_GINT64_MODIFIER "x",
 	    r->id, end_names[end], r->target->says.id, r->flow.tries,
-	    r->flow.runs, r->last_event, (fwd_now(r) - r->begun_us) / 1000,
-	    r->content);
+	    r->flow.runs, r->last_event, (fwd_now(r) - r->started_us) / 1000,
+	    r->fingerprint);
 	fwd_drop_call(r);
 	r->state = FWD_WAITING;
 	fwd_dispatch(r);
@@ -168,16 +168,16 @@
 		r->flow.may_have_run = true;
 		r->flow.runs++;
 	}
-	r->flow.has_time = r->due_us - fwd_now(r) > ATTEMPT_MIN_US &&
+	r->flow.has_time = r->deadline_us - fwd_now(r) > ATTEMPT_MIN_US &&
 	    r->ntried < FWD_TRIED_MAX;
-	r->flow.blocked = fwd_is_held(r, &until_us);
+	r->flow.blocked = fwd_is_blocked(r, &until_us);
 	switch (flow_next(&r->flow, end, may_spend, r)) {
 	case FLOW_RETRY:
 	case FLOW_RESUME:
 		go_on(r, end);
 		break;
 	case FLOW_PASS:
-		fwd_answer_whole(r);
+		fwd_answer_complete(r);
 		break;
 	case FLOW_REFUSE:
 		fwd_refuse(r, end_names[end]);
@@ -186,7 +186,7 @@
 		fwd_fail(r, 502, end_names[end]);
 		break;
 	case FLOW_ABORT:
-		fwd_break(r, end_names[end]);
+		fwd_abort(r, end_names[end]);
 		break;
 	}
 }
@@ -219,16 +219,16 @@
 	struct fwd_req *r = ctx;
 
 	r->call = NULL;
-	if (r->refused)
+	if (r->not_run)
 		attempt_ended(r, FLOW_REFUSED);
-	else if (r->broken)
+	else if (r->unusable)
 		attempt_ended(r, FLOW_LOST);
 	else if (is_failure(r))
 		attempt_ended(r, FLOW_FAILURE);
 	else {
 		tgt_outcome(r->target, TGT_ANSWERED, fwd_now(r));
 		fwd_note_answered(r);
-		fwd_answer_whole(r);
+		fwd_answer_complete(r);
 	}
 }
 
@@ -256,7 +256,7 @@
 	r->call = NULL;
 	/* A refusal was read whole enough: its head says that it did not
 	 * run, whatever became of its body. */
-	if (r->refused)
+	if (r->not_run)
 		attempt_ended(r, FLOW_REFUSED);
 	else if (sent) {
 		fwd_note_cut(r);
@@ -279,7 +279,7 @@
 static void
 on_silent(struct evl_timer *timer)
 {
-	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, step);
+	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, wait_timer);
 
 	/* When connections fall silent they do so many at a time, and each
 	 * kept one would cost another request. */
@@ -292,7 +292,7 @@
 static void
 on_begin_due(struct evl_timer *timer)
 {
-	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, begin);
+	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, begin_timer);
 
 	/* The head of its answer came: it has begun. */
 	if (r->call == NULL || r->status != 0)
@@ -323,8 +323,9 @@
 	    vers_end_us(r->fwd->conf.versions, r->model, r->target->version);
 	if (end_us == 0)
 		return;
-	r->begin.fire = on_begin_due;
-	evl_timer_set(r->fwd->conf.loop, &r->begin, end_us - withdraw_us(r));
+	r->begin_timer.fire = on_begin_due;
+	evl_timer_set(
+	    r->fwd->conf.loop, &r->begin_timer, end_us - withdraw_us(r));
 }
 
 /* Waits for the target's next word. A request that cannot go elsewhere is
@@ -343,15 +344,15 @@
 	else if (r->state == FWD_STREAMING && route->gap_us > 0)
 		wait_us = SILENT_GAP * route->gap_us;
 	else if (route->objective_us > 0)
-		wait_us = CLAMP(SILENT_USUAL * r->service->first_us,
+		wait_us = CLAMP(SILENT_USUAL * r->service->first_event_us,
 		    SILENT_FIRST * route->objective_us,
 		    SILENT_FIRST_MAX * route->objective_us);
-	r->step.fire = on_silent;
-	evl_timer_set(r->fwd->conf.loop, &r->step, fwd_now(r) + wait_us);
+	r->wait_timer.fire = on_silent;
+	evl_timer_set(r->fwd->conf.loop, &r->wait_timer, fwd_now(r) + wait_us);
 }
 
 void
-fwd_heard(struct fwd_req *r)
+fwd_note_progress(struct fwd_req *r)
 {
 	expect_word(r);
 }
@@ -360,11 +361,11 @@
 reset_answer(struct fwd_req *r)
 {
 	r->status = 0;
-	r->ours = false;
-	r->refused = false;
-	r->broken = false;
+	r->is_matched = false;
+	r->not_run = false;
+	r->unusable = false;
 	r->sealed = false;
-	r->answering = false;
+	r->has_begun = false;
 	hbuf_free(&r->answer);
 }
 
--- a/lib/serve/fwd_head.c
+++ b/lib/serve/fwd_head.c
@@ -76,7 +76,7 @@
 append_own_fields(GString *out, struct fwd_req *r, struct tgt *target)
 {
 	const struct sv_dialect *d = r->fwd->conf.dialect;
-	int64_t left_ms = (r->due_us - fwd_now(r)) / 1000;
+	int64_t left_ms = (r->deadline_us - fwd_now(r)) / 1000;
 	int64_t least;
 
 	append_field(
--- a/lib/serve/fwd_suspect.c
+++ b/lib/serve/fwd_suspect.c
@@ -27,7 +27,7 @@
 	const struct fwd_req *other;
 
 	TAILQ_FOREACH (other, &r->fwd->open, open) {
-		if (other != r && other->content == r->content &&
+		if (other != r && other->fingerprint == r->fingerprint &&
 		    other->call != NULL)
 			return true;
 	}
@@ -35,17 +35,18 @@
 }
 
 bool
-fwd_is_held(struct fwd_req *r, int64_t *until_us)
+fwd_is_blocked(struct fwd_req *r, int64_t *until_us)
 {
 	struct sus *s = r->fwd->suspects;
 
 	if (sus_is_empty(s))
 		return false;
-	if (sus_judge(s, fwd_content(r), fwd_now(r), until_us) == SUS_HELD)
+	if (sus_judge(s, fwd_fingerprint(r), fwd_now(r), until_us) ==
+	    SUS_BLOCKED)
 		return true;
 	/* Another chance is for one copy at a time. */
 	*until_us = fwd_now(r) + CHANCE_US;
-	return sus_is_known(s, r->content) && has_copy_under_way(r);
+	return sus_is_known(s, r->fingerprint) && has_copy_under_way(r);
 }
 
 /* A target that was to stop, announced or taken out of the store, or that loads
@@ -61,13 +62,13 @@
 {
 	struct fwd *f = r->fwd;
 	struct sus_end end = {
-		.content = fwd_content(r),
+		.content = fwd_fingerprint(r),
 		.target = hash_of(r->target),
-		.weight = r->answering ? SUS_ANSWERING : SUS_SILENT,
+		.weight = r->has_begun ? SUS_ANSWERING : SUS_SILENT,
 		.at_us = fwd_now(r),
 	};
 
-	ctr_add(r->answering ? f->cut_answering : f->cut_silent, 1);
+	ctr_add(r->has_begun ? f->cut_answering : f->cut_silent, 1);
 	if (!cuts_by_itself(r->target) && sus_cut(f->suspects, &end))
 		tell(f, &end, 1);
 }
@@ -79,7 +80,7 @@
 
 	if (sus_is_empty(r->fwd->suspects))
 		return;
-	clear.content = fwd_content(r);
+	clear.content = fwd_fingerprint(r);
 	clear.at_us = fwd_now(r);
 	if (!sus_answered(r->fwd->suspects, clear.content))
 		return;
@@ -95,22 +96,22 @@
 static bool
 has_content(struct fwd_req *r, uint64_t content)
 {
-	return fwd_content(r) == content;
+	return fwd_fingerprint(r) == content;
 }
 
 /* Its answer may still come whole, and clear it. */
 static bool
 is_answering(const struct fwd_req *r)
 {
-	return r->state != FWD_WAITING && r->answering;
+	return r->state != FWD_WAITING && r->has_begun;
 }
 
 static void
 withdraw(struct fwd_req *r, int64_t until_us)
 {
-	ctr_add(r->fwd->withdrawn, 1);
+	ctr_add(r->fwd->recalled, 1);
 	if (r->flow.begun)
-		fwd_break(r, "held");
+		fwd_abort(r, "held");
 	else if (r->flow.may_have_run || r->call != NULL)
 		fwd_fail(r, 502, "held");
 	else
@@ -125,7 +126,7 @@
 	int64_t now_us = evl_now_us(f->conf.loop), until_us;
 	struct fwd_req *r, *next;
 
-	if (sus_judge(f->suspects, content, now_us, &until_us) != SUS_HELD)
+	if (sus_judge(f->suspects, content, now_us, &until_us) != SUS_BLOCKED)
 		return;
 	for (r = TAILQ_FIRST(&f->open); r != NULL; r = next) {
 		next = TAILQ_NEXT(r, open);
@@ -142,7 +143,7 @@
 	if (was_known || !sus_is_known(f->suspects, content))
 		return;
 	(void)sus_judge(f->suspects, content, now_us, &until_us);
-	ctr_add(f->contents_held, 1);
+	ctr_add(f->blocked, 1);
 	evt(EVT_SUSPECT,
 	    "content=%016" G_GINT64_MODIFIER
 	    "x outcome=held ms=%" G_GINT64_FORMAT,
@@ -160,7 +161,8 @@
 	const struct sus_end *end;
 	guint i;
 
-	sus_ended(f->suspects, hash_of(t), evl_now_us(f->conf.loop), news);
+	sus_target_terminated(
+	    f->suspects, hash_of(t), evl_now_us(f->conf.loop), news);
 	tell(f, (const struct sus_end *)(void *)news->data, news->len);
 	for (i = 0; i < news->len; i++) {
 		end = &g_array_index(news, struct sus_end, i);
--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -39,19 +39,19 @@
 /* ------------------------------------------------------------------ */
 
 void
-fwd_count_end(struct fwd_service *service, int64_t now_us)
+fwd_count_completion(struct fwd_service *service, int64_t now_us)
 {
 	int64_t span_us = now_us - service->rate_us;
 	double rate, weight;
 
-	service->ends++;
+	service->completed++;
 	if (span_us < RATE_SPAN_US / 8)
 		return;
-	rate = (double)service->ends * G_USEC_PER_SEC / (double)span_us;
+	rate = (double)service->completed * G_USEC_PER_SEC / (double)span_us;
 	weight = MIN(1, (double)span_us / RATE_SPAN_US);
 	service->rate += (rate - service->rate) * weight;
 	service->rate_us = now_us;
-	service->ends = 0;
+	service->completed = 0;
 }
 
 static double
@@ -76,14 +76,14 @@
 /* ------------------------------------------------------------------ */
 
 void
-fwd_note_back(struct fwd_req *r)
+fwd_note_client_retry(struct fwd_req *r)
 {
 	struct fwd_service *service = r->service;
 
-	service->back_share +=
-	    ((r->came_back ? 1 : 0) - service->back_share) * BACK_WEIGHT;
-	if (service->back_share > BACK_SHARE_MAX)
-		r->came_back = false;
+	service->retry_share +=
+	    ((r->is_client_retry ? 1 : 0) - service->retry_share) * BACK_WEIGHT;
+	if (service->retry_share > BACK_SHARE_MAX)
+		r->is_client_retry = false;
 }
 
 /* ------------------------------------------------------------------ */
@@ -102,10 +102,10 @@
 static void
 on_waited(struct evl_timer *timer)
 {
-	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, step);
+	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, wait_timer);
 
 	if (r->flow.begun)
-		fwd_break(r, "no_target_to_resume");
+		fwd_abort(r, "no_target_to_resume");
 	else if (r->flow.may_have_run)
 		fwd_fail(r, 502, "no_target_to_repeat");
 	else
@@ -113,7 +113,7 @@
 }
 
 void
-fwd_unwait(struct fwd_req *r)
+fwd_dequeue(struct fwd_req *r)
 {
 	if (r->state != FWD_WAITING || r->link.tqe_prev == NULL)
 		return;
@@ -131,9 +131,9 @@
 		return a->flow.begun;
 	if (a->priority != b->priority)
 		return a->priority < b->priority;
-	if (a->came_back != b->came_back)
-		return b->came_back;
-	return a->begun_us < b->begun_us;
+	if (a->is_client_retry != b->is_client_retry)
+		return b->is_client_retry;
+	return a->started_us < b->started_us;
 }
 
 static void
@@ -159,8 +159,9 @@
 static bool
 gives_way(const struct fwd_req *r)
 {
-	return r->came_back && !r->flow.begun && r->service->pressed_us != 0 &&
-	    fwd_now(r) - r->service->pressed_us < PRESSED_US;
+	return r->is_client_retry && !r->flow.begun &&
+	    r->service->full_us != 0 &&
+	    fwd_now(r) - r->service->full_us < PRESSED_US;
 }
 
 /*
@@ -185,7 +186,7 @@
 #define LEAD_SLOW_US 1800000
 
 bool
-fwd_may_withdraw(const struct fwd_req *r)
+fwd_may_recall(const struct fwd_req *r)
 {
 	return r->route->kind == SV_STREAM && r->flow.repeatable &&
 	    !r->flow.begun && r->flow.runs + 1 < r->flow.attempts;
@@ -195,7 +196,7 @@
 choose(struct fwd_req *r, enum tgt_why *why)
 {
 	struct fwd *f = r->fwd;
-	bool queues = !fwd_may_withdraw(r);
+	bool queues = !fwd_may_recall(r);
 	int64_t begin_us =
 	    fwd_now(r) + (queues ? LEAD_QUEUE_US : LEAD_WITHDRAWN_US);
 	int64_t fresh_us = begin_us + (queues ? LEAD_HERD_US : 0);
@@ -228,7 +229,7 @@
 	double wait_us =
 	    expected_wait_s(r->service, r->service->nwaiting) * G_USEC_PER_SEC;
 
-	return !r->came_back && wait_us <= (double)wait_limit_us(r);
+	return !r->is_client_retry && wait_us <= (double)wait_limit_us(r);
 }
 
 void
@@ -239,12 +240,12 @@
 	int64_t until_us;
 
 	if (target != NULL) {
-		hist_add(&r->fwd->wait, fwd_now(r) - r->begun_us);
+		hist_add(&r->fwd->wait, fwd_now(r) - r->started_us);
 		fwd_send(r, target);
 		return;
 	}
-	if (!r->came_back && why == TGT_FULL)
-		r->service->pressed_us = fwd_now(r);
+	if (!r->is_client_retry && why == TGT_FULL)
+		r->service->full_us = fwd_now(r);
 	if (!r->flow.begun && !r->flow.may_have_run &&
 	    (why == TGT_NONE || !worth_waiting(r))) {
 		fwd_refuse(r, why == TGT_NONE ? "no_target" : "full");
@@ -255,9 +256,9 @@
 	if (r->flow.begun)
 		until_us = fwd_now(r) + WAIT_RESUME_US;
 	else if (!r->flow.may_have_run)
-		until_us = r->begun_us + wait_limit_us(r);
-	r->step.fire = on_waited;
-	evl_timer_set(r->fwd->conf.loop, &r->step, until_us);
+		until_us = r->started_us + wait_limit_us(r);
+	r->wait_timer.fire = on_waited;
+	evl_timer_set(r->fwd->conf.loop, &r->wait_timer, until_us);
 }
 
 /*
@@ -283,7 +284,7 @@
 	unsigned int i;
 
 	for (i = 0; i < FULL_KINDS && full[i].is_set; i++) {
-		if (full[i].may_withdraw == fwd_may_withdraw(r) &&
+		if (full[i].may_withdraw == fwd_may_recall(r) &&
 		    full[i].repeatable == r->flow.repeatable &&
 		    g_strcmp0(full[i].model, r->model) == 0)
 			return true;
@@ -302,7 +303,7 @@
 		i++;
 	if (i < FULL_KINDS)
 		full[i] = (struct full){ .model = r->model,
-			.may_withdraw = fwd_may_withdraw(r),
+			.may_withdraw = fwd_may_recall(r),
 			.repeatable = r->flow.repeatable,
 			.is_set = true };
 }
@@ -325,9 +326,9 @@
 			note_full(full, r);
 			continue;
 		}
-		fwd_unwait(r);
-		evl_timer_stop(r->fwd->conf.loop, &r->step);
-		hist_add(&r->fwd->wait, fwd_now(r) - r->begun_us);
+		fwd_dequeue(r);
+		evl_timer_stop(r->fwd->conf.loop, &r->wait_timer);
+		hist_add(&r->fwd->wait, fwd_now(r) - r->started_us);
 		fwd_send(r, target);
 	}
 }
--- a/lib/serve/suspect.c
+++ b/lib/serve/suspect.c
@@ -272,7 +272,8 @@
 }
 
 void
-sus_ended(struct sus *s, uint64_t target, int64_t now_us, GArray *news)
+sus_target_terminated(
+    struct sus *s, uint64_t target, int64_t now_us, GArray *news)
 {
 	GHashTableIter iter;
 	gpointer entry;
@@ -319,12 +320,12 @@
 		return SUS_NONE;
 	if (e->held_until_us > now_us) {
 		*until_us = e->held_until_us;
-		return SUS_HELD;
+		return SUS_BLOCKED;
 	}
 	pending = pending_weight(e, now_us);
 	if (pending > 0 && confirmed_weight(e) + pending >= HELD_AT) {
 		*until_us = now_us + PENDING_US;
-		return SUS_HELD;
+		return SUS_BLOCKED;
 	}
 	return SUS_SUSPECT;
 }
@@ -376,7 +377,7 @@
 }
 
 unsigned int
-sus_count_known(const struct sus *s)
+sus_count_blocked(const struct sus *s)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/lib/serve/suspect.h
+++ b/lib/serve/suspect.h
@@ -38,7 +38,7 @@
 enum sus_verdict {
 	SUS_NONE, /* nothing is said against it */
 	SUS_SUSPECT, /* may be sent */
-	SUS_HELD, /* not to be sent */
+	SUS_BLOCKED, /* not to be sent */
 };
 
 /* `seed` differs between entries: so do the moments of other chances. */
@@ -53,7 +53,8 @@
 bool sus_cut(struct sus *s, const struct sus_end *end);
 /* The target has ended. Appends what becomes evidence by that to `news`, an
  * array of struct sus_end, to be told to others. */
-void sus_ended(struct sus *s, uint64_t target, int64_t now_us, GArray *news);
+void sus_target_terminated(
+    struct sus *s, uint64_t target, int64_t now_us, GArray *news);
 /* Evidence by others. True: it was not known. */
 bool sus_told(struct sus *s, const struct sus_end *end);
 /* A whole answer clears a request. True: others are to be told, by an end of
@@ -71,6 +72,6 @@
 /* Forgets what is old. */
 void sus_sweep(struct sus *s, int64_t now_us);
 bool sus_is_empty(const struct sus *s);
-unsigned int sus_count_known(const struct sus *s);
+unsigned int sus_count_blocked(const struct sus *s);
 
 #endif
--- a/tests/serve/test_fingerprint.c
+++ b/tests/serve/test_fingerprint.c
@@ -10,7 +10,7 @@
 {
 	return (struct fpr_content){ .host = host,
 		.target = { target, strlen(target) },
-		.caller = caller,
+		.workspace = caller,
 		.body = body,
 		.body_len = strlen(body) };
 }
--- a/tests/serve/test_fwd.c
+++ b/tests/serve/test_fwd.c
@@ -857,8 +857,9 @@
 {
 	struct sus_end end = { .weight = SUS_SILENT };
 
-	end.content = fpr_of(&(struct fpr_content){
-	    .host = "a.example", .target = { "/x/1", 4 }, .caller = "team" });
+	end.content = fpr_of(&(struct fpr_content){ .host = "a.example",
+	    .target = { "/x/1", 4 },
+	    .workspace = "team" });
 	for (end.target = 1; end.target <= n; end.target++) {
 		end.at_us = now_us();
 		fwd_told_end(w.fwd, &end);
--- a/tests/serve/test_suspect.c
+++ b/tests/serve/test_suspect.c
@@ -64,7 +64,8 @@
 {
 	int64_t until_us = 0;
 
-	assert_int_equal(sus_judge(by, content, now_us, &until_us), SUS_HELD);
+	assert_int_equal(
+	    sus_judge(by, content, now_us, &until_us), SUS_BLOCKED);
 	return until_us;
 }
 
@@ -74,13 +75,13 @@
 {
 	assert_int_equal(judge(7, T0), SUS_NONE);
 	cut(7, 1, SUS_SILENT, T0);
-	sus_ended(s, 1, T0 + 40 * MS, news);
+	sus_target_terminated(s, 1, T0 + 40 * MS, news);
 	assert_int_equal(news->len, 1);
 	assert_int_equal(judge(7, T0 + 50 * MS), SUS_SUSPECT);
 	cut(7, 2, SUS_SILENT, T0 + 300 * MS);
 	/* At once, before it is known that the second ended. */
-	assert_int_equal(judge(7, T0 + 300 * MS), SUS_HELD);
-	sus_ended(s, 2, T0 + 340 * MS, news);
+	assert_int_equal(judge(7, T0 + 300 * MS), SUS_BLOCKED);
+	sus_target_terminated(s, 2, T0 + 340 * MS, news);
 	assert_int_equal(news->len, 2);
 	assert_true(held_until(s, 7, T0 + 400 * MS) > T0 + 10 * S);
 	assert_true(sus_is_known(s, 7));
@@ -92,13 +93,13 @@
 {
 	cut(7, 1, SUS_SILENT, T0);
 	cut(7, 2, SUS_SILENT, T0 + 100 * MS);
-	assert_int_equal(judge(7, T0 + 100 * MS), SUS_HELD);
+	assert_int_equal(judge(7, T0 + 100 * MS), SUS_BLOCKED);
 	assert_int_equal(judge(7, T0 + 500 * MS), SUS_SUSPECT);
 	sus_sweep(s, T0 + 2 * S);
 	assert_true(sus_is_empty(s));
 	/* An end much later is another matter. */
 	cut(7, 1, SUS_SILENT, T0 + 3 * S);
-	sus_ended(s, 1, T0 + 5 * S, news);
+	sus_target_terminated(s, 1, T0 + 5 * S, news);
 	assert_int_equal(news->len, 0);
 }
 
@@ -108,7 +109,7 @@
 {
 	struct sus_end end = end_of(7, 1, SUS_SILENT, T0 + 20 * MS);
 
-	sus_ended(s, 1, T0, news);
+	sus_target_terminated(s, 1, T0, news);
 	assert_int_equal(news->len, 0);
 	assert_true(sus_cut(s, &end));
 }
@@ -121,7 +122,7 @@
 
 	for (content = 10; content < 30; content++)
 		cut(content, 1, SUS_SILENT, T0);
-	sus_ended(s, 1, T0 + 40 * MS, news);
+	sus_target_terminated(s, 1, T0 + 40 * MS, news);
 	for (content = 10; content < 30; content++)
 		assert_int_equal(judge(content, T0 + S), SUS_SUSPECT);
 	/* Cut midway at both. */
@@ -143,7 +144,7 @@
 
 	for (target = 1; target <= 4; target++)
 		told(s, 7, target, SUS_ANSWERING, T0 + (int64_t)target * S);
-	assert_int_equal(judge(7, T0 + 5 * S), SUS_HELD);
+	assert_int_equal(judge(7, T0 + 5 * S), SUS_BLOCKED);
 }
 
 static void
@@ -155,7 +156,7 @@
 	assert_int_equal(judge(7, T0 + 50 * MS), SUS_SUSPECT);
 	/* Its next start, under the same id. */
 	assert_true(told(s, 7, 1, SUS_SILENT, T0 + 5 * S));
-	assert_int_equal(judge(7, T0 + 5 * S), SUS_HELD);
+	assert_int_equal(judge(7, T0 + 5 * S), SUS_BLOCKED);
 }
 
 static void
@@ -223,8 +224,8 @@
 	told(s, 7, 2, SUS_SILENT, T0);
 	for (content = 100; content < 5000; content++)
 		told(s, content, 3, SUS_SILENT, T0 + S);
-	assert_int_equal(judge(7, T0 + 2 * S), SUS_HELD);
-	assert_int_equal(sus_count_known(s), 1);
+	assert_int_equal(judge(7, T0 + 2 * S), SUS_BLOCKED);
+	assert_int_equal(sus_count_blocked(s), 1);
 	sus_ends_known(s, news);
 	assert_int_equal(news->len, 2);
 	assert_int_equal(judge(100, T0 + 2 * S), SUS_NONE); /* forgotten */
