--- a/lib/serve/fwd.h
+++ b/lib/serve/fwd.h
@@ -26,8 +26,9 @@
 	struct ctr_set *counters;
 	uint64_t seed;
 	/* Others are to be told of these. NULL: there is nobody to tell. */
-	void (*tell_ends)(const struct sus_end *ends, size_t n, void *ctx);
-	void *tell_ctx;
+	void (*publish_terminations)(
+	    const struct sus_termination *ends, size_t n, void *ctx);
+	void *publish_ctx;
 };
 
 struct fwd *fwd_new(const struct fwd_conf *conf);
@@ -41,11 +42,11 @@
 /* Places may have become free at some target. */
 void fwd_pump(struct fwd *f);
 /* A target's process has ended: what was cut there may be the cause. */
-void fwd_target_ended(struct fwd *f, const struct tgt *t);
+void fwd_target_terminated(struct fwd *f, const struct tgt *t);
 /* Others know of a request that was under way at a target that ended. */
-void fwd_told_end(struct fwd *f, const struct sus_end *end);
+void fwd_report_termination(struct fwd *f, const struct sus_termination *end);
 /* Appends all ends of what is held, those of a content together. */
-void fwd_held_ends(const struct fwd *f, GArray *out);
+void fwd_blocked_terminations(const struct fwd *f, GArray *out);
 /* Forgets what is old; to be called now and then. */
 void fwd_sweep(struct fwd *f);
 unsigned int fwd_active(const struct fwd *f); /* requests not yet answered */
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -244,7 +244,7 @@
 
 	attempt_ended(r, FLOW_UNREACHABLE);
 	if (ended)
-		fwd_target_ended(f, target);
+		fwd_target_terminated(f, target);
 	tgt_unref(target);
 }
 
--- a/lib/serve/fwd_suspect.c
+++ b/lib/serve/fwd_suspect.c
@@ -14,10 +14,10 @@
 }
 
 static void
-tell(struct fwd *f, const struct sus_end *ends, size_t n)
+tell(struct fwd *f, const struct sus_termination *ends, size_t n)
 {
-	if (n > 0 && f->conf.tell_ends != NULL)
-		f->conf.tell_ends(ends, n, f->conf.tell_ctx);
+	if (n > 0 && f->conf.publish_terminations != NULL)
+		f->conf.publish_terminations(ends, n, f->conf.publish_ctx);
 }
 
 /* Another request of the same content was sent and has no answer yet. */
@@ -46,7 +46,7 @@
 		return true;
 	/* Another chance is for one copy at a time. */
 	*until_us = fwd_now(r) + CHANCE_US;
-	return sus_is_known(s, r->fingerprint) && has_copy_under_way(r);
+	return sus_was_blocked(s, r->fingerprint) && has_copy_under_way(r);
 }
 
 /* A target that was to stop, announced or taken out of the store, or that loads
@@ -61,8 +61,8 @@
 fwd_note_cut(struct fwd_req *r)
 {
 	struct fwd *f = r->fwd;
-	struct sus_end end = {
-		.content = fwd_fingerprint(r),
+	struct sus_termination end = {
+		.fingerprint = fwd_fingerprint(r),
 		.target = hash_of(r->target),
 		.weight = r->has_begun ? SUS_ANSWERING : SUS_SILENT,
 		.at_us = fwd_now(r),
@@ -76,16 +76,16 @@
 void
 fwd_note_answered(struct fwd_req *r)
 {
-	struct sus_end clear = { .weight = SUS_CLEARED };
+	struct sus_termination clear = { .weight = SUS_CLEARED };
 
 	if (sus_is_empty(r->fwd->suspects))
 		return;
-	clear.content = fwd_fingerprint(r);
+	clear.fingerprint = fwd_fingerprint(r);
 	clear.at_us = fwd_now(r);
-	if (!sus_answered(r->fwd->suspects, clear.content))
+	if (!sus_answered(r->fwd->suspects, clear.fingerprint))
 		return;
 	evt(EVT_SUSPECT, "content=%016" G_GINT64_MODIFIER "x outcome=cleared",
-	    clear.content);
+	    clear.fingerprint);
 	tell(r->fwd, &clear, 1);
 }
 
@@ -140,7 +140,7 @@
 {
 	int64_t now_us = evl_now_us(f->conf.loop), until_us = now_us;
 
-	if (was_known || !sus_is_known(f->suspects, content))
+	if (was_known || !sus_was_blocked(f->suspects, content))
 		return;
 	(void)sus_judge(f->suspects, content, now_us, &until_us);
 	ctr_add(f->blocked, 1);
@@ -155,38 +155,39 @@
 /* ------------------------------------------------------------------ */
 
 void
-fwd_target_ended(struct fwd *f, const struct tgt *t)
+fwd_target_terminated(struct fwd *f, const struct tgt *t)
 {
-	GArray *news = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
-	const struct sus_end *end;
+	GArray *news =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
+	const struct sus_termination *end;
 	guint i;
 
 	sus_target_terminated(
 	    f->suspects, hash_of(t), evl_now_us(f->conf.loop), news);
-	tell(f, (const struct sus_end *)(void *)news->data, news->len);
+	tell(f, (const struct sus_termination *)(void *)news->data, news->len);
 	for (i = 0; i < news->len; i++) {
-		end = &g_array_index(news, struct sus_end, i);
-		note_held(f, end->content, false);
-		withdraw_copies(f, end->content);
+		end = &g_array_index(news, struct sus_termination, i);
+		note_held(f, end->fingerprint, false);
+		withdraw_copies(f, end->fingerprint);
 	}
 	g_array_unref(news);
 }
 
 void
-fwd_told_end(struct fwd *f, const struct sus_end *end)
+fwd_report_termination(struct fwd *f, const struct sus_termination *end)
 {
-	bool was_known = sus_is_known(f->suspects, end->content);
+	bool was_known = sus_was_blocked(f->suspects, end->fingerprint);
 
-	if (!sus_told(f->suspects, end))
+	if (!sus_report(f->suspects, end))
 		return;
-	note_held(f, end->content, was_known);
-	withdraw_copies(f, end->content);
+	note_held(f, end->fingerprint, was_known);
+	withdraw_copies(f, end->fingerprint);
 }
 
 void
-fwd_held_ends(const struct fwd *f, GArray *out)
+fwd_blocked_terminations(const struct fwd *f, GArray *out)
 {
-	sus_ends_known(f->suspects, out);
+	sus_blocked_terminations(f->suspects, out);
 }
 
 void
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -188,11 +188,12 @@
 G_STATIC_ASSERT(sizeof(struct wire_end) == SIDE_END_BYTES);
 
 void
-side_end_put(GByteArray *entries, const struct sus_end *end, int64_t now_us)
+side_end_put(
+    GByteArray *entries, const struct sus_termination *end, int64_t now_us)
 {
 	int64_t age_ms = MAX(0, now_us - end->at_us) / 1000;
 	struct wire_end wire = {
-		.content = GUINT64_TO_BE(end->content),
+		.content = GUINT64_TO_BE(end->fingerprint),
 		.target = GUINT64_TO_BE(end->target),
 		.age_ms = htonl((uint32_t)MIN(age_ms, UINT32_MAX)),
 		.weight = (uint8_t)end->weight,
@@ -208,13 +209,13 @@
 }
 
 void
-side_end_get(
-    const struct side_ends *ends, size_t i, int64_t now_us, struct sus_end *out)
+side_end_get(const struct side_ends *ends, size_t i, int64_t now_us,
+    struct sus_termination *out)
 {
 	struct wire_end wire;
 
 	memcpy(&wire, ends->entries.data + i * SIDE_END_BYTES, sizeof(wire));
-	out->content = GUINT64_FROM_BE(wire.content);
+	out->fingerprint = GUINT64_FROM_BE(wire.content);
 	out->target = GUINT64_FROM_BE(wire.target);
 	out->at_us = now_us - (int64_t)ntohl(wire.age_ms) * 1000;
 	out->weight = MIN(wire.weight, SUS_SILENT);
--- a/lib/serve/side.h
+++ b/lib/serve/side.h
@@ -169,10 +169,10 @@
 void side_relayed_get(
     const struct side_loads *loads, size_t i, struct side_relayed *out);
 void side_end_put(
-    GByteArray *entries, const struct sus_end *end, int64_t now_us);
+    GByteArray *entries, const struct sus_termination *end, int64_t now_us);
 size_t side_ends_count(const struct side_ends *ends);
 void side_end_get(const struct side_ends *ends, size_t i, int64_t now_us,
-    struct sus_end *out);
+    struct sus_termination *out);
 /* Whether load `a` was told after load `b`; sequences may wrap around. */
 bool side_seq_after(uint32_t a, uint32_t b);
 
--- a/lib/serve/stop.c
+++ b/lib/serve/stop.c
@@ -20,11 +20,11 @@
 	if (since_us < LISTEN_US)
 		return STOP_SERVE;
 	if (since_us >= s->grace_us - MARGIN_US)
-		return STOP_END;
+		return STOP_EXIT;
 	/* A request that is answered may still be on its way out: ended with
 	 * the process, its last bytes would be lost, and the answer cut. Its
 	 * connection is there until the caller has it. */
 	if (s->active > 0 || s->connections > 0)
-		return STOP_TURN_AWAY;
-	return STOP_END;
+		return STOP_REJECT;
+	return STOP_EXIT;
 }
--- a/lib/serve/stop.h
+++ b/lib/serve/stop.h
@@ -8,8 +8,8 @@
 
 enum stop_step {
 	STOP_SERVE, /* as before, but each answer ends its connection */
-	STOP_TURN_AWAY, /* no new connections; what is under way goes on */
-	STOP_END, /* the process may go */
+	STOP_REJECT, /* no new connections; what is under way goes on */
+	STOP_EXIT, /* the process may go */
 };
 
 struct stop_state {
--- a/lib/serve/suspect.c
+++ b/lib/serve/suspect.c
@@ -182,7 +182,7 @@
 }
 
 static struct end *
-find_end(struct entry *e, const struct sus_end *end)
+find_end(struct entry *e, const struct sus_termination *end)
 {
 	unsigned int i;
 
@@ -204,9 +204,9 @@
 
 /* True: it is new, or stands firmer than before. */
 static bool
-add_end(struct sus *s, const struct sus_end *end, bool confirmed)
+add_end(struct sus *s, const struct sus_termination *end, bool confirmed)
 {
-	struct entry *e = get(s, end->content);
+	struct entry *e = get(s, end->fingerprint);
 	struct end *known = find_end(e, end);
 	bool is_news;
 
@@ -243,7 +243,7 @@
 }
 
 bool
-sus_cut(struct sus *s, const struct sus_end *end)
+sus_cut(struct sus *s, const struct sus_termination *end)
 {
 	bool confirmed = has_ended(s, end->target, end->at_us);
 
@@ -254,7 +254,7 @@
 confirm(struct sus *s, struct entry *e, uint64_t target, int64_t now_us,
     GArray *news)
 {
-	struct sus_end end;
+	struct sus_termination end;
 	unsigned int i;
 
 	for (i = 0; i < e->nends; i++) {
@@ -262,7 +262,7 @@
 		    now_us - e->ends[i].at_us > CONFIRM_US)
 			continue;
 		e->ends[i].confirmed = true;
-		end = (struct sus_end){ .content = e->content,
+		end = (struct sus_termination){ .fingerprint = e->content,
 			.target = target,
 			.weight = e->ends[i].weight,
 			.at_us = e->ends[i].at_us };
@@ -286,10 +286,10 @@
 }
 
 bool
-sus_told(struct sus *s, const struct sus_end *end)
+sus_report(struct sus *s, const struct sus_termination *end)
 {
 	if (end->weight == SUS_CLEARED)
-		return g_hash_table_remove(s->entries, &end->content);
+		return g_hash_table_remove(s->entries, &end->fingerprint);
 	return add_end(s, end, true);
 }
 
@@ -331,7 +331,7 @@
 }
 
 bool
-sus_is_known(const struct sus *s, uint64_t content)
+sus_was_blocked(const struct sus *s, uint64_t content)
 {
 	const struct entry *e = find(s, content);
 
@@ -341,7 +341,7 @@
 static void
 append_ends(const struct entry *e, GArray *out)
 {
-	struct sus_end end = { .content = e->content };
+	struct sus_termination end = { .fingerprint = e->content };
 	unsigned int i;
 
 	for (i = 0; i < e->nends; i++) {
@@ -355,7 +355,7 @@
 }
 
 void
-sus_ends_of(const struct sus *s, uint64_t content, GArray *out)
+sus_terminations_of(const struct sus *s, uint64_t content, GArray *out)
 {
 	const struct entry *e = find(s, content);
 
@@ -364,7 +364,7 @@
 }
 
 void
-sus_ends_known(const struct sus *s, GArray *out)
+sus_blocked_terminations(const struct sus *s, GArray *out)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/lib/serve/suspect.h
+++ b/lib/serve/suspect.h
@@ -28,8 +28,8 @@
 };
 
 /* A request was under way at a target when that ended. */
-struct sus_end {
-	uint64_t content; /* see fingerprint.h */
+struct sus_termination {
+	uint64_t fingerprint; /* see fingerprint.h */
 	uint64_t target; /* hash of its instance id */
 	unsigned int weight; /* enum sus_weight */
 	int64_t at_us;
@@ -50,13 +50,13 @@
  * once the target is known to have ended. True: it is known already, and
  * others are to be told.
  */
-bool sus_cut(struct sus *s, const struct sus_end *end);
+bool sus_cut(struct sus *s, const struct sus_termination *end);
 /* The target has ended. Appends what becomes evidence by that to `news`, an
- * array of struct sus_end, to be told to others. */
+ * array of struct sus_termination, to be told to others. */
 void sus_target_terminated(
     struct sus *s, uint64_t target, int64_t now_us, GArray *news);
 /* Evidence by others. True: it was not known. */
-bool sus_told(struct sus *s, const struct sus_end *end);
+bool sus_report(struct sus *s, const struct sus_termination *end);
 /* A whole answer clears a request. True: others are to be told, by an end of
  * weight SUS_CLEARED. */
 bool sus_answered(struct sus *s, uint64_t content);
@@ -65,10 +65,10 @@
 enum sus_verdict sus_judge(
     struct sus *s, uint64_t content, int64_t now_us, int64_t *until_us);
 /* Whether enough is known to hold it, now or before another chance. */
-bool sus_is_known(const struct sus *s, uint64_t content);
-/* Appends the known ends of one content, or of all that sus_is_known. */
-void sus_ends_of(const struct sus *s, uint64_t content, GArray *out);
-void sus_ends_known(const struct sus *s, GArray *out);
+bool sus_was_blocked(const struct sus *s, uint64_t content);
+/* Appends the known ends of one content, or of all that sus_was_blocked. */
+void sus_terminations_of(const struct sus *s, uint64_t content, GArray *out);
+void sus_blocked_terminations(const struct sus *s, GArray *out);
 /* Forgets what is old. */
 void sus_sweep(struct sus *s, int64_t now_us);
 bool sus_is_empty(const struct sus *s);
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -274,7 +274,7 @@
 	if (step == STOP_SERVE)
 		return;
 	hserver_stop_listening(g->callers);
-	if (step != STOP_END)
+	if (step != STOP_EXIT)
 		return;
 	evt(EVT_STOP,
 	    "outcome=ended active=%u connections=%u ms=%" G_GINT64_FORMAT,
@@ -412,8 +412,8 @@
 	conf.versions = g->named;
 	random_bytes(&conf.seed, sizeof(conf.seed));
 	random_bytes(&g->seed, sizeof(g->seed));
-	conf.tell_ends = gateway_ends_tell;
-	conf.tell_ctx = g;
+	conf.publish_terminations = gateway_ends_tell;
+	conf.publish_ctx = g;
 	g->fwd = fwd_new(&conf);
 	apply_settings(g);
 }
--- a/programs/entry/gateway.h
+++ b/programs/entry/gateway.h
@@ -76,7 +76,7 @@
 
 /* gateway_ends.c: requests under which targets ended */
 void gateway_ends_open(struct gateway *g);
-void gateway_ends_tell(const struct sus_end *ends, size_t n, void *ctx);
+void gateway_ends_tell(const struct sus_termination *ends, size_t n, void *ctx);
 void gateway_ends_take(struct gateway *g, const struct side_ends *ends);
 
 /* gateway.c */
--- a/programs/entry/gateway_ends.c
+++ b/programs/entry/gateway_ends.c
@@ -25,7 +25,7 @@
 }
 
 void
-gateway_ends_tell(const struct sus_end *ends, size_t n, void *ctx)
+gateway_ends_tell(const struct sus_termination *ends, size_t n, void *ctx)
 {
 	struct gateway *g = ctx;
 	GByteArray *entry = g_byte_array_new();
@@ -36,7 +36,7 @@
 		g_byte_array_set_size(entry, 0);
 		side_end_put(entry, &ends[i], evl_now_us(g->st.loop));
 		one.entries = (struct slice){ entry->data, entry->len };
-		send_ends(g, ends[i].content, &one);
+		send_ends(g, ends[i].fingerprint, &one);
 	}
 	g_byte_array_unref(entry);
 }
@@ -45,20 +45,21 @@
 static void
 refresh(struct gateway *g)
 {
-	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	GArray *ends =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
 	GByteArray *entries = g_byte_array_new();
-	const struct sus_end *end;
+	const struct sus_termination *end;
 	struct side_ends message;
 	guint i;
 
-	fwd_held_ends(g->fwd, ends);
+	fwd_blocked_terminations(g->fwd, ends);
 	for (i = 0; i < ends->len; i++) {
-		end = &g_array_index(ends, struct sus_end, i);
+		end = &g_array_index(ends, struct sus_termination, i);
 		side_end_put(entries, end, evl_now_us(g->st.loop));
-		if (i + 1 < ends->len && end[1].content == end->content)
+		if (i + 1 < ends->len && end[1].fingerprint == end->fingerprint)
 			continue;
 		message.entries = (struct slice){ entries->data, entries->len };
-		send_ends(g, end->content, &message);
+		send_ends(g, end->fingerprint, &message);
 		g_byte_array_set_size(entries, 0);
 	}
 	g_byte_array_unref(entries);
@@ -85,11 +86,11 @@
 void
 gateway_ends_take(struct gateway *g, const struct side_ends *ends)
 {
-	struct sus_end end;
+	struct sus_termination end;
 	size_t i;
 
 	for (i = 0; i < side_ends_count(ends); i++) {
 		side_end_get(ends, i, evl_now_us(g->st.loop), &end);
-		fwd_told_end(g->fwd, &end);
+		fwd_report_termination(g->fwd, &end);
 	}
 }
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -65,7 +65,7 @@
 	tgt_side(t, down, now_us);
 	t->ended = load->engine == SIDE_ENGINE_DOWN;
 	if (t->ended && !had_ended)
-		fwd_target_ended(g->fwd, t);
+		fwd_target_terminated(g->fwd, t);
 	g_strlcpy(t->model, load->version > 0 ? t->service->engine.model : "",
 	    sizeof(t->model));
 	t->version = (int64_t)load->version;
--- a/programs/side/keeper_ends.c
+++ b/programs/side/keeper_ends.c
@@ -26,7 +26,8 @@
 	guint i;
 
 	for (i = 0; i < ends->len; i++) {
-		side_end_put(entries, &g_array_index(ends, struct sus_end, i),
+		side_end_put(entries,
+		    &g_array_index(ends, struct sus_termination, i),
 		    keeper_now(k));
 		if (i + 1 < ends->len &&
 		    entries->len < SIDE_ENDS_MAX * SIDE_END_BYTES)
@@ -44,10 +45,11 @@
 static void
 tell_content(struct keeper *k, uint64_t content)
 {
-	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	GArray *ends =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
 
-	if (sus_is_known(k->suspects, content))
-		sus_ends_of(k->suspects, content, ends);
+	if (sus_was_blocked(k->suspects, content))
+		sus_terminations_of(k->suspects, content, ends);
 	send_ends(k, ends, NULL);
 	g_array_unref(ends);
 }
@@ -69,33 +71,34 @@
 }
 
 static void
-take_end(struct keeper *k, const struct sus_end *end)
+take_end(struct keeper *k, const struct sus_termination *end)
 {
 	GArray *cleared;
-	bool was_known = sus_is_known(k->suspects, end->content);
+	bool was_known = sus_was_blocked(k->suspects, end->fingerprint);
 
-	if (!sus_told(k->suspects, end))
+	if (!sus_report(k->suspects, end))
 		return;
 	if (end->weight == SUS_CLEARED && was_known) {
-		cleared = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+		cleared =
+		    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
 		g_array_append_vals(cleared, end, 1);
 		send_ends(k, cleared, NULL);
 		g_array_unref(cleared);
 	}
-	if (!sus_is_known(k->suspects, end->content))
+	if (!sus_was_blocked(k->suspects, end->fingerprint))
 		return;
 	if (!was_known)
 		evt(EVT_SUSPECT,
 		    "content=%016" G_GINT64_MODIFIER "x outcome=held",
-		    end->content);
-	tell_content(k, end->content);
-	tell_again_later(k, end->content);
+		    end->fingerprint);
+	tell_content(k, end->fingerprint);
+	tell_again_later(k, end->fingerprint);
 }
 
 void
 keeper_take_ends(struct keeper *k, const struct side_ends *ends)
 {
-	struct sus_end end;
+	struct sus_termination end;
 	size_t i;
 
 	for (i = 0; i < side_ends_count(ends); i++) {
@@ -107,9 +110,10 @@
 void
 keeper_greet_ends(struct keeper *k, const char *gateway)
 {
-	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	GArray *ends =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
 
-	sus_ends_known(k->suspects, ends);
+	sus_blocked_terminations(k->suspects, ends);
 	send_ends(k, ends, gateway);
 	g_array_unref(ends);
 }
--- a/tests/serve/test_fwd.c
+++ b/tests/serve/test_fwd.c
@@ -855,14 +855,14 @@
 static void
 told_of_ends(uint64_t n)
 {
-	struct sus_end end = { .weight = SUS_SILENT };
+	struct sus_termination end = { .weight = SUS_SILENT };
 
-	end.content = fpr_of(&(struct fpr_content){ .host = "a.example",
+	end.fingerprint = fpr_of(&(struct fpr_content){ .host = "a.example",
 	    .target = { "/x/1", 4 },
 	    .workspace = "team" });
 	for (end.target = 1; end.target <= n; end.target++) {
 		end.at_us = now_us();
-		fwd_told_end(w.fwd, &end);
+		fwd_report_termination(w.fwd, &end);
 	}
 }
 
@@ -878,10 +878,10 @@
 	world_open(3, make_config(SV_STREAM, 3, 3000));
 	fd = ask_path("/x/1");
 	t = end_under_request();
-	fwd_target_ended(w.fwd, tgt_find(w.set, t->id));
+	fwd_target_terminated(w.fwd, tgt_find(w.set, t->id));
 	t = end_under_request();
 	expect_answer(fd, "502 ");
-	fwd_target_ended(w.fwd, tgt_find(w.set, t->id));
+	fwd_target_terminated(w.fwd, tgt_find(w.set, t->id));
 	fd = ask_path("/x/1");
 	answer = raw_read(fd, "\r\n\r\n");
 	assert_non_null(strstr(answer, "503 "));
@@ -975,7 +975,7 @@
 			tgt_removed(w.set, t->id, false, now_us());
 		shutdown(t->fd, SHUT_RDWR);
 		turn_ms(5);
-		fwd_target_ended(w.fwd, target);
+		fwd_target_terminated(w.fwd, target);
 		tgt_unref(target);
 	}
 	expect_answer(fd, "502 ");
--- a/tests/serve/test_stop.c
+++ b/tests/serve/test_stop.c
@@ -24,12 +24,12 @@
 		.connections = 1 };
 
 	assert_int_equal(stop_next(&s, 2 * SECOND), STOP_SERVE);
-	assert_int_equal(stop_next(&s, 4 * SECOND), STOP_TURN_AWAY);
+	assert_int_equal(stop_next(&s, 4 * SECOND), STOP_REJECT);
 	s.connections = 0;
-	assert_int_equal(stop_next(&s, 4 * SECOND), STOP_END);
+	assert_int_equal(stop_next(&s, 4 * SECOND), STOP_EXIT);
 	s.active = 1;
-	assert_int_equal(stop_next(&s, 4 * SECOND), STOP_TURN_AWAY);
-	assert_int_equal(stop_next(&s, 9 * SECOND), STOP_END);
+	assert_int_equal(stop_next(&s, 4 * SECOND), STOP_REJECT);
+	assert_int_equal(stop_next(&s, 9 * SECOND), STOP_EXIT);
 }
 
 int
--- a/tests/serve/test_suspect.c
+++ b/tests/serve/test_suspect.c
@@ -16,7 +16,7 @@
 set_up(void **state)
 {
 	s = sus_new(1);
-	news = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	news = g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
 	return 0;
 }
 
@@ -28,16 +28,16 @@
 	return 0;
 }
 
-static struct sus_end
+static struct sus_termination
 end_of(uint64_t content, uint64_t target, unsigned int weight, int64_t at_us)
 {
-	return (struct sus_end){ content, target, weight, at_us };
+	return (struct sus_termination){ content, target, weight, at_us };
 }
 
 static void
 cut(uint64_t content, uint64_t target, unsigned int weight, int64_t at_us)
 {
-	struct sus_end end = end_of(content, target, weight, at_us);
+	struct sus_termination end = end_of(content, target, weight, at_us);
 
 	sus_cut(s, &end);
 }
@@ -46,9 +46,9 @@
 told(struct sus *by, uint64_t content, uint64_t target, unsigned int weight,
     int64_t at_us)
 {
-	struct sus_end end = end_of(content, target, weight, at_us);
+	struct sus_termination end = end_of(content, target, weight, at_us);
 
-	return sus_told(by, &end);
+	return sus_report(by, &end);
 }
 
 static enum sus_verdict
@@ -84,7 +84,7 @@
 	sus_target_terminated(s, 2, T0 + 340 * MS, news);
 	assert_int_equal(news->len, 2);
 	assert_true(held_until(s, 7, T0 + 400 * MS) > T0 + 10 * S);
-	assert_true(sus_is_known(s, 7));
+	assert_true(sus_was_blocked(s, 7));
 }
 
 /* Guards against holding a request whose target is alive. */
@@ -107,7 +107,7 @@
 static void
 test_end_known_before_the_cut(void **state)
 {
-	struct sus_end end = end_of(7, 1, SUS_SILENT, T0 + 20 * MS);
+	struct sus_termination end = end_of(7, 1, SUS_SILENT, T0 + 20 * MS);
 
 	sus_target_terminated(s, 1, T0, news);
 	assert_int_equal(news->len, 0);
@@ -226,7 +226,7 @@
 		told(s, content, 3, SUS_SILENT, T0 + S);
 	assert_int_equal(judge(7, T0 + 2 * S), SUS_BLOCKED);
 	assert_int_equal(sus_count_blocked(s), 1);
-	sus_ends_known(s, news);
+	sus_blocked_terminations(s, news);
 	assert_int_equal(news->len, 2);
 	assert_int_equal(judge(100, T0 + 2 * S), SUS_NONE); /* forgotten */
 	sus_sweep(s, T0 + 90 * S);
@@ -238,18 +238,18 @@
 test_what_is_known_makes_another_know(void **state)
 {
 	struct sus *other = sus_new(2);
-	const struct sus_end *end;
+	const struct sus_termination *end;
 	guint i;
 
 	told(s, 7, 1, SUS_SILENT, T0);
 	told(s, 7, 2, SUS_SILENT, T0 + S);
 	told(s, 7, 3, SUS_SILENT, T0 + 2 * S);
 	told(s, 8, 3, SUS_SILENT, T0 + 2 * S); /* once: others need not know */
-	sus_ends_known(s, news);
+	sus_blocked_terminations(s, news);
 	assert_int_equal(news->len, 3);
 	for (i = 0; i < news->len; i++) {
-		end = &g_array_index(news, struct sus_end, i);
-		assert_true(sus_told(other, end));
+		end = &g_array_index(news, struct sus_termination, i);
+		assert_true(sus_report(other, end));
 	}
 	assert_true(held_until(other, 7, T0 + 200 * S) > T0 + 300 * S);
 	sus_free(other);
