--- a/lib/serve/fingerprint.h
+++ b/lib/serve/fingerprint.h
@@ -2,9 +2,9 @@
 #define SERVE_FINGERPRINT_H
 
 /*
- * fingerprint: knows a request again by its content. Its id names one attempt
- * of its caller; the same request may come again under another id, at any
- * entry, and all entries compute the same for it. Pure.
+ * fingerprint: identifies a request by its content. A request id names one
+ * attempt of a caller; the same request may be retried under another id and at
+ * any gateway, and all gateways compute the same fingerprint for it.
  */
 
 #include <stddef.h>
@@ -12,17 +12,17 @@
 
 #include "http/http.h"
 
-/* What makes two requests the same. Nothing of it is kept. */
+/* Two requests are the same if these are equal. Nothing of it is retained. */
 struct fpr_content {
 	const char *host; /* of the route */
 	struct hslice target; /* path and query */
-	const char *workspace; /* workspace of its key; NULL: anonymous */
+	const char *workspace; /* that the key belongs to; NULL: anonymous */
 	const void *body;
 	size_t body_len;
 };
 
-/* Never 0. SHA-256, cut to 64 bits: a caller cannot make a request that is
- * taken for another caller's. */
+/* Never 0. SHA-256 truncated to 64 bits, so that a caller cannot craft a
+ * request with the fingerprint of another caller's. */
 uint64_t fpr_of(const struct fpr_content *c);
 
 #endif
--- a/lib/serve/flow.h
+++ b/lib/serve/flow.h
@@ -2,10 +2,10 @@
 #define SERVE_FLOW_H
 
 /*
- * flow: what becomes of a request when an attempt at a target has ended. Pure.
- * The rules behind it: a request that may run once is sent again only when it
- * certainly did not run; 503 is said only of what did not run and will not; an
- * answer is passed on whole or visibly broken off.
+ * flow: the next step for a request when an attempt at a target has ended.
+ * Does no I/O. The rules: a request that is not repeatable is sent again only
+ * if it certainly did not run; 503 is answered only for a request that did not
+ * run and will not; an answer is relayed completely or visibly cut off.
  */
 
 #include <stdbool.h>
@@ -15,44 +15,44 @@
 enum flow_end { /* how an attempt ended */
 	FLOW_REFUSED, /* the target says that it did not run it */
 	FLOW_UNREACHABLE, /* nothing was sent */
-	FLOW_LOST, /* sent, and no answer or no whole one */
-	FLOW_STALLED, /* sent, and given up here for its silence */
-	FLOW_RECALLED, /* sent, and taken back before its answer began */
-	FLOW_FAILURE, /* a whole answer that says failure */
+	FLOW_LOST, /* sent; no answer or an incomplete one */
+	FLOW_STALLED, /* sent; cancelled because the target did not respond */
+	FLOW_RECALLED, /* sent; cancelled before the answer began */
+	FLOW_FAILURE, /* a complete answer with a failure status */
 };
 
 enum flow_step {
 	FLOW_RETRY, /* to another target, from the start */
-	FLOW_RESUME, /* to another target, after the last event passed on */
-	FLOW_PASS, /* pass the target's failure on as it is */
+	FLOW_RESUME, /* to another target, after the last event relayed */
+	FLOW_PASS, /* relay the target's failure unchanged */
 	FLOW_REFUSE, /* 503: it did not run */
 	FLOW_FAIL, /* 502: it may have run */
-	FLOW_ABORT, /* the answer has begun: close without its end */
+	FLOW_ABORT, /* the answer has begun: close the connection early */
 };
 
 struct flow_state {
-	bool repeatable; /* may run more than once */
-	bool begun; /* bytes of an answer have gone to the caller */
+	bool repeatable; /* safe to run more than once */
+	bool begun; /* part of an answer was sent to the caller */
 	bool may_have_run; /* at this or an earlier target */
-	unsigned int runs; /* targets at which it may have run */
-	unsigned int tries; /* targets that it was sent to */
-	unsigned int attempts; /* runs that its route allows */
-	bool has_time; /* enough is left for another attempt */
-	bool blocked; /* it may be what ended its targets */
+	unsigned int runs; /* attempts that may have run */
+	unsigned int tries; /* attempts in all */
+	unsigned int attempts; /* maximum of `runs`, from the route */
+	bool has_time; /* enough time is left for another attempt */
+	bool blocked; /* it may have caused terminations of targets */
 };
 
-/* Tries beyond the route's attempts that refusals may use up: a refusal runs
- * nothing, but each try is an arrival that the retry budget pays for. */
+/* Tries allowed beyond the route's attempts after refusals: a refused request
+ * has not run, but each try is charged to the retry budget. */
 #define FLOW_REFUSALS_MAX 2
 
-/* `may_spend` asks the retry budget, and only when it is needed. */
+/* `may_spend` charges the retry budget; called only when a retry needs it. */
 enum flow_step flow_next(const struct flow_state *s, enum flow_end end,
     bool (*may_spend)(void *ctx), void *ctx);
 
 /*
- * When a refused caller is told to come back, in seconds: `wait_s` is expected
- * for a place now, `random` is from 0 up to 1 and spreads those refused
- * together.
+ * Retry-After for a refused caller, in seconds. `wait_s` is the expected wait
+ * for a slot now; `random`, in [0, 1), spreads out callers that are refused at
+ * the same time.
  */
 double flow_retry_after_s(double wait_s, double random);
 
--- a/lib/serve/fwd.h
+++ b/lib/serve/fwd.h
@@ -2,9 +2,10 @@
 #define SERVE_FWD_H
 
 /*
- * fwd: carries callers' requests to targets and the answers back. What to do
- * is decided by rtab, tgt, flow, spend and vers; this module does it: waits for
- * a place, sends, passes whole answers and whole events on, cancels.
+ * fwd: forwards callers' requests to targets and the answers back. rtab, tgt,
+ * flow, spend and vers make the decisions; this module carries them out: it
+ * queues requests for a slot, sends them, relays complete answers and complete
+ * events, and cancels.
  */
 
 #include "http/http.h"
@@ -25,7 +26,8 @@
 	struct spend_conf budget;
 	struct ctr_set *counters;
 	uint64_t seed;
-	/* Others are to be told of these. NULL: there is nobody to tell. */
+	/* Publishes terminations to the other gateways. NULL: there is nobody to
+	 * notify. */
 	void (*publish_terminations)(
 	    const struct sus_termination *ends, size_t n, void *ctx);
 	void *publish_ctx;
@@ -33,25 +35,27 @@
 
 struct fwd *fwd_new(const struct fwd_conf *conf);
 void fwd_free(struct fwd *f);
-/* Settings in force from now on; takes the reference. */
+/* Activates new settings; takes over the reference. */
 void fwd_set_routes(struct fwd *f, struct rtab *routes);
-struct rtab *fwd_routes(struct fwd *f); /* NULL: none yet */
+struct rtab *fwd_routes(struct fwd *f); /* NULL: no settings yet */
 struct spend_conf *fwd_budget(struct fwd *f);
-/* Ops for the callers' server; its context is the forwarder. */
+/* Callbacks of the server that callers connect to; ctx: struct fwd. */
 extern const struct hserver_ops fwd_server_ops;
-/* Places may have become free at some target. */
+/* Schedules a pass over the queues: slots may have become free. */
 void fwd_pump(struct fwd *f);
-/* A target's process has ended: what was cut there may be the cause. */
+/* A target's process has terminated: requests that it cut off may have caused
+ * it. */
 void fwd_target_terminated(struct fwd *f, const struct tgt *t);
-/* Others know of a request that was under way at a target that ended. */
+/* Another process reported a request that was in flight at a terminated
+ * target. */
 void fwd_report_termination(struct fwd *f, const struct sus_termination *end);
-/* Appends all ends of what is held, those of a content together. */
+/* Appends the terminations of all blocked requests, grouped by fingerprint. */
 void fwd_blocked_terminations(const struct fwd *f, GArray *out);
-/* Forgets what is old; to be called now and then. */
+/* Drops expired suspects; to be called periodically. */
 void fwd_sweep(struct fwd *f);
-unsigned int fwd_active(const struct fwd *f); /* requests not yet answered */
+unsigned int fwd_active(const struct fwd *f); /* unanswered requests */
 unsigned int fwd_waiting(const struct fwd *f);
-/* Histograms and gauges for the metrics page. */
+/* Appends histograms and gauges for the metrics page. */
 void fwd_print(const struct fwd *f, GString *out);
 
 #endif
--- a/lib/serve/fwd_internal.h
+++ b/lib/serve/fwd_internal.h
@@ -8,20 +8,20 @@
 #include "serve/hist.h"
 
 #define FWD_TRIED_MAX 8
-#define FWD_ID_MAX 64 /* of a request, in log lines */
+#define FWD_ID_MAX 64 /* bytes of a request id in log lines */
 
 struct fwd_service;
 
 enum fwd_state {
-	FWD_WAITING, /* for a place at a target */
-	FWD_CALLING, /* sent; no byte passed on yet */
-	FWD_STREAMING, /* events are passed on */
+	FWD_WAITING, /* queued for a slot at a target */
+	FWD_CALLING, /* sent; nothing relayed to the caller yet */
+	FWD_STREAMING, /* events are being relayed */
 };
 
-/* A caller's request until it is answered. */
+/* A caller's request, from its arrival until it is answered. */
 struct fwd_req {
-	TAILQ_ENTRY(fwd_req) link; /* among the waiting of its service */
-	TAILQ_ENTRY(fwd_req) open; /* among all that are not answered yet */
+	TAILQ_ENTRY(fwd_req) link; /* in fwd_service.waiting */
+	TAILQ_ENTRY(fwd_req) open; /* in fwd.open */
 	struct fwd *fwd;
 	struct hreq *caller;
 	struct rtab *routes;
@@ -30,54 +30,55 @@
 	struct fwd_service *service;
 	enum fwd_state state;
 	char id[FWD_ID_MAX];
-	char *model; /* NULL: none asked for */
+	char *model; /* NULL: none requested */
 	uint64_t prompt; /* tokens; 0: unknown */
-	bool reading; /* the target has them to read */
-	int64_t started_us; /* first byte read */
-	int64_t deadline_us; /* final answer by then */
-	bool is_client_retry; /* its caller was refused before, by its time */
+	bool reading; /* prompt counted as not yet processed by the target */
+	int64_t started_us; /* first byte received */
+	int64_t deadline_us; /* for the complete answer */
+	bool is_client_retry; /* inferred from the caller's deadline header */
 	int priority;
 	struct evl_timer deadline;
-	struct evl_timer wait_timer; /* waiting, silence of the target */
-	struct evl_timer begin_timer; /* it must have begun by then */
-	/* The attempt under way. */
+	struct evl_timer wait_timer; /* for a slot, or for a stalled target */
+	struct evl_timer begin_timer; /* the answer must have begun by then */
+	/* The current attempt. */
 	struct hcall *call;
-	struct tgt *target; /* counted */
+	struct tgt *target; /* holds a reference and a slot */
 	int64_t sent_us;
 	unsigned int status;
-	bool is_matched; /* the answer's head is checked */
-	bool not_run; /* it says that it did not run */
-	bool unusable; /* it cannot be passed on */
-	bool sealed;
-	bool has_begun; /* its first event has come */
-	GString *headers; /* of the answer, to pass on */
-	struct hbuf answer; /* a whole answer, or events not whole yet */
-	/* Over all attempts. */
-	uint64_t fingerprint; /* fingerprint; 0: not computed yet */
-	const struct tgt *tried[FWD_TRIED_MAX]; /* compared, never followed */
+	bool is_matched; /* the answer's head belongs to this request */
+	bool not_run; /* the target says that it did not run the request */
+	bool unusable; /* the answer cannot be relayed */
+	bool sealed; /* the answer has the seal header */
+	bool has_begun; /* the first event has arrived */
+	GString *headers; /* of the answer, to relay */
+	struct hbuf answer; /* the complete answer, or incomplete events */
+	/* Across all attempts. */
+	uint64_t fingerprint; /* 0: not computed yet */
+	const struct tgt *tried[FWD_TRIED_MAX]; /* never dereferenced */
 	unsigned int ntried;
 	struct flow_state flow;
-	int64_t last_event; /* passed on; -1: none */
+	int64_t last_event; /* id of the last one relayed, if has_event */
 	bool has_event;
 	uint64_t events;
 	int64_t first_event_us, last_event_us;
 };
 
-/* One service's requests here. */
+/* Requests for one service at this gateway. */
 struct fwd_service {
 	struct fwd *fwd;
 	struct tgt_service *targets;
 	struct spend budget;
-	TAILQ_HEAD(fwd_waiting_list, fwd_req) waiting; /* urgent first */
+	TAILQ_HEAD(fwd_waiting_list, fwd_req) waiting; /* most urgent first */
 	unsigned int nwaiting;
-	/* Ends of requests a second, moving average: how fast places free. */
+	/* Completed requests per second, moving average: the rate at which
+	 * slots become free. */
 	double rate;
 	int64_t rate_us;
 	unsigned int completed;
-	int64_t
-	    first_event_us; /* to a first event after sending, moving average */
-	double retry_share; /* of requests that came back, moving average */
-	int64_t full_us; /* a new caller last found all places taken */
+	/* Time from sending to the first event, moving average. */
+	int64_t first_event_us;
+	double retry_share; /* of client retries, moving average */
+	int64_t full_us; /* when a new caller last found all slots taken */
 };
 
 struct fwd {
@@ -91,59 +92,59 @@
 	struct sus *suspects;
 	struct ctr *done, *refused, *failed, *disconnected, *retries, *resumes,
 	    *unexpected;
-	struct ctr *limited, *limited_again; /* sent to targets with a limit */
-	/* Cut by their targets before, after a first event. */
+	struct ctr *limited, *limited_again; /* sent to rate-limited targets */
+	/* Cut off by their targets before and after the first event. */
 	struct ctr *cut_silent, *cut_answering;
 	struct ctr *blocked, *recalled;
-	struct ctr *choices; /* looks through all targets */
+	struct ctr *choices; /* scans over all targets of a service */
 	struct hist wait, first_event, gap, total;
 };
 
 /* fwd.c */
 int64_t fwd_now(const struct fwd_req *r);
-/* Fingerprint of its content. */
+/* Computed on first use. */
 uint64_t fwd_fingerprint(struct fwd_req *r);
-/* Ends the request here with an answer of our own. */
-void fwd_refuse(struct fwd_req *r, const char *why); /* 503: not run */
-/* The same, told to come back at that moment and not sooner. */
+/* Ends the request with an answer made by the gateway. */
+void fwd_refuse(struct fwd_req *r, const char *why); /* 503: it did not run */
+/* The same, with a Retry-After that ends at `until_us`. */
 void fwd_refuse_until(struct fwd_req *r, const char *why, int64_t until_us);
 void fwd_fail(struct fwd_req *r, unsigned int status, const char *why);
 void fwd_abort(struct fwd_req *r, const char *why); /* close mid-answer */
-void fwd_finish(struct fwd_req *r); /* frees; the caller was answered */
+void fwd_finish(struct fwd_req *r); /* frees it, but not the hreq */
 void fwd_log_end(const struct fwd_req *r, enum evt_name ev, unsigned int status,
     const char *why);
 
-/* fwd_wait.c: waiting for a place */
-/* Counts a new request; whether its time left tells that it came back. */
+/* fwd_wait.c: queueing for a slot */
+/* Updates the share of client retries; clears is_client_retry where the
+ * remaining time does not indicate one. */
 void fwd_note_client_retry(struct fwd_req *r);
-void fwd_dispatch(struct fwd_req *r); /* send now, wait, or refuse */
+void fwd_dispatch(struct fwd_req *r); /* sends, queues or refuses it */
 void fwd_dequeue(struct fwd_req *r);
 void fwd_count_completion(struct fwd_service *service, int64_t now_us);
-/* Seconds until a place is likely. */
+/* Seconds until a slot is likely to be free. */
 double fwd_retry_after(struct fwd_req *r);
 
-/* fwd_call.c: an attempt */
+/* fwd_call.c: one attempt */
 void fwd_send(struct fwd_req *r, struct tgt *target);
-/* Whether it may be taken back from a target that has not begun it. */
+/* Whether it may be recalled from a target that has not begun it. */
 bool fwd_may_recall(const struct fwd_req *r);
-void fwd_drop_call(struct fwd_req *r); /* cancels what is under way */
-void fwd_prompt_read(struct fwd_req *r); /* the target has read the prompt */
-void fwd_note_progress(
-    struct fwd_req *r); /* the target has given a sign of life */
+void fwd_drop_call(struct fwd_req *r); /* cancels the current attempt */
+void fwd_prompt_read(struct fwd_req *r); /* the target has read it */
+void fwd_note_progress(struct fwd_req *r); /* restarts the stall timer */
 
-/* fwd_answer.c: what comes back */
+/* fwd_answer.c: answers from targets */
 void fwd_read_head(struct fwd_req *r, const struct hmsg *m);
 void fwd_read_body(struct fwd_req *r, const void *data, size_t len);
 void fwd_answer_complete(struct fwd_req *r);
-bool fwd_is_stream(const struct fwd_req *r); /* the answer is passed on live */
+bool fwd_is_stream(const struct fwd_req *r); /* relayed as it arrives */
 
-/* fwd_suspect.c: requests under which targets ended */
-/* Whether it must not be sent now; until when. */
+/* fwd_suspect.c: requests under which targets terminated */
+/* Whether it must not be sent before `*until_us`. */
 bool fwd_is_blocked(struct fwd_req *r, int64_t *until_us);
-void fwd_note_cut(struct fwd_req *r); /* its target broke off */
-void fwd_note_answered(struct fwd_req *r); /* its answer is whole */
+void fwd_note_cut(struct fwd_req *r); /* its target cut it off */
+void fwd_note_answered(struct fwd_req *r); /* its answer is complete */
 
-/* fwd_head.c: heads to targets and callers */
+/* fwd_head.c: message heads for targets and callers */
 GString *fwd_request_head(struct fwd_req *r, struct tgt *target);
 void fwd_answer_headers(const struct hmsg *m, GString *out);
 
--- a/lib/serve/hist.h
+++ b/lib/serve/hist.h
@@ -1,7 +1,7 @@
 #ifndef SERVE_HIST_H
 #define SERVE_HIST_H
 
-/* hist: a latency histogram with fixed bounds, printed for Prometheus. */
+/* hist: latency histogram with fixed bounds, in the Prometheus text format. */
 
 #include "common/common.h"
 
--- a/lib/serve/stop.h
+++ b/lib/serve/stop.h
@@ -1,22 +1,22 @@
 #ifndef SERVE_STOP_H
 #define SERVE_STOP_H
 
-/* stop: how far a planned stop has come, and what is next. Pure. */
+/* stop: phases of a graceful shutdown. Does no I/O. */
 
 #include <stdbool.h>
 #include <stdint.h>
 
 enum stop_step {
-	STOP_SERVE, /* as before, but each answer ends its connection */
-	STOP_REJECT, /* no new connections; what is under way goes on */
-	STOP_EXIT, /* the process may go */
+	STOP_SERVE, /* serve requests, but close connections after the answer */
+	STOP_REJECT, /* no new connections; requests in flight continue */
+	STOP_EXIT, /* the process may exit */
 };
 
 struct stop_state {
-	int64_t since_us; /* the stop was asked for */
-	int64_t grace_us; /* from then to the end of the process */
-	unsigned int active; /* requests not yet answered */
-	unsigned int connections; /* callers' */
+	int64_t since_us; /* when the stop was requested */
+	int64_t grace_us; /* from since_us until the process must exit */
+	unsigned int active; /* unanswered requests */
+	unsigned int connections; /* from callers */
 };
 
 enum stop_step stop_next(const struct stop_state *s, int64_t now_us);
--- a/lib/serve/suspect.h
+++ b/lib/serve/suspect.h
@@ -2,32 +2,34 @@
 #define SERVE_SUSPECT_H
 
 /*
- * suspect: requests under which targets ended. One that ends each target that
- * begins to run it comes again under other ids, at any entry; without a memory
- * of its content each attempt costs two targets and all that they were running.
+ * suspect: detects requests that terminate targets. A poison request, one that
+ * crashes each target that begins to run it, is retried under other ids and at
+ * any gateway; unless its fingerprint is remembered, each attempt costs two
+ * targets and all requests that they were running.
  *
- * When a target ends, each request that was under way there is a suspect, most
- * of them innocent. A request held back here was under way at two targets that
- * ended, and had no answer from either; or at more, if answers had begun. One
- * answer that is whole clears it. What is held is given another chance later,
- * at another moment by each entry; each target that it ends then holds it for
- * longer. Pure: contents are fingerprints, targets hashes of instance ids.
+ * When a target terminates, each request in flight there becomes a suspect;
+ * most of them are innocent. A request is blocked once it was in flight at two
+ * targets that terminated without having answered it, or at more if answers
+ * had begun. One complete answer clears it. A blocked request is probed again
+ * later, by each gateway at a different time; each further termination blocks
+ * it for longer. Does no I/O: requests are fingerprints, targets are hashes of
+ * instance ids.
  */
 
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
-struct sus; /* bounded: the least suspect are forgotten first */
+struct sus; /* bounded: evicts the least suspect requests first */
 
-/* What being under way at an ended target says against a request. */
+/* Weight of a termination as evidence against a request in flight there. */
 enum sus_weight {
-	SUS_CLEARED = 0, /* no end: it had a whole answer */
-	SUS_ANSWERING = 1, /* its answer had begun: it did run there */
-	SUS_SILENT = 2, /* it may have begun and ended the target at once */
+	SUS_CLEARED = 0, /* no termination: it had a complete answer */
+	SUS_ANSWERING = 1, /* its answer had begun, so it did run there */
+	SUS_SILENT = 2, /* it may have crashed the target as it began */
 };
 
-/* A request was under way at a target when that ended. */
+/* A request was in flight at a target when the target terminated. */
 struct sus_termination {
 	uint64_t fingerprint; /* see fingerprint.h */
 	uint64_t target; /* hash of its instance id */
@@ -36,40 +38,42 @@
 };
 
 enum sus_verdict {
-	SUS_NONE, /* nothing is said against it */
+	SUS_NONE, /* no evidence against it */
 	SUS_SUSPECT, /* may be sent */
-	SUS_BLOCKED, /* not to be sent */
+	SUS_BLOCKED, /* must not be sent */
 };
 
-/* `seed` differs between entries: so do the moments of other chances. */
+/* A different `seed` at each gateway gives different probe times. */
 struct sus *sus_new(uint64_t seed);
 void sus_free(struct sus *s);
 
 /*
- * A request was cut off by its target. That counts for a moment, and for good
- * once the target is known to have ended. True: it is known already, and
- * others are to be told.
+ * A request was cut off by its target. This counts for a short time, and
+ * permanently once the target is known to have terminated. Returns true if that
+ * is known already, so that the caller must publish the termination.
  */
 bool sus_cut(struct sus *s, const struct sus_termination *end);
-/* The target has ended. Appends what becomes evidence by that to `news`, an
- * array of struct sus_termination, to be told to others. */
+/* The target has terminated. Appends the terminations that this confirms to
+ * `confirmed`, an array of struct sus_termination; the caller publishes them. */
 void sus_target_terminated(
-    struct sus *s, uint64_t target, int64_t now_us, GArray *news);
-/* Evidence by others. True: it was not known. */
+    struct sus *s, uint64_t target, int64_t now_us, GArray *confirmed);
+/* Adds a termination reported by another process. True: it was new. */
 bool sus_report(struct sus *s, const struct sus_termination *end);
-/* A whole answer clears a request. True: others are to be told, by an end of
- * weight SUS_CLEARED. */
-bool sus_answered(struct sus *s, uint64_t content);
+/* A complete answer clears a request. Returns true if the caller must publish
+ * this, as a termination of weight SUS_CLEARED. */
+bool sus_answered(struct sus *s, uint64_t fingerprint);
 
-/* `until_us`: of what is held, the moment of its next chance here. */
+/* `*until_us` is set if blocked: when this gateway may probe it next. */
 enum sus_verdict sus_judge(
-    struct sus *s, uint64_t content, int64_t now_us, int64_t *until_us);
-/* Whether enough is known to hold it, now or before another chance. */
-bool sus_was_blocked(const struct sus *s, uint64_t content);
-/* Appends the known ends of one content, or of all that sus_was_blocked. */
-void sus_terminations_of(const struct sus *s, uint64_t content, GArray *out);
+    struct sus *s, uint64_t fingerprint, int64_t now_us, int64_t *until_us);
+/* Whether it is blocked, or was and may be probed now. */
+bool sus_was_blocked(const struct sus *s, uint64_t fingerprint);
+/* Append the confirmed terminations of one request, or of all requests for
+ * which sus_was_blocked() is true. */
+void sus_terminations_of(
+    const struct sus *s, uint64_t fingerprint, GArray *out);
 void sus_blocked_terminations(const struct sus *s, GArray *out);
-/* Forgets what is old. */
+/* Drops expired suspects. */
 void sus_sweep(struct sus *s, int64_t now_us);
 bool sus_is_empty(const struct sus *s);
 unsigned int sus_count_blocked(const struct sus *s);
