--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -1,13 +1,14 @@
-/* Callers' requests: taking them in, ending them. */
+/* Callers' requests: accepting and ending them. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
-#define DEFAULT_DUE_US 60000000 /* neither caller nor route names a time */
-/* Callers' own times are below their route's by up to this share; one that has
- * less left has spent it on an earlier try. */
-#define OWN_TIME_SHARE 0.15
+#define DEFAULT_TIMEOUT_US 60000000 /* neither caller nor route sets one */
+/* Deadlines that callers set themselves are below their route's timeout by up
+ * to this share. A caller with less has spent the difference on an earlier
+ * attempt. */
+#define CALLER_MARGIN_SHARE 0.15
 
 int64_t
 fwd_now(const struct fwd_req *r)
@@ -32,7 +33,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Ends                                                                */
+/* Ending requests                                                     */
 /* ------------------------------------------------------------------ */
 
 void
@@ -143,9 +144,9 @@
 	hreq_abort(caller);
 }
 
-/* The time that the route or the caller gives is over. */
+/* The timeout of the route or the deadline of the caller has passed. */
 static void
-on_due(struct evl_timer *timer)
+on_deadline(struct evl_timer *timer)
 {
 	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, deadline);
 
@@ -158,7 +159,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Taking requests in                                                  */
+/* Accepting requests                                                  */
 /* ------------------------------------------------------------------ */
 
 static struct fwd_service *
@@ -176,7 +177,7 @@
 	return service;
 }
 
-/* Refuses a request that never became one of ours. */
+/* Refuses a request before a struct fwd_req is made for it. */
 static void
 answer_early(
     struct fwd *f, struct hreq *caller, unsigned int status, const char *why)
@@ -193,7 +194,7 @@
 	    caller, status, status == 503 ? "Retry-After: 1.2\r\n" : "", "", 0);
 }
 
-/* False when the request was answered. */
+/* Returns false if it has answered the request with 401. */
 static bool
 authorise(struct fwd *f, struct hreq *caller, const struct sv_route *route,
     const struct sv_workspace **workspace)
@@ -229,7 +230,7 @@
 	memcpy(r->id, h->value.p, MIN(h->value.n, sizeof(r->id) - 1));
 }
 
-/* "PROMPT,ANSWER" in tokens */
+/* Parses "PROMPT,ANSWER", both in tokens. */
 static void
 read_prompt(struct fwd_req *r, const struct hmsg *m)
 {
@@ -249,7 +250,7 @@
 }
 
 static void
-read_times(struct fwd_req *r, const struct hmsg *m)
+read_deadline(struct fwd_req *r, const struct hmsg *m)
 {
 	const struct hheader *h =
 	    hmsg_find(m, r->fwd->conf.dialect->header[SV_F_DEADLINE_MS]);
@@ -257,12 +258,13 @@
 
 	r->started_us = hreq_started_us(r->caller);
 	r->deadline_us = r->started_us +
-	    (r->route->timeout_us > 0 ? r->route->timeout_us : DEFAULT_DUE_US);
+	    (r->route->timeout_us > 0 ? r->route->timeout_us
+				      : DEFAULT_TIMEOUT_US);
 	if (h == NULL || !hslice_number(h->value, &ms))
 		return;
 	r->deadline_us = MIN(r->deadline_us, r->started_us + ms * 1000);
 	r->is_client_retry = (double)(ms * 1000) <
-	    (double)r->route->timeout_us * (1 - OWN_TIME_SHARE);
+	    (double)r->route->timeout_us * (1 - CALLER_MARGIN_SHARE);
 }
 
 static bool
@@ -287,14 +289,14 @@
 	r->route = route;
 	r->workspace = workspace;
 	r->service = service_of(f, rtab_pick_service(route, rng_next(&f->rng)));
-	r->deadline.fire = on_due;
+	r->deadline.fire = on_deadline;
 	r->priority = workspace != NULL && workspace->priority != INT_MAX
 	    ? workspace->priority
 	    : route->priority;
 	if (model != NULL)
 		r->model = hslice_dup(model->value);
 	read_id(r, m);
-	read_times(r, m);
+	read_deadline(r, m);
 	read_prompt(r, m);
 	r->flow.repeatable = is_repeatable(route);
 	r->flow.attempts = route->attempts;
@@ -340,7 +342,7 @@
 }
 
 static void
-on_left(struct hreq *caller, void *ctx)
+on_disconnected(struct hreq *caller, void *ctx)
 {
 	struct fwd_req *r = hreq_ctx(caller);
 
@@ -372,7 +374,7 @@
 
 const struct hserver_ops fwd_server_ops = {
 	.request = on_request,
-	.left = on_left,
+	.left = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
--- a/lib/serve/fwd_answer.c
+++ b/lib/serve/fwd_answer.c
@@ -1,4 +1,4 @@
-/* What comes back from a target, and how it is passed on. */
+/* Answers from targets, and how they are relayed. */
 
 #include <math.h>
 #include <stdlib.h>
@@ -6,27 +6,27 @@
 
 #include "serve/fwd_internal.h"
 
-/* Largest answer that is held whole, and largest event of a stream. */
+/* Largest answer that is buffered, and largest event of a stream. */
 #define ANSWER_MAX (8u << 20)
 #define EVENT_MAX (1u << 20)
-/* The newest time to a first event counts one in so many. */
-#define FIRST_WEIGHT 16
+/* Moving average of the time to the first event: a new value counts 1/16. */
+#define FIRST_EVENT_WEIGHT 16
 
 /* ------------------------------------------------------------------ */
 /* Head                                                                */
 /* ------------------------------------------------------------------ */
 
 static const struct hheader *
-field(const struct fwd_req *r, const struct hmsg *m, enum sv_field f)
+find_header(const struct fwd_req *r, const struct hmsg *m, enum sv_field f)
 {
 	return hmsg_find(m, r->fwd->conf.dialect->header[f]);
 }
 
-/* "running,waiting,slots" */
+/* Parses "running,waiting,slots". */
 static void
-read_load(struct fwd_req *r, const struct hmsg *m)
+apply_load(struct fwd_req *r, const struct hmsg *m)
 {
-	const struct hheader *h = field(r, m, SV_F_LOAD);
+	const struct hheader *h = find_header(r, m, SV_F_LOAD);
 	unsigned long running, waiting;
 	char text[48], *end;
 
@@ -47,11 +47,11 @@
 	return r->status >= 200 && r->status < 300;
 }
 
-/* Requests a second; 0: none is named. False: not a number. */
+/* Rate limit in requests per second; 0: none is given. False: not a number. */
 static bool
-limit_of(const struct fwd_req *r, const struct hmsg *m, double *out)
+parse_limit(const struct fwd_req *r, const struct hmsg *m, double *out)
 {
-	const struct hheader *h = field(r, m, SV_F_LIMIT);
+	const struct hheader *h = find_header(r, m, SV_F_LIMIT);
 	char text[32], *end;
 
 	*out = 0;
@@ -64,20 +64,21 @@
 	*out = g_ascii_strtod(text, &end);
 	if (*end != '\0' || !isfinite(*out) || *out < 0)
 		return false;
-	/* As others will hear it, or their word would seem to be another. */
+	/* Rounded as it is sent to other processes; otherwise their reports
+	 * would look like a different limit. */
 	*out = rate_of_milli(rate_to_milli(MAX(*out, RATE_LEAST)));
 	return true;
 }
 
 static void
-read_limit(struct fwd_req *r, const struct hmsg *m)
+apply_limit(struct fwd_req *r, const struct hmsg *m)
 {
 	double limit, before = r->target->rate.limit;
 
-	if (!limit_of(r, m, &limit))
+	if (!parse_limit(r, m, &limit))
 		return;
-	/* A refusal need not come from the engine itself: that it names no
-	 * limit does not end one. */
+	/* A refusal need not come from the engine itself, so a refusal without
+	 * a limit does not remove the current one. */
 	if (limit == 0 && !(is_success(r) && r->sealed))
 		return;
 	if (tgt_answered_rate(
@@ -87,34 +88,34 @@
 		    r->target->says.id, r->target->says.address, limit, before);
 }
 
-/* Statuses that promise that a request did not run: only a target that says
- * so in its own field may make that promise. */
+/* Statuses by which callers understand that a request did not run. They may
+ * be relayed only from a target that says so in its not-run header. */
 static bool
-promises_not_run(unsigned int status)
+implies_not_run(unsigned int status)
 {
 	return status == 429 || status == 503 || status == 408;
 }
 
 static bool
-says_not_run(const struct fwd_req *r, const struct hmsg *m)
+is_not_run(const struct fwd_req *r, const struct hmsg *m)
 {
-	return r->status == 421 || field(r, m, SV_F_NOT_RUN) != NULL;
+	return r->status == 421 || find_header(r, m, SV_F_NOT_RUN) != NULL;
 }
 
 static bool
-can_pass(const struct fwd_req *r, const struct hmsg *m)
+is_relayable(const struct fwd_req *r, const struct hmsg *m)
 {
 	if (is_success(r))
 		return r->sealed && hmsg_find(m, "Content-Encoding") == NULL;
-	return r->sealed && !promises_not_run(r->status);
+	return r->sealed && !implies_not_run(r->status);
 }
 
 void
 fwd_read_head(struct fwd_req *r, const struct hmsg *m)
 {
-	const struct hheader *id = field(r, m, SV_F_REQUEST_ID);
+	const struct hheader *id = find_header(r, m, SV_F_REQUEST_ID);
 
-	/* An answer to an earlier request, late or sent twice. */
+	/* This answers an earlier request: it is late or a duplicate. */
 	if (id != NULL &&
 	    (id->value.n != strlen(r->id) ||
 		memcmp(id->value.p, r->id, id->value.n) != 0)) {
@@ -127,13 +128,13 @@
 	}
 	r->is_matched = true;
 	r->status = m->status;
-	r->sealed = field(r, m, SV_F_SEAL) != NULL;
-	read_load(r, m);
-	read_limit(r, m);
+	r->sealed = find_header(r, m, SV_F_SEAL) != NULL;
+	apply_load(r, m);
+	apply_limit(r, m);
 	fwd_prompt_read(r);
-	r->not_run = says_not_run(r, m);
-	r->unusable =
-	    !r->not_run && (!can_pass(r, m) || (is_success(r) && id == NULL));
+	r->not_run = is_not_run(r, m);
+	r->unusable = !r->not_run &&
+	    (!is_relayable(r, m) || (is_success(r) && id == NULL));
 	if (r->headers == NULL)
 		r->headers = g_string_sized_new(256);
 	g_string_truncate(r->headers, 0);
@@ -152,7 +153,7 @@
 /* Events                                                              */
 /* ------------------------------------------------------------------ */
 
-/* Length of the first whole event, with the empty line that ends it. */
+/* Length of the first complete event with its final empty line; 0: none. */
 static size_t
 event_length(const struct hbuf *b)
 {
@@ -161,7 +162,7 @@
 	return end == NULL ? 0 : (size_t)(end - hbuf_front(b)) + 2;
 }
 
-/* The number in the event's line "id: N"; -1 without one. */
+/* The number in the event's "id: N" line; -1: it has none. */
 static int64_t
 event_id(const uint8_t *event, size_t len)
 {
@@ -181,12 +182,12 @@
 }
 
 static void
-note_first(struct fwd_service *service, int64_t first_us)
+update_first_event_us(struct fwd_service *service, int64_t first_us)
 {
 	if (service->first_event_us == 0)
 		service->first_event_us = first_us;
 	service->first_event_us +=
-	    (first_us - service->first_event_us) / FIRST_WEIGHT;
+	    (first_us - service->first_event_us) / FIRST_EVENT_WEIGHT;
 }
 
 static void
@@ -196,7 +197,7 @@
 
 	r->has_begun = true;
 	if (r->events == 0) {
-		note_first(r->service, now_us - r->sent_us);
+		update_first_event_us(r->service, now_us - r->sent_us);
 		r->first_event_us = now_us;
 		hist_add(&r->fwd->first_event, now_us - r->started_us);
 	} else
@@ -220,7 +221,7 @@
 }
 
 static void
-pass_events(struct fwd_req *r)
+relay_events(struct fwd_req *r)
 {
 	size_t len;
 	int64_t id;
@@ -232,7 +233,7 @@
 			begin_answer(r);
 			hreq_write(r->caller, hbuf_front(&r->answer), len);
 			note_event(r, id);
-		} else /* passed on already, from an earlier target */
+		} else /* relayed already, from an earlier target */
 			ctr_add(r->fwd->unexpected, 1);
 		hbuf_use(&r->answer, len);
 	}
@@ -255,15 +256,15 @@
 	hbuf_add(&r->answer, data, len);
 	if (!fwd_is_stream(r))
 		return;
-	pass_events(r);
+	relay_events(r);
 	fwd_note_progress(r);
 }
 
 /* ------------------------------------------------------------------ */
-/* Whole                                                               */
+/* Completion                                                          */
 /* ------------------------------------------------------------------ */
 
-/* The target's answer is whole: passes on what has not gone yet. */
+/* The target's answer is complete: relays the part not sent yet. */
 void
 fwd_answer_complete(struct fwd_req *r)
 {
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -1,43 +1,45 @@
-/* One attempt at a target. */
+/* One attempt at a target: sending, timers, outcome. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
-/* An engine that has said nothing for so many objectives is taken as silent:
- * three times the objective is late already, and the caller gives up on a
- * stream after four. */
-#define SILENT_FIRST 3
+/* Stall timeout until the first event, in units of the route's objective.
+ * After three times the objective the answer is late already, and the caller
+ * gives up on a stream after four. */
+#define STALL_FIRST 3
 /*
- * Under load first events come late everywhere, and a request that is sent
- * again makes two of the work. So many times what is usual now are waited
- * for, as long as the caller still waits.
+ * Under load first events are late at all targets, and sending a request again
+ * doubles its work. So the timeout is at least this multiple of the current
+ * average time to the first event, up to a limit (in objectives) by which the
+ * caller gives up.
  */
-#define SILENT_USUAL 3
-#define SILENT_FIRST_MAX 5
-/* The same between events, in objectives for the pause. */
-#define SILENT_GAP 3
-#define SILENT_DEFAULT_US 1200000
-/* A plain request that may be repeated is tried elsewhere after this share of
- * its route's time, so that the second try still fits. */
-#define SILENT_PLAIN_SHARE 0.5
-/* A connection that fails sooner was refused by the target's host. */
+#define STALL_MEAN 3
+#define STALL_FIRST_MAX 5
+/* Stall timeout between events, in units of the route's gap objective. */
+#define STALL_GAP 3
+#define STALL_DEFAULT_US 1200000
+/* A repeatable request that is not a stream is sent elsewhere after this share
+ * of its route's timeout, so that there is time for the second attempt. */
+#define STALL_PLAIN_SHARE 0.5
+/* A connection that fails sooner than this was refused by the target's host. */
 #define REFUSED_US 100000
-/* Least time that another attempt needs. */
+/* Minimum remaining time for another attempt. */
 #define ATTEMPT_MIN_US 60000
 
 /*
- * A request that waits at its target until the target's weights are too old is
- * run on them all the same: its caller gets an answer that the operators have
- * withdrawn. What has not begun so long before that moment is cancelled and
- * goes on elsewhere; a target drops what its caller has left. Longer than a
- * cancel takes to get there beside other work, 20 to 40 ms.
+ * A request that is queued at its target when the target's weights become too
+ * old is still run on them, and its caller gets an answer from weights that the
+ * operators have withdrawn. So a request that has not begun this long before
+ * that time is cancelled and sent elsewhere; a target drops queued requests
+ * whose connection is closed. Must exceed the time that a cancel takes to
+ * arrive beside other work, 20 to 40 ms.
  */
-#define WITHDRAW_US 80000
-/* The same to another region, over a link that others fill. */
-#define WITHDRAW_FAR_US 400000
-/* The same over a slow link, where the cancel itself takes up to a second. */
-#define WITHDRAW_SLOW_US 980000
+#define RECALL_LOCAL_US 80000
+/* The same for a target in another region, over a shared, congested link. */
+#define RECALL_REMOTE_US 400000
+/* The same over a slow link, where a cancel takes up to one second. */
+#define RECALL_SLOW_US 980000
 
 void
 fwd_prompt_read(struct fwd_req *r)
@@ -87,7 +89,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The end of an attempt                                               */
+/* End of an attempt                                                   */
 /* ------------------------------------------------------------------ */
 
 static bool
@@ -108,12 +110,12 @@
 	[FLOW_FAILURE] = "target_failed",
 };
 
-static const enum tgt_outcome outcomes[] = {
+static const enum tgt_outcome target_outcomes[] = {
 	[FLOW_REFUSED] = TGT_REFUSED,
 	[FLOW_UNREACHABLE] = TGT_LOST,
 	[FLOW_LOST] = TGT_ERROR,
 	[FLOW_STALLED] = TGT_SILENT,
-	[FLOW_RECALLED] = TGT_REFUSED, /* says nothing against it */
+	[FLOW_RECALLED] = TGT_REFUSED, /* no fault of the target */
 	[FLOW_FAILURE] = TGT_ERROR,
 };
 
@@ -122,7 +124,7 @@
 {
 	unsigned int failures = r->target->failures;
 
-	tgt_outcome(r->target, outcomes[end], fwd_now(r));
+	tgt_outcome(r->target, target_outcomes[end], fwd_now(r));
 	if (r->target->failures > failures)
 		evt(EVT_TARGET_REST,
 		    "target=%s address=%s why=%s failures=%u rest_ms=%" G_GINT64_FORMAT,
@@ -133,7 +135,7 @@
 		return;
 	if (r->status == 421)
 		tgt_mistaken(r->target);
-	else /* it is fuller than was thought */
+	else /* it is fuller than estimated */
 		tgt_load(r->target,
 		    (unsigned int)tgt_limit(
 			r->target, tgt_set_policy(r->fwd->conf.targets)),
@@ -141,7 +143,7 @@
 }
 
 static void
-go_on(struct fwd_req *r, enum flow_end end)
+retry(struct fwd_req *r, enum flow_end end)
 {
 	ctr_add(r->fwd->retries, 1);
 	if (r->flow.begun)
@@ -174,7 +176,7 @@
 	switch (flow_next(&r->flow, end, may_spend, r)) {
 	case FLOW_RETRY:
 	case FLOW_RESUME:
-		go_on(r, end);
+		retry(r, end);
 		break;
 	case FLOW_PASS:
 		fwd_answer_complete(r);
@@ -192,7 +194,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Events of the call                                                  */
+/* Callbacks of the call                                               */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -232,8 +234,9 @@
 	}
 }
 
-/* A connection that is refused at once: nobody listens there any more. A side
- * knows better: its target may only refuse more connections. */
+/* A connection that is refused at once means that no process listens there any
+ * more. Where a sidecar reports on the target, it decides instead: the target
+ * may only be refusing further connections. */
 static void
 connection_failed(struct fwd_req *r)
 {
@@ -254,8 +257,8 @@
 	struct fwd_req *r = ctx;
 
 	r->call = NULL;
-	/* A refusal was read whole enough: its head says that it did not
-	 * run, whatever became of its body. */
+	/* The head of a refusal is enough: it says that the request did not
+	 * run, even if the body is incomplete. */
 	if (r->not_run)
 		attempt_ended(r, FLOW_REFUSED);
 	else if (sent) {
@@ -277,12 +280,12 @@
 /* ------------------------------------------------------------------ */
 
 static void
-on_silent(struct evl_timer *timer)
+on_stalled(struct evl_timer *timer)
 {
 	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, wait_timer);
 
-	/* When connections fall silent they do so many at a time, and each
-	 * kept one would cost another request. */
+	/* Connections usually stall many at a time, and each idle one that
+	 * stays in the pool would delay another request. */
 	if (r->call != NULL && hcall_kept(r->call))
 		hpool_forget_idle(r->fwd->conf.pool);
 	cancel_call(r);
@@ -290,11 +293,11 @@
 }
 
 static void
-on_begin_due(struct evl_timer *timer)
+on_begin_deadline(struct evl_timer *timer)
 {
 	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, begin_timer);
 
-	/* The head of its answer came: it has begun. */
+	/* The head of the answer has arrived: the target has begun. */
 	if (r->call == NULL || r->status != 0)
 		return;
 	cancel_call(r);
@@ -302,17 +305,18 @@
 }
 
 static int64_t
-withdraw_us(const struct fwd_req *r)
+recall_margin_us(const struct fwd_req *r)
 {
 	if (tgt_way_is_slow(r->target, fwd_now(r)))
-		return WITHDRAW_SLOW_US;
-	return r->target->near ? WITHDRAW_US : WITHDRAW_FAR_US;
+		return RECALL_SLOW_US;
+	return r->target->near ? RECALL_LOCAL_US : RECALL_REMOTE_US;
 }
 
-/* Also of a stream that has begun elsewhere, and of a last attempt: their
- * callers lose the rest, which withdrawn weights must not make. */
+/* Arms the recall of a request that does not begin in time. This includes
+ * resumed streams and last attempts: their callers lose the rest of the answer,
+ * which must not be made with withdrawn weights. */
 static void
-expect_begin(struct fwd_req *r)
+arm_begin_timer(struct fwd_req *r)
 {
 	int64_t end_us;
 
@@ -323,38 +327,39 @@
 	    vers_end_us(r->fwd->conf.versions, r->model, r->target->version);
 	if (end_us == 0)
 		return;
-	r->begin_timer.fire = on_begin_due;
+	r->begin_timer.fire = on_begin_deadline;
 	evl_timer_set(
-	    r->fwd->conf.loop, &r->begin_timer, end_us - withdraw_us(r));
+	    r->fwd->conf.loop, &r->begin_timer, end_us - recall_margin_us(r));
 }
 
-/* Waits for the target's next word. A request that cannot go elsewhere is
- * left to its due time: its silence is no reason to end it sooner. */
+/* Arms the stall timer until the target's next event. A request that cannot be
+ * sent elsewhere only has its deadline: a stalled target is no reason to end it
+ * sooner. */
 static void
-expect_word(struct fwd_req *r)
+arm_stall_timer(struct fwd_req *r)
 {
 	const struct sv_route *route = r->route;
-	int64_t wait_us = SILENT_DEFAULT_US;
+	int64_t wait_us = STALL_DEFAULT_US;
 
 	if (!r->flow.repeatable || r->flow.runs + 1 >= r->flow.attempts)
 		return;
 	if (route->kind != SV_STREAM)
 		wait_us =
-		    (int64_t)((double)route->timeout_us * SILENT_PLAIN_SHARE);
+		    (int64_t)((double)route->timeout_us * STALL_PLAIN_SHARE);
 	else if (r->state == FWD_STREAMING && route->gap_us > 0)
-		wait_us = SILENT_GAP * route->gap_us;
+		wait_us = STALL_GAP * route->gap_us;
 	else if (route->objective_us > 0)
-		wait_us = CLAMP(SILENT_USUAL * r->service->first_event_us,
-		    SILENT_FIRST * route->objective_us,
-		    SILENT_FIRST_MAX * route->objective_us);
-	r->wait_timer.fire = on_silent;
+		wait_us = CLAMP(STALL_MEAN * r->service->first_event_us,
+		    STALL_FIRST * route->objective_us,
+		    STALL_FIRST_MAX * route->objective_us);
+	r->wait_timer.fire = on_stalled;
 	evl_timer_set(r->fwd->conf.loop, &r->wait_timer, fwd_now(r) + wait_us);
 }
 
 void
 fwd_note_progress(struct fwd_req *r)
 {
-	expect_word(r);
+	arm_stall_timer(r);
 }
 
 static void
@@ -369,7 +374,7 @@
 	hbuf_free(&r->answer);
 }
 
-/* First sends and repeats apart: a limit binds both. */
+/* Counts first attempts and retries separately: a rate limit applies to both. */
 static void
 count_limited(struct fwd_req *r)
 {
@@ -395,7 +400,7 @@
 	r->flow.tries++;
 	count_limited(r);
 	tgt_sent(target, r->sent_us);
-	/* The next request finds its permit there. */
+	/* Ask now, so that the next request finds a permit. */
 	tgt_ask_permit(r->fwd->conf.targets, target, r->sent_us);
 	tgt_reading(target, r->prompt, true);
 	r->reading = true;
@@ -410,6 +415,6 @@
 		.ops = &call_ops,
 		.ctx = r });
 	g_string_free(head, TRUE);
-	expect_word(r);
-	expect_begin(r);
+	arm_stall_timer(r);
+	arm_begin_timer(r);
 }
--- a/lib/serve/fwd_head.c
+++ b/lib/serve/fwd_head.c
@@ -1,33 +1,33 @@
-/* Heads: of requests to targets, of answers to callers. */
+/* Message heads: of requests to targets and of answers to callers. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
-/* Headers that concern one connection only, or that are made anew. */
-static const char *const own_headers[] = { "Connection", "Keep-Alive",
+/* Headers that apply to one connection only, or that are generated here. */
+static const char *const hop_headers[] = { "Connection", "Keep-Alive",
 	"Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect" };
 
-/* Fields of a request that are set here whatever the caller sent. */
-static const enum sv_field own_fields[] = { SV_F_DEADLINE_MS, SV_F_WORKSPACE,
-	SV_F_KEY, SV_F_EXPECT_INSTANCE, SV_F_EXPECT_VERSION, SV_F_URGENCY,
-	SV_F_LAST_EVENT };
+/* Request headers that are set here, whatever the caller sent. */
+static const enum sv_field gateway_fields[] = { SV_F_DEADLINE_MS,
+	SV_F_WORKSPACE, SV_F_KEY, SV_F_EXPECT_INSTANCE, SV_F_EXPECT_VERSION,
+	SV_F_URGENCY, SV_F_LAST_EVENT };
 
 #define URGENCY_MAX 9
 
 static bool
-is_own_header(const struct hmsg *m, struct hslice name)
+is_hop_header(const struct hmsg *m, struct hslice name)
 {
 	const struct hheader *connection = hmsg_find(m, "Connection");
 	char token[64];
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(own_headers); i++) {
-		if (hslice_is(name, own_headers[i]))
+	for (i = 0; i < G_N_ELEMENTS(hop_headers); i++) {
+		if (hslice_is(name, hop_headers[i]))
 			return true;
 	}
-	/* The sender may list more that are for this connection only. */
+	/* The sender may list further connection-specific headers. */
 	if (connection == NULL || name.n >= sizeof(token))
 		return false;
 	memcpy(token, name.p, name.n);
@@ -36,12 +36,12 @@
 }
 
 static bool
-is_own_field(const struct sv_dialect *d, struct hslice name)
+is_gateway_field(const struct sv_dialect *d, struct hslice name)
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(own_fields); i++) {
-		if (hslice_is(name, d->header[own_fields[i]]))
+	for (i = 0; i < G_N_ELEMENTS(gateway_fields); i++) {
+		if (hslice_is(name, d->header[gateway_fields[i]]))
 			return true;
 	}
 	return false;
@@ -73,7 +73,7 @@
 }
 
 static void
-append_own_fields(GString *out, struct fwd_req *r, struct tgt *target)
+append_gateway_fields(GString *out, struct fwd_req *r, struct tgt *target)
 {
 	const struct sv_dialect *d = r->fwd->conf.dialect;
 	int64_t left_ms = (r->deadline_us - fwd_now(r)) / 1000;
@@ -83,8 +83,8 @@
 	    out, d, SV_F_DEADLINE_MS, "%" G_GINT64_FORMAT, MAX(1, left_ms));
 	if (r->workspace != NULL)
 		append_field(out, d, SV_F_WORKSPACE, "%s", r->workspace->name);
-	/* The address may have passed on to another target: that one then
-	 * refuses instead of running the request. */
+	/* The address may meanwhile belong to another target, which then
+	 * refuses the request instead of running it. */
 	append_field(out, d, SV_F_EXPECT_INSTANCE, "%s", target->says.id);
 	if (r->model == NULL)
 		return;
@@ -124,11 +124,11 @@
 	g_string_append(out, " HTTP/1.1\r\n");
 	for (i = 0; i < m->nheaders; i++) {
 		h = &m->headers[i];
-		if (!is_own_header(m, h->name) &&
-		    !is_own_field(r->fwd->conf.dialect, h->name))
+		if (!is_hop_header(m, h->name) &&
+		    !is_gateway_field(r->fwd->conf.dialect, h->name))
 			append_header(out, h);
 	}
-	append_own_fields(out, r, target);
+	append_gateway_fields(out, r, target);
 	append_last_event(out, r, m);
 	if (had_body || len > 0 || hmsg_find(m, "Content-Length") != NULL)
 		g_string_append_printf(out, "Content-Length: %zu\r\n", len);
@@ -142,7 +142,7 @@
 	size_t i;
 
 	for (i = 0; i < m->nheaders; i++) {
-		if (!is_own_header(m, m->headers[i].name))
+		if (!is_hop_header(m, m->headers[i].name))
 			append_header(out, &m->headers[i]);
 	}
 }
