--- a/lib/serve/fwd.h
+++ b/lib/serve/fwd.h
@@ -26,8 +26,8 @@
 	struct spend_conf budget;
 	struct ctr_set *counters;
 	uint64_t seed;
-	/* Publishes terminations to the other gateways. NULL: there is nobody to
-	 * notify. */
+	/* Publishes terminations to the other gateways. NULL: there is nobody
+	 * to notify. */
 	void (*publish_terminations)(
 	    const struct sus_termination *ends, size_t n, void *ctx);
 	void *publish_ctx;
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -374,7 +374,7 @@
 	hbuf_free(&r->answer);
 }
 
-/* Counts first attempts and retries separately: a rate limit applies to both. */
+/* Counts first attempts and retries apart: a rate limit applies to both. */
 static void
 count_limited(struct fwd_req *r)
 {
--- a/lib/serve/fwd_suspect.c
+++ b/lib/serve/fwd_suspect.c
@@ -1,28 +1,28 @@
-/* Requests under which targets ended, among those that are forwarded. */
+/* Forwarded requests under which targets terminated. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
-/* Within this a request that ends its target has done so. */
-#define CHANCE_US 1000000
+/* A request that terminates its target does so within this time. */
+#define PROBE_US 1000000
 
 static uint64_t
-hash_of(const struct tgt *t)
+target_hash(const struct tgt *t)
 {
 	return hash64(0, t->says.id, strlen(t->says.id));
 }
 
 static void
-tell(struct fwd *f, const struct sus_termination *ends, size_t n)
+publish(struct fwd *f, const struct sus_termination *ends, size_t n)
 {
 	if (n > 0 && f->conf.publish_terminations != NULL)
 		f->conf.publish_terminations(ends, n, f->conf.publish_ctx);
 }
 
-/* Another request of the same content was sent and has no answer yet. */
+/* Another request with the same fingerprint is in flight. */
 static bool
-has_copy_under_way(const struct fwd_req *r)
+has_copy_in_flight(const struct fwd_req *r)
 {
 	const struct fwd_req *other;
 
@@ -44,15 +44,16 @@
 	if (sus_judge(s, fwd_fingerprint(r), fwd_now(r), until_us) ==
 	    SUS_BLOCKED)
 		return true;
-	/* Another chance is for one copy at a time. */
-	*until_us = fwd_now(r) + CHANCE_US;
-	return sus_was_blocked(s, r->fingerprint) && has_copy_under_way(r);
+	/* Only one copy at a time is sent as a probe. */
+	*until_us = fwd_now(r) + PROBE_US;
+	return sus_was_blocked(s, r->fingerprint) && has_copy_in_flight(r);
 }
 
-/* A target that was to stop, announced or taken out of the store, or that loads
- * weights cuts what it still has: that says nothing against a request. */
+/* A target that shuts down (announced, or removed from the store) or that loads
+ * weights closes its connections itself. That is no evidence against a
+ * request. */
 static bool
-cuts_by_itself(const struct tgt *t)
+is_planned_cut(const struct tgt *t)
 {
 	return t->leaving || t->dropped || (t->side_down && !t->ended);
 }
@@ -61,45 +62,45 @@
 fwd_note_cut(struct fwd_req *r)
 {
 	struct fwd *f = r->fwd;
-	struct sus_termination end = {
+	struct sus_termination termination = {
 		.fingerprint = fwd_fingerprint(r),
-		.target = hash_of(r->target),
+		.target = target_hash(r->target),
 		.weight = r->has_begun ? SUS_ANSWERING : SUS_SILENT,
 		.at_us = fwd_now(r),
 	};
 
 	ctr_add(r->has_begun ? f->cut_answering : f->cut_silent, 1);
-	if (!cuts_by_itself(r->target) && sus_cut(f->suspects, &end))
-		tell(f, &end, 1);
+	if (!is_planned_cut(r->target) && sus_cut(f->suspects, &termination))
+		publish(f, &termination, 1);
 }
 
 void
 fwd_note_answered(struct fwd_req *r)
 {
-	struct sus_termination clear = { .weight = SUS_CLEARED };
+	struct sus_termination cleared = { .weight = SUS_CLEARED };
 
 	if (sus_is_empty(r->fwd->suspects))
 		return;
-	clear.fingerprint = fwd_fingerprint(r);
-	clear.at_us = fwd_now(r);
-	if (!sus_answered(r->fwd->suspects, clear.fingerprint))
+	cleared.fingerprint = fwd_fingerprint(r);
+	cleared.at_us = fwd_now(r);
+	if (!sus_answered(r->fwd->suspects, cleared.fingerprint))
 		return;
 	evt(EVT_SUSPECT, "content=%016" G_GINT64_MODIFIER "x outcome=cleared",
-	    clear.fingerprint);
-	tell(r->fwd, &clear, 1);
+	    cleared.fingerprint);
+	publish(r->fwd, &cleared, 1);
 }
 
 /* ------------------------------------------------------------------ */
-/* Taking back what is held                                            */
+/* Recalling blocked requests                                          */
 /* ------------------------------------------------------------------ */
 
 static bool
-has_content(struct fwd_req *r, uint64_t content)
+has_fingerprint(struct fwd_req *r, uint64_t fingerprint)
 {
-	return fwd_fingerprint(r) == content;
+	return fwd_fingerprint(r) == fingerprint;
 }
 
-/* Its answer may still come whole, and clear it. */
+/* The rest of its answer may still arrive, which clears it. */
 static bool
 is_answering(const struct fwd_req *r)
 {
@@ -107,7 +108,7 @@
 }
 
 static void
-withdraw(struct fwd_req *r, int64_t until_us)
+recall(struct fwd_req *r, int64_t until_us)
 {
 	ctr_add(r->fwd->recalled, 1);
 	if (r->flow.begun)
@@ -118,70 +119,73 @@
 		fwd_refuse_until(r, "held", until_us);
 }
 
-/* Copies of a held request that are under way may not have begun yet: taken
- * back in time they end no more targets. */
+/* Copies of a blocked request that are in flight may not have begun to run:
+ * recalled in time, they terminate no further targets. */
 static void
-withdraw_copies(struct fwd *f, uint64_t content)
+recall_copies(struct fwd *f, uint64_t fingerprint)
 {
 	int64_t now_us = evl_now_us(f->conf.loop), until_us;
 	struct fwd_req *r, *next;
 
-	if (sus_judge(f->suspects, content, now_us, &until_us) != SUS_BLOCKED)
+	if (sus_judge(f->suspects, fingerprint, now_us, &until_us) !=
+	    SUS_BLOCKED)
 		return;
 	for (r = TAILQ_FIRST(&f->open); r != NULL; r = next) {
 		next = TAILQ_NEXT(r, open);
-		if (has_content(r, content) && !is_answering(r))
-			withdraw(r, until_us);
+		if (has_fingerprint(r, fingerprint) && !is_answering(r))
+			recall(r, until_us);
 	}
 }
 
 static void
-note_held(struct fwd *f, uint64_t content, bool was_known)
+note_blocked(struct fwd *f, uint64_t fingerprint, bool was_known)
 {
 	int64_t now_us = evl_now_us(f->conf.loop), until_us = now_us;
 
-	if (was_known || !sus_was_blocked(f->suspects, content))
+	if (was_known || !sus_was_blocked(f->suspects, fingerprint))
 		return;
-	(void)sus_judge(f->suspects, content, now_us, &until_us);
+	(void)sus_judge(f->suspects, fingerprint, now_us, &until_us);
 	ctr_add(f->blocked, 1);
 	evt(EVT_SUSPECT,
 	    "content=%016" G_GINT64_MODIFIER
 	    "x outcome=held ms=%" G_GINT64_FORMAT,
-	    content, (until_us - now_us) / 1000);
+	    fingerprint, (until_us - now_us) / 1000);
 }
 
 /* ------------------------------------------------------------------ */
-/* Ends of targets                                                     */
+/* Terminations of targets                                             */
 /* ------------------------------------------------------------------ */
 
 void
 fwd_target_terminated(struct fwd *f, const struct tgt *t)
 {
-	GArray *news =
+	GArray *confirmed =
 	    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
-	const struct sus_termination *end;
+	const struct sus_termination *termination;
 	guint i;
 
 	sus_target_terminated(
-	    f->suspects, hash_of(t), evl_now_us(f->conf.loop), news);
-	tell(f, (const struct sus_termination *)(void *)news->data, news->len);
-	for (i = 0; i < news->len; i++) {
-		end = &g_array_index(news, struct sus_termination, i);
-		note_held(f, end->fingerprint, false);
-		withdraw_copies(f, end->fingerprint);
+	    f->suspects, target_hash(t), evl_now_us(f->conf.loop), confirmed);
+	publish(f, (const struct sus_termination *)(void *)confirmed->data,
+	    confirmed->len);
+	for (i = 0; i < confirmed->len; i++) {
+		termination =
+		    &g_array_index(confirmed, struct sus_termination, i);
+		note_blocked(f, termination->fingerprint, false);
+		recall_copies(f, termination->fingerprint);
 	}
-	g_array_unref(news);
+	g_array_unref(confirmed);
 }
 
 void
-fwd_report_termination(struct fwd *f, const struct sus_termination *end)
+fwd_report_termination(struct fwd *f, const struct sus_termination *termination)
 {
-	bool was_known = sus_was_blocked(f->suspects, end->fingerprint);
+	bool was_known = sus_was_blocked(f->suspects, termination->fingerprint);
 
-	if (!sus_report(f->suspects, end))
+	if (!sus_report(f->suspects, termination))
 		return;
-	note_held(f, end->fingerprint, was_known);
-	withdraw_copies(f, end->fingerprint);
+	note_blocked(f, termination->fingerprint, was_known);
+	recall_copies(f, termination->fingerprint);
 }
 
 void
--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -1,41 +1,42 @@
-/* Waiting for a place at a target. */
+/* Queueing requests for a slot at a target. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
 /*
- * Share of a request's objective that it may wait for a place. The rest is
- * what an engine takes to its first token (some 300 of 400 ms when it is
- * full): whoever waits longer is served late, and its place is better used by
- * one that is not.
+ * Share of a request's objective that it may spend in the queue. An engine
+ * needs the rest to produce its first token (some 300 of 400 ms when it is
+ * full): a request that waits longer is served late, and the slot is better
+ * used for one that can still be in time.
  */
-#define WAIT_SHARE 0.3
-#define WAIT_MIN_US 20000
-/* A stream that was cut midway waits longer for its next target: its caller
- * gives up after a pause of two seconds, and what it has had is lost then. */
-#define WAIT_RESUME_US 1500000
-/* A service of no known objective. */
-#define WAIT_DEFAULT_US 200000
-#define RATE_SPAN_US 2000000 /* of the moving average of ends a second */
-/* Weight of one request in the moving share of those that came back. */
-#define BACK_WEIGHT 0.02
-/* With more than this share, times left say nothing: these callers always
- * bring less than their routes allow. */
-#define BACK_SHARE_MAX 0.6
+#define QUEUE_SHARE 0.3
+#define QUEUE_MIN_US 20000
+/* A stream that was cut off midway waits longer for its next target: its caller
+ * gives up after a pause of two seconds, and then the part of the answer that
+ * it has received is wasted. */
+#define QUEUE_RESUME_US 1500000
+/* For routes without an objective. */
+#define QUEUE_DEFAULT_US 200000
+#define RATE_SPAN_US 2000000 /* time span of the average completion rate */
+/* Weight of one request in the moving average of the client retry share. */
+#define RETRY_WEIGHT 0.02
+/* Above this share the callers' deadlines do not indicate retries: these
+ * callers always set less time than their routes allow. */
+#define RETRY_SHARE_MAX 0.6
 /*
- * Part of a target's places that is kept from callers that came back. They are
- * late already, and each place that they take makes a new caller late: in an
- * overload that lasted, a quarter of the engines' work went into late answers,
- * and every second answer that could have been in time was not.
+ * Share of a target's slots that is reserved for new callers. Client retries
+ * are late already, and each slot that they take makes a new caller late: in a
+ * lasting overload a quarter of the engines' work went into late answers, and
+ * half of the answers that could have been in time were late.
  */
-#define BACK_SPARE_SHARE 0.3
-/* They are kept only while new callers lack them: so long after one found all
+#define RESERVED_SHARE 0.3
+/* Slots are reserved only for this long after a new caller found all of them
  * taken. Longer than the time between two callers at a gateway in a burst. */
-#define PRESSED_US 500000
+#define RESERVE_US 500000
 
 /* ------------------------------------------------------------------ */
-/* How fast places become free                                         */
+/* Rate at which slots become free                                     */
 /* ------------------------------------------------------------------ */
 
 void
@@ -72,7 +73,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Callers that come back                                              */
+/* Client retries                                                      */
 /* ------------------------------------------------------------------ */
 
 void
@@ -81,26 +82,27 @@
 	struct fwd_service *service = r->service;
 
 	service->retry_share +=
-	    ((r->is_client_retry ? 1 : 0) - service->retry_share) * BACK_WEIGHT;
-	if (service->retry_share > BACK_SHARE_MAX)
+	    ((r->is_client_retry ? 1 : 0) - service->retry_share) *
+	    RETRY_WEIGHT;
+	if (service->retry_share > RETRY_SHARE_MAX)
 		r->is_client_retry = false;
 }
 
 /* ------------------------------------------------------------------ */
-/* The waiting                                                         */
+/* Queue                                                               */
 /* ------------------------------------------------------------------ */
 
 static int64_t
 wait_limit_us(const struct fwd_req *r)
 {
 	if (r->route->objective_us <= 0)
-		return WAIT_DEFAULT_US;
-	return MAX(WAIT_MIN_US,
-	    (int64_t)((double)r->route->objective_us * WAIT_SHARE));
+		return QUEUE_DEFAULT_US;
+	return MAX(QUEUE_MIN_US,
+	    (int64_t)((double)r->route->objective_us * QUEUE_SHARE));
 }
 
 static void
-on_waited(struct evl_timer *timer)
+on_wait_timeout(struct evl_timer *timer)
 {
 	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, wait_timer);
 
@@ -123,7 +125,8 @@
 	r->fwd->waiting--;
 }
 
-/* Before those that are less urgent; a stream that has begun comes first. */
+/* Queue order: begun streams first, then by priority, new callers before client
+ * retries, oldest first. */
 static bool
 goes_before(const struct fwd_req *a, const struct fwd_req *b)
 {
@@ -155,33 +158,35 @@
 	r->fwd->waiting++;
 }
 
-/* Leaves the last places to new callers. */
+/* Whether it must leave the reserved slots to new callers. */
 static bool
-gives_way(const struct fwd_req *r)
+yields_to_new(const struct fwd_req *r)
 {
 	return r->is_client_retry && !r->flow.begun &&
 	    r->service->full_us != 0 &&
-	    fwd_now(r) - r->service->full_us < PRESSED_US;
+	    fwd_now(r) - r->service->full_us < RESERVE_US;
 }
 
 /*
- * A target may take a request in and begin it later, on weights that have
- * become too old meanwhile. So requests go only to targets with a new version
- * some time before it is due. One that can be withdrawn needs little: what a
- * target with a free place takes to begin, under 0.1 s, and the time in which
- * it is withdrawn. Any other needs what was seen in a queue: 1.1 s, and up to
- * 1.8 s at a target that has just come up. Where weights come late, the lesser
- * one keeps targets in service for 0.8 to 1.5 s more.
+ * A target may accept a request and begin it later, on weights that have become
+ * too old meanwhile. So some time before the deadline of a new version,
+ * requests go only to targets that have it. For a request that can be recalled
+ * this lead time is short: the time in which a target with a free slot begins
+ * it, under 0.1 s, and the time to recall it. For any other it is the longest
+ * time observed in a target's queue: 1.1 s, and up to 1.8 s at a target that
+ * has just started. Where weights arrive late, the shorter lead time keeps
+ * targets in service for 0.8 to 1.5 s longer.
  */
-#define LEAD_WITHDRAWN_US 300000
+#define LEAD_RECALL_US 300000
 #define LEAD_QUEUE_US 1100000
-#define LEAD_FAR_US 320000 /* beyond it, in another region: a longer way */
-#define LEAD_HERD_US 700000 /* beyond it, for a target just up */
+#define LEAD_REMOTE_US 320000 /* in addition, to another region */
+#define LEAD_FRESH_US 700000 /* in addition, for a target just started */
 /*
- * Over a slow link, filled by weights, a request takes a second and more to its
- * target, and so does the closing of the connection that is to take it back: it
- * was begun on weights that had been withdrawn half a second before. It must
- * have arrived by when it is taken back, and be taken back by when it is due.
+ * Over a slow link, filled by transfers of weights, a request takes a second or
+ * more to reach its target, and so does the close of the connection that
+ * recalls it. A request was begun that way on weights that had been withdrawn
+ * half a second before. The request must arrive before it is recalled, and the
+ * recall must arrive before the deadline of the new version.
  */
 #define LEAD_SLOW_US 1800000
 
@@ -196,23 +201,23 @@
 choose(struct fwd_req *r, enum tgt_why *why)
 {
 	struct fwd *f = r->fwd;
-	bool queues = !fwd_may_recall(r);
+	bool may_queue = !fwd_may_recall(r);
 	int64_t begin_us =
-	    fwd_now(r) + (queues ? LEAD_QUEUE_US : LEAD_WITHDRAWN_US);
-	int64_t fresh_us = begin_us + (queues ? LEAD_HERD_US : 0);
+	    fwd_now(r) + (may_queue ? LEAD_QUEUE_US : LEAD_RECALL_US);
+	int64_t fresh_us = begin_us + (may_queue ? LEAD_FRESH_US : 0);
 	struct tgt_wish wish = {
 		.model = r->model,
 		.version = vers_least(f->conf.versions, r->model, begin_us),
 		.version_fresh =
 		    vers_least(f->conf.versions, r->model, fresh_us),
 		.version_far = vers_least(
-		    f->conf.versions, r->model, begin_us + LEAD_FAR_US),
+		    f->conf.versions, r->model, begin_us + LEAD_REMOTE_US),
 		.version_slow = vers_least(
 		    f->conf.versions, r->model, fwd_now(r) + LEAD_SLOW_US),
 		.not = r->tried,
 		.nnot = r->ntried,
 		.repeatable = r->flow.repeatable,
-		.spare_share = gives_way(r) ? BACK_SPARE_SHARE : 0,
+		.spare_share = yields_to_new(r) ? RESERVED_SHARE : 0,
 		.random = rng_next(&f->rng),
 	};
 
@@ -221,8 +226,8 @@
 	    f->conf.targets, r->service->targets, &wish, fwd_now(r), why);
 }
 
-/* Whether waiting has a chance: places free fast enough for its turn. Whoever
- * came back would be late all the same, and stand before new callers. */
+/* Whether slots become free fast enough for the request to get one in time. A
+ * client retry would be late in any case, and delay new callers. */
 static bool
 worth_waiting(const struct fwd_req *r)
 {
@@ -254,76 +259,77 @@
 	enqueue(r);
 	until_us = fwd_now(r) + wait_limit_us(r);
 	if (r->flow.begun)
-		until_us = fwd_now(r) + WAIT_RESUME_US;
+		until_us = fwd_now(r) + QUEUE_RESUME_US;
 	else if (!r->flow.may_have_run)
 		until_us = r->started_us + wait_limit_us(r);
-	r->wait_timer.fire = on_waited;
+	r->wait_timer.fire = on_wait_timeout;
 	evl_timer_set(r->fwd->conf.loop, &r->wait_timer, until_us);
 }
 
 /*
- * What was found to have no place. While all targets are full, each word about a
- * load would have all of them looked through for each request that waits: with
- * 20 waiting beside 200 targets that speak 600 times a second, 2.4 million looks
- * a second, more than a thin host's share of a core. One look tells for all of
- * a kind.
+ * A kind of request for which a scan found no slot. While all targets are full,
+ * each load report would otherwise cause a scan over all of them for each
+ * queued request: 20 requests and 200 targets that send 600 reports per second
+ * make 2.4 million checks per second, more than the share of a core on a small
+ * host. One scan holds for all requests of a kind.
  */
-struct full {
-	const char *model; /* NULL: no model is asked for */
-	bool may_withdraw, repeatable;
+struct full_kind {
+	const char *model; /* NULL: no model is requested */
+	bool may_recall, repeatable;
 	bool is_set;
 };
 
-#define FULL_KINDS 8 /* more are looked for each time */
+#define FULL_KINDS 8 /* further kinds are scanned for each time */
 
-/* Another request of the same kind has no place, either: it can only be more
- * particular, by targets that it was sent to and places left to others. */
+/* A recorded kind is the least restricted of its kind: any other request of it
+ * can only have fewer candidates, because of targets that it was sent to before
+ * or slots that are reserved for new callers. */
 static bool
-is_known_full(const struct full *full, const struct fwd_req *r)
+is_known_full(const struct full_kind *kinds, const struct fwd_req *r)
 {
 	unsigned int i;
 
-	for (i = 0; i < FULL_KINDS && full[i].is_set; i++) {
-		if (full[i].may_withdraw == fwd_may_recall(r) &&
-		    full[i].repeatable == r->flow.repeatable &&
-		    g_strcmp0(full[i].model, r->model) == 0)
+	for (i = 0; i < FULL_KINDS && kinds[i].is_set; i++) {
+		if (kinds[i].may_recall == fwd_may_recall(r) &&
+		    kinds[i].repeatable == r->flow.repeatable &&
+		    g_strcmp0(kinds[i].model, r->model) == 0)
 			return true;
 	}
 	return false;
 }
 
 static void
-note_full(struct full *full, const struct fwd_req *r)
+note_full(struct full_kind *kinds, const struct fwd_req *r)
 {
 	unsigned int i = 0;
 
-	if (r->ntried > 0 || gives_way(r))
+	if (r->ntried > 0 || yields_to_new(r))
 		return;
-	while (i < FULL_KINDS && full[i].is_set)
+	while (i < FULL_KINDS && kinds[i].is_set)
 		i++;
 	if (i < FULL_KINDS)
-		full[i] = (struct full){ .model = r->model,
-			.may_withdraw = fwd_may_recall(r),
+		kinds[i] = (struct full_kind){ .model = r->model,
+			.may_recall = fwd_may_recall(r),
 			.repeatable = r->flow.repeatable,
 			.is_set = true };
 }
 
-/* Gives free places to those that wait, most urgent first. */
+/* Assigns free slots to queued requests, most urgent first. */
 static void
 pump_service(struct fwd_service *service)
 {
-	struct full full[FULL_KINDS] = { 0 };
+	struct full_kind kinds[FULL_KINDS] = { 0 };
 	struct fwd_req *r, *next;
 	struct tgt *target;
 	enum tgt_why why;
 
 	for (r = TAILQ_FIRST(&service->waiting); r != NULL; r = next) {
 		next = TAILQ_NEXT(r, link);
-		if (is_known_full(full, r))
+		if (is_known_full(kinds, r))
 			continue;
 		target = choose(r, &why);
 		if (target == NULL) {
-			note_full(full, r);
+			note_full(kinds, r);
 			continue;
 		}
 		fwd_dequeue(r);
