--- a/lib/serve/fingerprint.c
+++ b/lib/serve/fingerprint.c
@@ -1,10 +1,10 @@
-/* Fingerprints of requests. */
+/* Request fingerprints. */
 
 #include <string.h>
 
 #include "serve/fingerprint.h"
 
-/* With its length before it: parts cannot run into one another. */
+/* Prefixes each part with its length, which separates it from the next one. */
 static void
 add_part(struct digest_stream *s, const void *data, size_t len)
 {
--- a/lib/serve/hist.c
+++ b/lib/serve/hist.c
@@ -1,9 +1,9 @@
-/* A latency histogram. */
+/* Latency histogram. */
 
 #include "serve/hist.h"
 
-/* Around the objectives in use: 67 ms between tokens, 300 and 400 ms, 1.5 s
- * to the first token, 6 s in all. */
+/* Bucket bounds around the objectives in use: 67 ms between tokens; 300 ms,
+ * 400 ms and 1.5 s to the first token; 6 s in total. */
 static const int64_t bounds_us[HIST_BOUNDS] = { 1000, 2500, 5000, 10000, 25000,
 	50000, 100000, 200000, 300000, 400000, 700000, 1500000, 3000000,
 	6000000 };
--- a/lib/serve/rtab.c
+++ b/lib/serve/rtab.c
@@ -1,4 +1,4 @@
-/* Routes by host and prefix, workspaces by key. */
+/* Index of routes by host and prefix, and of workspaces by key. */
 
 #include <string.h>
 
@@ -9,7 +9,7 @@
 struct rtab {
 	unsigned int refs;
 	struct sv_config *config;
-	GHashTable *by_host; /* host -> GPtrArray of routes, longest first */
+	GHashTable *by_host; /* host -> GPtrArray, longest prefix first */
 	GHashTable *by_key; /* key -> workspace */
 };
 
--- a/lib/serve/stop.c
+++ b/lib/serve/stop.c
@@ -1,15 +1,17 @@
-/* The course of a planned stop. */
+/* Phases of a graceful shutdown. */
 
 #include "serve/stop.h"
 
 /*
- * The balancer needs two questions, a second apart, to send nobody here any
- * more; until LISTEN_US connections are still taken. A request that came
- * later could not end within the grace, so from then on callers are turned
- * away unread, which lets them go elsewhere.
+ * The load balancer needs two health checks, one second apart, to stop sending
+ * callers here; until LISTEN_US connections are still accepted. A
+ * request that arrives later could not complete within the grace period, so
+ * from then on connections are rejected unread, which lets callers go
+ * elsewhere.
  */
 #define LISTEN_US 2600000
-/* So long before the end of the grace what still runs is broken off. */
+/* Requests still running this long before the end of the grace period are cut
+ * off. */
 #define MARGIN_US 400000
 
 enum stop_step
@@ -21,9 +23,9 @@
 		return STOP_SERVE;
 	if (since_us >= s->grace_us - MARGIN_US)
 		return STOP_EXIT;
-	/* A request that is answered may still be on its way out: ended with
-	 * the process, its last bytes would be lost, and the answer cut. Its
-	 * connection is there until the caller has it. */
+	/* The last bytes of a finished answer may not have been sent yet; they
+	 * would be lost if the process exited. The connection stays open until
+	 * the caller has received them. */
 	if (s->active > 0 || s->connections > 0)
 		return STOP_REJECT;
 	return STOP_EXIT;
--- a/lib/serve/suspect.c
+++ b/lib/serve/suspect.c
@@ -1,57 +1,57 @@
-/* Requests under which targets ended. */
+/* Requests under which targets terminated. */
 
 #include <string.h>
 
 #include "common/common.h"
 #include "serve/suspect.h"
 
-#define ENTRIES_MAX 2048
-#define ENDS_KEPT 6 /* of one request; the oldest goes first */
-#define ENDED_KEPT 32 /* targets that ended lately */
+#define SUSPECTS_MAX 2048
+#define TERMINATIONS_MAX 6 /* per request; the oldest is dropped first */
+#define ENDED_TARGETS_MAX 32 /* recently terminated targets */
 
-#define HELD_AT 4 /* in weights: two targets without an answer */
-/* A cut counts so long while nobody knows whether its target ended. Its side
- * notices within 0.1 s. */
+#define BLOCK_WEIGHT 4 /* sum of weights: two targets without an answer */
+/* A cut-off counts this long while it is not known whether its target
+ * terminated. The target's sidecar detects that within 0.1 s. */
 #define PENDING_US 300000
-/* The end of a target is the cause of a cut if they lie so close together. */
+/* A cut-off within this time of its target's termination is due to it. */
 #define CONFIRM_US 1000000
-/* Words of several entries on one target this close tell of the same end; one
- * that starts again under its id takes longer. */
+/* Reports by several gateways on one target within this time are of the same
+ * termination; a target that restarts under its id takes longer. */
 #define SAME_END_US 2000000
-#define SUSPECT_US 60000000 /* one end says nothing after so long */
+#define SUSPECT_US 60000000 /* after which a single termination expires */
 
-/* Held for so long after the second, third, ... end. */
-static const int64_t hold_us[] = {
+/* Time blocked after the second, third, ... termination without an answer. */
+static const int64_t block_us[] = {
 	10 * G_USEC_PER_SEC,
 	300 * (int64_t)G_USEC_PER_SEC,
 	3600 * (int64_t)G_USEC_PER_SEC,
 	24 * 3600 * (int64_t)G_USEC_PER_SEC,
 };
 
-struct end {
+struct termination {
 	uint64_t target;
 	unsigned int weight;
 	int64_t at_us;
-	bool confirmed; /* the target is known to have ended */
+	bool confirmed; /* the target is known to have terminated */
 };
 
-struct entry {
-	uint64_t content; /* key */
-	struct end ends[ENDS_KEPT];
-	unsigned int nends;
-	int64_t last_us; /* latest end */
-	int64_t held_until_us; /* 0: not held */
+struct suspect {
+	uint64_t fingerprint; /* key */
+	struct termination terminations[TERMINATIONS_MAX];
+	unsigned int nterminations;
+	int64_t last_us; /* latest termination */
+	int64_t blocked_until_us; /* 0: never blocked */
 };
 
-struct ended {
+struct ended_target {
 	uint64_t target;
 	int64_t at_us;
 };
 
 struct sus {
 	uint64_t seed;
-	GHashTable *entries; /* content -> struct entry */
-	struct ended ended[ENDED_KEPT]; /* a ring */
+	GHashTable *suspects; /* fingerprint -> struct suspect */
+	struct ended_target ended_targets[ENDED_TARGETS_MAX]; /* ring buffer */
 	unsigned int next_ended;
 };
 
@@ -61,7 +61,7 @@
 	struct sus *s = g_new0(struct sus, 1);
 
 	s->seed = seed;
-	s->entries =
+	s->suspects =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	return s;
 }
@@ -71,158 +71,167 @@
 {
 	if (s == NULL)
 		return;
-	g_hash_table_unref(s->entries);
+	g_hash_table_unref(s->suspects);
 	g_free(s);
 }
 
 bool
 sus_is_empty(const struct sus *s)
 {
-	return g_hash_table_size(s->entries) == 0;
+	return g_hash_table_size(s->suspects) == 0;
 }
 
 /* ------------------------------------------------------------------ */
-/* What is said against a request                                      */
+/* Evidence against a request                                          */
 /* ------------------------------------------------------------------ */
 
 static unsigned int
-confirmed_weight(const struct entry *e)
+confirmed_weight(const struct suspect *sp)
 {
 	unsigned int weight = 0, i;
 
-	for (i = 0; i < e->nends; i++)
-		weight += e->ends[i].confirmed ? e->ends[i].weight : 0;
+	for (i = 0; i < sp->nterminations; i++)
+		weight += sp->terminations[i].confirmed
+		    ? sp->terminations[i].weight
+		    : 0;
 	return weight;
 }
 
 static unsigned int
-pending_weight(const struct entry *e, int64_t now_us)
+pending_weight(const struct suspect *sp, int64_t now_us)
 {
 	unsigned int weight = 0, i;
 
-	for (i = 0; i < e->nends; i++) {
-		if (!e->ends[i].confirmed &&
-		    now_us - e->ends[i].at_us < PENDING_US)
-			weight += e->ends[i].weight;
+	for (i = 0; i < sp->nterminations; i++) {
+		if (!sp->terminations[i].confirmed &&
+		    now_us - sp->terminations[i].at_us < PENDING_US)
+			weight += sp->terminations[i].weight;
 	}
 	return weight;
 }
 
-/* Entries give other chances at different moments: those that the request
- * reaches at once would otherwise all send it together. */
+/* Differs between gateways, so that they probe at different times: copies
+ * of the request that reach several gateways at once would otherwise all be
+ * sent. */
 static int64_t
-hold_span_us(const struct sus *s, const struct entry *e, unsigned int weight)
+block_span_us(
+    const struct sus *s, const struct suspect *sp, unsigned int weight)
 {
-	size_t step =
-	    MIN((weight - HELD_AT) / SUS_SILENT, G_N_ELEMENTS(hold_us) - 1);
-	uint64_t bits = hash64(s->seed, &e->content, sizeof(e->content));
-	double draw = (double)(bits >> 11) / (double)(UINT64_C(1) << 53);
+	size_t step = MIN(
+	    (weight - BLOCK_WEIGHT) / SUS_SILENT, G_N_ELEMENTS(block_us) - 1);
+	uint64_t bits =
+	    hash64(s->seed, &sp->fingerprint, sizeof(sp->fingerprint));
+	double fraction = (double)(bits >> 11) / (double)(UINT64_C(1) << 53);
 
-	return (int64_t)((double)hold_us[step] * (1 + draw));
+	return (int64_t)((double)block_us[step] * (1 + fraction));
 }
 
 static void
-hold_if_known(const struct sus *s, struct entry *e)
+block_if_confirmed(const struct sus *s, struct suspect *sp)
 {
-	unsigned int weight = confirmed_weight(e);
+	unsigned int weight = confirmed_weight(sp);
 
-	if (weight >= HELD_AT)
-		e->held_until_us = MAX(
-		    e->held_until_us, e->last_us + hold_span_us(s, e, weight));
+	if (weight >= BLOCK_WEIGHT)
+		sp->blocked_until_us = MAX(sp->blocked_until_us,
+		    sp->last_us + block_span_us(s, sp, weight));
 }
 
 /* ------------------------------------------------------------------ */
-/* Entries                                                             */
+/* Suspects                                                            */
 /* ------------------------------------------------------------------ */
 
-static struct entry *
-find(const struct sus *s, uint64_t content)
+static struct suspect *
+find(const struct sus *s, uint64_t fingerprint)
 {
-	return g_hash_table_lookup(s->entries, &content);
+	return g_hash_table_lookup(s->suspects, &fingerprint);
 }
 
 static bool
-is_less_suspect(const struct entry *a, const struct entry *b)
+is_less_suspect(const struct suspect *a, const struct suspect *b)
 {
-	bool a_held = a->held_until_us != 0, b_held = b->held_until_us != 0;
+	bool a_blocked = a->blocked_until_us != 0,
+	     b_blocked = b->blocked_until_us != 0;
 
-	return a_held != b_held ? b_held : a->last_us < b->last_us;
+	return a_blocked != b_blocked ? b_blocked : a->last_us < b->last_us;
 }
 
 static void
 make_room(struct sus *s)
 {
-	struct entry *e, *least = NULL;
+	struct suspect *sp, *least = NULL;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (g_hash_table_size(s->entries) < ENTRIES_MAX)
+	if (g_hash_table_size(s->suspects) < SUSPECTS_MAX)
 		return;
-	g_hash_table_iter_init(&iter, s->entries);
+	g_hash_table_iter_init(&iter, s->suspects);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		e = value;
-		if (least == NULL || is_less_suspect(e, least))
-			least = e;
+		sp = value;
+		if (least == NULL || is_less_suspect(sp, least))
+			least = sp;
 	}
-	g_hash_table_remove(s->entries, &least->content);
+	g_hash_table_remove(s->suspects, &least->fingerprint);
 }
 
-static struct entry *
-get(struct sus *s, uint64_t content)
+static struct suspect *
+get(struct sus *s, uint64_t fingerprint)
 {
-	struct entry *e = find(s, content);
+	struct suspect *sp = find(s, fingerprint);
 
-	if (e != NULL)
-		return e;
+	if (sp != NULL)
+		return sp;
 	make_room(s);
-	e = g_new0(struct entry, 1);
-	e->content = content;
-	g_hash_table_insert(s->entries, &e->content, e);
-	return e;
+	sp = g_new0(struct suspect, 1);
+	sp->fingerprint = fingerprint;
+	g_hash_table_insert(s->suspects, &sp->fingerprint, sp);
+	return sp;
 }
 
-static struct end *
-find_end(struct entry *e, const struct sus_termination *end)
+static struct termination *
+find_termination(struct suspect *sp, const struct sus_termination *termination)
 {
 	unsigned int i;
 
-	for (i = 0; i < e->nends; i++) {
-		if (e->ends[i].target == end->target &&
-		    ABS(e->ends[i].at_us - end->at_us) < SAME_END_US)
-			return &e->ends[i];
+	for (i = 0; i < sp->nterminations; i++) {
+		if (sp->terminations[i].target == termination->target &&
+		    ABS(sp->terminations[i].at_us - termination->at_us) <
+			SAME_END_US)
+			return &sp->terminations[i];
 	}
 	return NULL;
 }
 
 static void
-remove_end(struct entry *e, unsigned int i)
+remove_termination(struct suspect *sp, unsigned int i)
 {
-	e->nends--;
-	memmove(
-	    &e->ends[i], &e->ends[i + 1], (e->nends - i) * sizeof(e->ends[0]));
+	sp->nterminations--;
+	memmove(&sp->terminations[i], &sp->terminations[i + 1],
+	    (sp->nterminations - i) * sizeof(sp->terminations[0]));
 }
 
-/* True: it is new, or stands firmer than before. */
+/* Returns true if it is new, now confirmed, or of greater weight. */
 static bool
-add_end(struct sus *s, const struct sus_termination *end, bool confirmed)
+add_termination(
+    struct sus *s, const struct sus_termination *termination, bool confirmed)
 {
-	struct entry *e = get(s, end->fingerprint);
-	struct end *known = find_end(e, end);
-	bool is_news;
+	struct suspect *sp = get(s, termination->fingerprint);
+	struct termination *known = find_termination(sp, termination);
+	bool is_new;
 
 	if (known == NULL) {
-		if (e->nends == ENDS_KEPT)
-			remove_end(e, 0);
-		known = &e->ends[e->nends++];
-		*known =
-		    (struct end){ .target = end->target, .at_us = end->at_us };
+		if (sp->nterminations == TERMINATIONS_MAX)
+			remove_termination(sp, 0);
+		known = &sp->terminations[sp->nterminations++];
+		*known = (struct termination){ .target = termination->target,
+			.at_us = termination->at_us };
 	}
-	is_news = known->weight < end->weight || known->confirmed < confirmed;
-	known->weight = MAX(known->weight, end->weight);
+	is_new =
+	    known->weight < termination->weight || known->confirmed < confirmed;
+	known->weight = MAX(known->weight, termination->weight);
 	known->confirmed |= confirmed;
-	e->last_us = MAX(e->last_us, end->at_us);
-	hold_if_known(s, e);
-	return is_news;
+	sp->last_us = MAX(sp->last_us, termination->at_us);
+	block_if_confirmed(s, sp);
+	return is_new;
 }
 
 /* ------------------------------------------------------------------ */
@@ -230,80 +239,86 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-has_ended(const struct sus *s, uint64_t target, int64_t now_us)
+has_terminated(const struct sus *s, uint64_t target, int64_t now_us)
 {
 	unsigned int i;
 
-	for (i = 0; i < ENDED_KEPT; i++) {
-		if (s->ended[i].target == target && s->ended[i].at_us != 0 &&
-		    now_us - s->ended[i].at_us < CONFIRM_US)
+	for (i = 0; i < ENDED_TARGETS_MAX; i++) {
+		if (s->ended_targets[i].target == target &&
+		    s->ended_targets[i].at_us != 0 &&
+		    now_us - s->ended_targets[i].at_us < CONFIRM_US)
 			return true;
 	}
 	return false;
 }
 
 bool
-sus_cut(struct sus *s, const struct sus_termination *end)
+sus_cut(struct sus *s, const struct sus_termination *termination)
 {
-	bool confirmed = has_ended(s, end->target, end->at_us);
+	bool confirmed =
+	    has_terminated(s, termination->target, termination->at_us);
 
-	return add_end(s, end, confirmed) && confirmed;
+	return add_termination(s, termination, confirmed) && confirmed;
 }
 
 static void
-confirm(struct sus *s, struct entry *e, uint64_t target, int64_t now_us,
-    GArray *news)
+confirm(struct sus *s, struct suspect *sp, uint64_t target, int64_t now_us,
+    GArray *confirmed)
 {
-	struct sus_termination end;
+	struct sus_termination termination;
 	unsigned int i;
 
-	for (i = 0; i < e->nends; i++) {
-		if (e->ends[i].target != target || e->ends[i].confirmed ||
-		    now_us - e->ends[i].at_us > CONFIRM_US)
+	for (i = 0; i < sp->nterminations; i++) {
+		if (sp->terminations[i].target != target ||
+		    sp->terminations[i].confirmed ||
+		    now_us - sp->terminations[i].at_us > CONFIRM_US)
 			continue;
-		e->ends[i].confirmed = true;
-		end = (struct sus_termination){ .fingerprint = e->content,
-			.target = target,
-			.weight = e->ends[i].weight,
-			.at_us = e->ends[i].at_us };
-		g_array_append_val(news, end);
+		sp->terminations[i].confirmed = true;
+		termination =
+		    (struct sus_termination){ .fingerprint = sp->fingerprint,
+			    .target = target,
+			    .weight = sp->terminations[i].weight,
+			    .at_us = sp->terminations[i].at_us };
+		g_array_append_val(confirmed, termination);
 	}
-	hold_if_known(s, e);
+	block_if_confirmed(s, sp);
 }
 
 void
 sus_target_terminated(
-    struct sus *s, uint64_t target, int64_t now_us, GArray *news)
+    struct sus *s, uint64_t target, int64_t now_us, GArray *confirmed)
 {
 	GHashTableIter iter;
-	gpointer entry;
-
-	s->ended[s->next_ended] = (struct ended){ target, now_us };
-	s->next_ended = (s->next_ended + 1) % ENDED_KEPT;
-	g_hash_table_iter_init(&iter, s->entries);
-	while (g_hash_table_iter_next(&iter, NULL, &entry))
-		confirm(s, entry, target, now_us, news);
+	gpointer suspect;
+
+	s->ended_targets[s->next_ended] =
+	    (struct ended_target){ target, now_us };
+	s->next_ended = (s->next_ended + 1) % ENDED_TARGETS_MAX;
+	g_hash_table_iter_init(&iter, s->suspects);
+	while (g_hash_table_iter_next(&iter, NULL, &suspect))
+		confirm(s, suspect, target, now_us, confirmed);
 }
 
 bool
-sus_report(struct sus *s, const struct sus_termination *end)
+sus_report(struct sus *s, const struct sus_termination *termination)
 {
-	if (end->weight == SUS_CLEARED)
-		return g_hash_table_remove(s->entries, &end->fingerprint);
-	return add_end(s, end, true);
+	if (termination->weight == SUS_CLEARED)
+		return g_hash_table_remove(
+		    s->suspects, &termination->fingerprint);
+	return add_termination(s, termination, true);
 }
 
 bool
-sus_answered(struct sus *s, uint64_t content)
+sus_answered(struct sus *s, uint64_t fingerprint)
 {
-	struct entry *e = find(s, content);
-	bool was_told;
+	struct suspect *sp = find(s, fingerprint);
+	bool was_published;
 
-	if (e == NULL)
+	if (sp == NULL)
 		return false;
-	was_told = confirmed_weight(e) > 0;
-	g_hash_table_remove(s->entries, &content);
-	return was_told;
+	was_published = confirmed_weight(sp) > 0;
+	g_hash_table_remove(s->suspects, &fingerprint);
+	return was_published;
 }
 
 /* ------------------------------------------------------------------ */
@@ -311,19 +326,20 @@
 /* ------------------------------------------------------------------ */
 
 enum sus_verdict
-sus_judge(struct sus *s, uint64_t content, int64_t now_us, int64_t *until_us)
+sus_judge(
+    struct sus *s, uint64_t fingerprint, int64_t now_us, int64_t *until_us)
 {
-	const struct entry *e = find(s, content);
+	const struct suspect *sp = find(s, fingerprint);
 	unsigned int pending;
 
-	if (e == NULL)
+	if (sp == NULL)
 		return SUS_NONE;
-	if (e->held_until_us > now_us) {
-		*until_us = e->held_until_us;
+	if (sp->blocked_until_us > now_us) {
+		*until_us = sp->blocked_until_us;
 		return SUS_BLOCKED;
 	}
-	pending = pending_weight(e, now_us);
-	if (pending > 0 && confirmed_weight(e) + pending >= HELD_AT) {
+	pending = pending_weight(sp, now_us);
+	if (pending > 0 && confirmed_weight(sp) + pending >= BLOCK_WEIGHT) {
 		*until_us = now_us + PENDING_US;
 		return SUS_BLOCKED;
 	}
@@ -331,36 +347,36 @@
 }
 
 bool
-sus_was_blocked(const struct sus *s, uint64_t content)
+sus_was_blocked(const struct sus *s, uint64_t fingerprint)
 {
-	const struct entry *e = find(s, content);
+	const struct suspect *sp = find(s, fingerprint);
 
-	return e != NULL && e->held_until_us != 0;
+	return sp != NULL && sp->blocked_until_us != 0;
 }
 
 static void
-append_ends(const struct entry *e, GArray *out)
+append_terminations(const struct suspect *sp, GArray *out)
 {
-	struct sus_termination end = { .fingerprint = e->content };
+	struct sus_termination termination = { .fingerprint = sp->fingerprint };
 	unsigned int i;
 
-	for (i = 0; i < e->nends; i++) {
-		if (!e->ends[i].confirmed)
+	for (i = 0; i < sp->nterminations; i++) {
+		if (!sp->terminations[i].confirmed)
 			continue;
-		end.target = e->ends[i].target;
-		end.weight = e->ends[i].weight;
-		end.at_us = e->ends[i].at_us;
-		g_array_append_val(out, end);
+		termination.target = sp->terminations[i].target;
+		termination.weight = sp->terminations[i].weight;
+		termination.at_us = sp->terminations[i].at_us;
+		g_array_append_val(out, termination);
 	}
 }
 
 void
-sus_terminations_of(const struct sus *s, uint64_t content, GArray *out)
+sus_terminations_of(const struct sus *s, uint64_t fingerprint, GArray *out)
 {
-	const struct entry *e = find(s, content);
+	const struct suspect *sp = find(s, fingerprint);
 
-	if (e != NULL)
-		append_ends(e, out);
+	if (sp != NULL)
+		append_terminations(sp, out);
 }
 
 void
@@ -369,10 +385,10 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, s->entries);
+	g_hash_table_iter_init(&iter, s->suspects);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		if (((const struct entry *)value)->held_until_us != 0)
-			append_ends(value, out);
+		if (((const struct suspect *)value)->blocked_until_us != 0)
+			append_terminations(value, out);
 	}
 }
 
@@ -383,40 +399,40 @@
 	gpointer value;
 	unsigned int n = 0;
 
-	g_hash_table_iter_init(&iter, s->entries);
+	g_hash_table_iter_init(&iter, s->suspects);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		n += ((const struct entry *)value)->held_until_us != 0;
+		n += ((const struct suspect *)value)->blocked_until_us != 0;
 	return n;
 }
 
 /* ------------------------------------------------------------------ */
-/* Forgetting                                                          */
+/* Expiry                                                              */
 /* ------------------------------------------------------------------ */
 
-/* Cuts whose target did not end. */
+/* Drops cut-offs whose target did not terminate. */
 static void
-drop_refuted(struct entry *e, int64_t now_us)
+drop_refuted(struct suspect *sp, int64_t now_us)
 {
 	unsigned int i = 0;
 
-	while (i < e->nends) {
-		if (!e->ends[i].confirmed &&
-		    now_us - e->ends[i].at_us > CONFIRM_US)
-			remove_end(e, i);
+	while (i < sp->nterminations) {
+		if (!sp->terminations[i].confirmed &&
+		    now_us - sp->terminations[i].at_us > CONFIRM_US)
+			remove_termination(sp, i);
 		else
 			i++;
 	}
 }
 
-/* What was held stays known for as long again as it was held: the next end
- * counts on top of those before. */
+/* A suspect that was blocked is retained for as long again as it was blocked,
+ * so that the next termination adds to the earlier ones. */
 static bool
-is_old(const struct entry *e, int64_t now_us)
+is_expired(const struct suspect *sp, int64_t now_us)
 {
-	int64_t keep_us = MAX(SUSPECT_US, e->held_until_us - e->last_us);
+	int64_t keep_us = MAX(SUSPECT_US, sp->blocked_until_us - sp->last_us);
 
-	return e->nends == 0 ||
-	    now_us - MAX(e->last_us, e->held_until_us) > keep_us;
+	return sp->nterminations == 0 ||
+	    now_us - MAX(sp->last_us, sp->blocked_until_us) > keep_us;
 }
 
 void
@@ -425,10 +441,10 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, s->entries);
+	g_hash_table_iter_init(&iter, s->suspects);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		drop_refuted(value, now_us);
-		if (is_old(value, now_us))
+		if (is_expired(value, now_us))
 			g_hash_table_iter_remove(&iter);
 	}
 }
--- a/lib/serve/suspect.h
+++ b/lib/serve/suspect.h
@@ -54,7 +54,7 @@
  */
 bool sus_cut(struct sus *s, const struct sus_termination *end);
 /* The target has terminated. Appends the terminations that this confirms to
- * `confirmed`, an array of struct sus_termination; the caller publishes them. */
+ * `confirmed` (of struct sus_termination); the caller publishes them. */
 void sus_target_terminated(
     struct sus *s, uint64_t target, int64_t now_us, GArray *confirmed);
 /* Adds a termination reported by another process. True: it was new. */
