--- a/tests/serve/world.h
+++ b/tests/serve/world.h
@@ -2,8 +2,8 @@
 #define TESTS_SERVE_WORLD_H
 
 /*
- * A forwarder with its callers' server, and targets whose answers the tests
- * write byte by byte. All in one loop.
+ * A forwarder with its server for callers, and targets whose answers the tests
+ * write byte by byte. All of them run in one event loop.
  */
 
 #include "../http/loop.h"
@@ -39,13 +39,13 @@
 	.key_scheme = "Bearer ",
 };
 
-/* A target: a raw listener; the test plays its part. */
+/* A target: a listening socket; the test writes its answers. */
 struct target {
 	unsigned int port;
 	char address[32];
 	char id[8];
 	int listener;
-	int fd; /* its last connection; -1: none */
+	int fd; /* last accepted connection; -1: none */
 };
 
 struct world {
@@ -89,23 +89,24 @@
 }
 
 static inline void
-target_say(struct target *t, bool leaving, int64_t version)
+target_announce(struct target *t, bool leaving, int64_t version)
 {
-	struct sv_target says = { .slots = 2,
+	struct sv_target record = { .slots = 2,
 		.leaving = leaving,
 		.has_models = version != 0,
 		.model_version = version };
 
-	g_strlcpy(says.id, t->id, sizeof(says.id));
-	g_strlcpy(says.service, SERVICE, sizeof(says.service));
-	g_strlcpy(says.address, t->address, sizeof(says.address));
-	g_strlcpy(says.domain, "d", sizeof(says.domain));
+	g_strlcpy(record.id, t->id, sizeof(record.id));
+	g_strlcpy(record.service, SERVICE, sizeof(record.service));
+	g_strlcpy(record.address, t->address, sizeof(record.address));
+	g_strlcpy(record.domain, "d", sizeof(record.domain));
 	if (version != 0)
-		g_strlcpy(says.model, MODEL, sizeof(says.model));
-	tgt_put(w.set, &says, now_us());
+		g_strlcpy(record.model, MODEL, sizeof(record.model));
+	tgt_put(w.set, &record, now_us());
 }
 
-/* The target that gets the next connection, with what it was sent. */
+/* Waits for the next connection to a target; returns the target and the head of
+ * the request. */
 static inline struct target *
 target_get(char **request_out)
 {
@@ -148,9 +149,9 @@
 	return false;
 }
 
-/* Whether the other end closed the target's connection. */
+/* Whether the forwarder closes the connection to the target. */
 static inline bool
-target_is_left(struct target *t)
+target_is_disconnected(struct target *t)
 {
 	char byte;
 	int i;
@@ -164,7 +165,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The world                                                           */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static inline struct sv_config *
@@ -251,7 +252,7 @@
 	w.ntargets = ntargets;
 	for (i = 0; i < ntargets; i++) {
 		target_open(&w.target[i], i);
-		target_say(&w.target[i], false, 0);
+		target_announce(&w.target[i], false, 0);
 	}
 }
 
@@ -276,9 +277,9 @@
 	evl_free(w.loop);
 }
 
-/* A caller's connection with one request on its way. */
+/* Opens a caller's connection and sends one request. */
 static inline int
-ask_with(const char *method, const char *path, const char *headers)
+send_request(const char *method, const char *path, const char *headers)
 {
 	int fd = raw_dial(w.address);
 	char *text = g_strdup_printf("%s %s HTTP/1.1\r\nHost: A.example:80\r\n"
@@ -293,9 +294,9 @@
 }
 
 static inline int
-ask(void)
+send_get(void)
 {
-	return ask_with("GET", "/x/1", "T-Deadline: 3000\r\n");
+	return send_request("GET", "/x/1", "T-Deadline: 3000\r\n");
 }
 
 static inline void
@@ -310,7 +311,7 @@
 }
 
 #define GOOD "HTTP/1.1 200 OK\r\nT-Id: q1\r\nT-Seal: s\r\n"
-#define WHOLE GOOD "Content-Length: 2\r\n\r\nok"
+#define ANSWER GOOD "Content-Length: 2\r\n\r\nok"
 #define STREAM GOOD "Transfer-Encoding: chunked\r\n\r\n"
 #define EVENT(n) "d\r\nid: " n "\ndata:\n\n\r\n"
 
