--- a/tests/serve/test_fingerprint.c
+++ b/tests/serve/test_fingerprint.c
@@ -16,7 +16,8 @@
 }
 
 static uint64_t
-of(const char *host, const char *target, const char *caller, const char *body)
+fingerprint_of(
+    const char *host, const char *target, const char *caller, const char *body)
 {
 	struct fpr_content c = content(host, target, caller, body);
 
@@ -26,26 +27,27 @@
 static void
 test_same_content_has_the_same_fingerprint(void **state)
 {
-	assert_true(of("h", "/x/1?q", "team", "body") ==
-	    of("h", "/x/1?q", "team", "body"));
-	assert_true(of("h", "/x/1", NULL, "") == of("h", "/x/1", "", ""));
+	assert_true(fingerprint_of("h", "/x/1?q", "team", "body") ==
+	    fingerprint_of("h", "/x/1?q", "team", "body"));
+	assert_true(fingerprint_of("h", "/x/1", NULL, "") ==
+	    fingerprint_of("h", "/x/1", "", ""));
 }
 
-/* Guards against a caller who is refused for another one's request. */
+/* Guards against refusing a caller because of another caller's request. */
 static void
-test_any_other_content_has_another(void **state)
+test_other_content_has_another_fingerprint(void **state)
 {
-	uint64_t one = of("h", "/x/1", "team", "body");
-
-	assert_true(one != of("g", "/x/1", "team", "body"));
-	assert_true(one != of("h", "/x/1?", "team", "body"));
-	assert_true(one != of("h", "/x/1", "meat", "body"));
-	assert_true(one != of("h", "/x/1", NULL, "body"));
-	assert_true(one != of("h", "/x/1", "team", "bodies"));
-	assert_true(one != of("h", "/x/1", "team", ""));
-	/* Parts do not run into one another. */
-	assert_true(
-	    of("h", "/x/1", "team", "body") != of("h", "/x/1b", "team", "ody"));
+	uint64_t one = fingerprint_of("h", "/x/1", "team", "body");
+
+	assert_true(one != fingerprint_of("g", "/x/1", "team", "body"));
+	assert_true(one != fingerprint_of("h", "/x/1?", "team", "body"));
+	assert_true(one != fingerprint_of("h", "/x/1", "meat", "body"));
+	assert_true(one != fingerprint_of("h", "/x/1", NULL, "body"));
+	assert_true(one != fingerprint_of("h", "/x/1", "team", "bodies"));
+	assert_true(one != fingerprint_of("h", "/x/1", "team", ""));
+	/* Bytes that move from one part to the next change it. */
+	assert_true(fingerprint_of("h", "/x/1", "team", "body") !=
+	    fingerprint_of("h", "/x/1b", "team", "ody"));
 }
 
 int
@@ -53,7 +55,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_same_content_has_the_same_fingerprint),
-		cmocka_unit_test(test_any_other_content_has_another),
+		cmocka_unit_test(test_other_content_has_another_fingerprint),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/serve/test_flow.c
+++ b/tests/serve/test_flow.c
@@ -1,4 +1,4 @@
-/* What follows an attempt, and when a refused caller is to come back. */
+/* Next steps after an attempt, and Retry-After of refused callers. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,39 +9,39 @@
 #include "serve/flow.h"
 
 /* ------------------------------------------------------------------ */
-/* Callers that are refused                                            */
+/* Refused callers                                                     */
 /* ------------------------------------------------------------------ */
 
 /*
- * For 1.5 s no engine may serve: the weights of all have become too old, or all
- * were started at once. Callers are refused all through it and come back once,
- * at the time that they are told. Hardly one finds nobody again, and they do
- * not come all in one moment.
+ * No engine can serve for 1.5 s: the weights of all are too old, or all were
+ * started at once. Callers that are refused in that time retry once, after
+ * their Retry-After. At most one in 20 may be refused again, and at most one in
+ * ten may retry within the same 100 ms.
  */
 static void
-test_refused_callers_return_after_the_gap(void **state)
+test_refused_callers_retry_after_the_gap(void **state)
 {
 	enum {
 		CALLERS = 1500
 	};
 	const double gap_s = 1.5;
-	unsigned int again = 0, i, in_100_ms[40] = { 0 }, most = 0;
+	unsigned int refused_again = 0, i, in_100_ms[40] = { 0 }, most = 0;
 	struct rng rng;
 
 	rng_seed(&rng, 1);
 	for (i = 0; i < CALLERS; i++) {
 		double at_s = gap_s * i / CALLERS;
-		double back_s = at_s +
+		double retry_s = at_s +
 		    flow_retry_after_s(0, (double)rng_below(&rng, 1000) / 1000);
 
-		again += back_s < gap_s;
-		in_100_ms[(unsigned int)(back_s * 10)]++;
+		refused_again += retry_s < gap_s;
+		in_100_ms[(unsigned int)(retry_s * 10)]++;
 	}
 	for (i = 0; i < G_N_ELEMENTS(in_100_ms); i++)
 		most = MAX(most, in_100_ms[i]);
-	assert_true(again <= CALLERS / 20);
+	assert_true(refused_again <= CALLERS / 20);
 	assert_true(most <= CALLERS / 10);
-	/* A caller waits for a third of its time, and that is some six seconds. */
+	/* A caller waits for a third of its time, which is some 6 s. */
 	assert_true(flow_retry_after_s(5, 0.5) <= 1.9);
 }
 
@@ -63,48 +63,52 @@
 }
 
 static void
-test_what_follows_an_attempt(void **state)
+test_next_step_after_attempt(void **state)
 {
 	struct flow_state s = { .attempts = 2, .has_time = true, .tries = 1 };
-	unsigned int asked = 0;
+	unsigned int charged = 0;
 
-	/* May run once, and certainly did not: on it goes. */
-	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_RETRY);
+	/* Not repeatable, but it certainly did not run: sent again. */
+	assert_int_equal(
+	    flow_next(&s, FLOW_REFUSED, yes, &charged), FLOW_RETRY);
 	assert_int_equal(flow_next(&s, FLOW_REFUSED, no, NULL), FLOW_REFUSE);
-	/* Nothing was sent: no arrival, so nothing is spent. */
-	asked = 0;
+	/* Nothing was sent, so the retry budget is not charged. */
+	charged = 0;
 	assert_int_equal(
-	    flow_next(&s, FLOW_UNREACHABLE, yes, &asked), FLOW_RETRY);
-	assert_int_equal(asked, 0);
-	/* It may have run: never again, and never "not run". */
+	    flow_next(&s, FLOW_UNREACHABLE, yes, &charged), FLOW_RETRY);
+	assert_int_equal(charged, 0);
+	/* It may have run: neither sent again nor answered with 503. */
 	s.may_have_run = true;
 	s.runs = 1;
-	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &asked), FLOW_FAIL);
-	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_FAIL);
-	assert_int_equal(flow_next(&s, FLOW_FAILURE, yes, &asked), FLOW_PASS);
-	/* May be repeated, within its attempts. */
+	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &charged), FLOW_FAIL);
+	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &charged), FLOW_FAIL);
+	assert_int_equal(flow_next(&s, FLOW_FAILURE, yes, &charged), FLOW_PASS);
+	/* Repeatable, within its attempts. */
 	s.repeatable = true;
-	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &asked), FLOW_RETRY);
+	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &charged), FLOW_RETRY);
 	s.begun = true;
-	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &asked), FLOW_RESUME);
+	assert_int_equal(flow_next(&s, FLOW_LOST, yes, &charged), FLOW_RESUME);
 	assert_int_equal(flow_next(&s, FLOW_LOST, no, NULL), FLOW_ABORT);
 	s.runs = 2;
-	assert_int_equal(flow_next(&s, FLOW_STALLED, yes, &asked), FLOW_ABORT);
-	/* No time left. */
+	assert_int_equal(
+	    flow_next(&s, FLOW_STALLED, yes, &charged), FLOW_ABORT);
+	/* No time for another attempt. */
 	s = (struct flow_state){ .repeatable = true, .attempts = 3 };
-	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_REFUSE);
-	/* Refusals do not go round for ever. */
+	assert_int_equal(
+	    flow_next(&s, FLOW_REFUSED, yes, &charged), FLOW_REFUSE);
+	/* The number of attempts after refusals is bounded. */
 	s.has_time = true;
 	s.tries = 3 + FLOW_REFUSALS_MAX;
-	assert_int_equal(flow_next(&s, FLOW_REFUSED, yes, &asked), FLOW_REFUSE);
+	assert_int_equal(
+	    flow_next(&s, FLOW_REFUSED, yes, &charged), FLOW_REFUSE);
 }
 
 int
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_refused_callers_return_after_the_gap),
-		cmocka_unit_test(test_what_follows_an_attempt),
+		cmocka_unit_test(test_refused_callers_retry_after_the_gap),
+		cmocka_unit_test(test_next_step_after_attempt),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/serve/test_hist.c
+++ b/tests/serve/test_hist.c
@@ -1,4 +1,4 @@
-/* The histogram of the metrics page. */
+/* The latency histogram of the metrics page. */
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/serve/test_relay.c
+++ b/tests/serve/test_relay.c
@@ -1,4 +1,4 @@
-/* Loads that come by another gateway: on the wire, and whether to believe. */
+/* Status reports relayed by another gateway: encoding and acceptance. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,18 +15,18 @@
 static struct tgt *
 one_target(struct tgt_set *set)
 {
-	struct sv_target says = { .id = "e1",
+	struct sv_target record = { .id = "e1",
 		.service = "engines",
 		.address = "10.0.0.1:8000",
 		.domain = "z2",
 		.slots = 8,
 		.has_models = true };
 
-	return tgt_put(set, &says, 0);
+	return tgt_put(set, &record, 0);
 }
 
 static struct side_relayed
-word(uint32_t seq, unsigned int total)
+report(uint32_t seq, unsigned int total)
 {
 	struct side_relayed w = { .seq = seq,
 		.total = total,
@@ -37,10 +37,10 @@
 }
 
 static void
-test_entries_on_the_wire(void **state)
+test_wire_format(void **state)
 {
 	GByteArray *entries = g_byte_array_new(), *wire = g_byte_array_new();
-	struct side_relayed in = word(UINT32_MAX, 12), out;
+	struct side_relayed in = report(UINT32_MAX, 12), out;
 	struct side_loads loads, read;
 	struct msg m = { 0 };
 	unsigned int i;
@@ -70,17 +70,18 @@
 }
 
 /*
- * A gateway stands still for seconds and then passes on what it had heard
- * before. Its word comes last and is the oldest: believed, it would show free
- * places that were taken long ago, and send a crowd there.
+ * A gateway is stalled for seconds and then relays a report that it received
+ * before. That report arrives last but is the oldest: if accepted, it would
+ * show free slots that were taken long ago, and many requests would be sent
+ * there.
  */
 static void
-test_late_word_is_not_believed(void **state)
+test_late_report_is_ignored(void **state)
 {
 	struct tgt_policy policy = { .entries = 35 };
 	struct tgt_set *set = tgt_set_new("r1", &policy);
 	struct tgt *t = one_target(set);
-	struct side_relayed late = word(10, 0), fresh = word(12, 8);
+	struct side_relayed late = report(10, 0), fresh = report(12, 8);
 
 	tgt_side_heard(t, 11, SECOND);
 	tgt_load(t, 7, SECOND);
@@ -91,11 +92,11 @@
 	assert_int_equal(t->side_us, 2 * SECOND);
 	assert_true(t->pace > 2.4 && t->pace < 2.6);
 	assert_true(t->slow_link);
-	assert_false(tgt_relayed(t, &fresh, 3 * SECOND)); /* the same again */
+	assert_false(tgt_relayed(t, &fresh, 3 * SECOND)); /* a duplicate */
 	tgt_set_free(set);
 }
 
-/* The sequence of a keeper that ran for long wraps around. */
+/* The sequence number of a sidecar that has run for long wraps around. */
 static void
 test_sequence_wraps(void **state)
 {
@@ -105,16 +106,17 @@
 }
 
 /*
- * A relayed word tells how full an engine is, not whether it takes requests.
- * One whose keeper was never heard itself may be loading: nothing follows.
+ * A relayed report says how full an engine is, not whether it accepts requests.
+ * An engine whose own sidecar has not reported yet may be loading weights, so
+ * relayed reports on it are ignored.
  */
 static void
-test_side_must_have_spoken_itself(void **state)
+test_sidecar_must_have_reported_itself(void **state)
 {
 	struct tgt_policy policy = { .entries = 35 };
 	struct tgt_set *set = tgt_set_new("r1", &policy);
 	struct tgt *t = one_target(set);
-	struct side_relayed w = word(5, 0);
+	struct side_relayed w = report(5, 0);
 
 	assert_false(tgt_relayed(t, &w, SECOND));
 	assert_int_equal(t->side_us, 0);
@@ -122,15 +124,15 @@
 	tgt_set_free(set);
 }
 
-/* A keeper that restarts counts from the beginning: its own word holds, and
- * what is relayed goes on from there. */
+/* A sidecar that restarts begins a new sequence: its own report resets the
+ * sequence number, and relayed reports are compared with that. */
 static void
-test_restarted_keeper(void **state)
+test_restarted_sidecar(void **state)
 {
 	struct tgt_policy policy = { .entries = 35 };
 	struct tgt_set *set = tgt_set_new("r1", &policy);
 	struct tgt *t = one_target(set);
-	struct side_relayed w = word(2, 4);
+	struct side_relayed w = report(2, 4);
 
 	tgt_side_heard(t, 5000, SECOND);
 	assert_false(tgt_relayed(t, &w, SECOND));
@@ -144,11 +146,11 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_entries_on_the_wire),
-		cmocka_unit_test(test_late_word_is_not_believed),
+		cmocka_unit_test(test_wire_format),
+		cmocka_unit_test(test_late_report_is_ignored),
 		cmocka_unit_test(test_sequence_wraps),
-		cmocka_unit_test(test_side_must_have_spoken_itself),
-		cmocka_unit_test(test_restarted_keeper),
+		cmocka_unit_test(test_sidecar_must_have_reported_itself),
+		cmocka_unit_test(test_restarted_sidecar),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/serve/test_rtab.c
+++ b/tests/serve/test_rtab.c
@@ -1,4 +1,4 @@
-/* Which route and service a request belongs to. */
+/* Matching requests to routes and services. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -39,12 +39,12 @@
 }
 
 /*
- * An engine's requests may be cut for a change of version only when every
- * route to its service carries streams that go on at another target: a caller
- * of any other kind would see a broken answer.
+ * The requests of an engine may be cut off for a change of version only if
+ * every route to its service carries streams that can be resumed at another
+ * target; any other caller would see a truncated answer.
  */
 static void
-test_which_services_may_be_cut(void **state)
+test_which_services_may_be_cut_off(void **state)
 {
 	struct sv_config *c = g_new0(struct sv_config, 1);
 
@@ -62,7 +62,7 @@
 		.nshares = 1 };
 	c->nroutes = 2;
 	assert_true(sv_config_may_cut(c, "b"));
-	assert_false(sv_config_may_cut(c, "a")); /* the second route's, too */
+	assert_false(sv_config_may_cut(c, "a")); /* in both routes */
 	c->routes[0].attempts = 1;
 	assert_false(sv_config_may_cut(c, "b"));
 	c->routes[0].attempts = 2;
@@ -100,7 +100,7 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_which_services_may_be_cut),
+		cmocka_unit_test(test_which_services_may_be_cut_off),
 		cmocka_unit_test(test_longest_prefix),
 	};
 
--- a/tests/serve/test_stop.c
+++ b/tests/serve/test_stop.c
@@ -1,4 +1,4 @@
-/* When a process that was asked to stop may end. */
+/* When a process may exit in a graceful shutdown. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,9 +11,9 @@
 #define SECOND 1000000
 
 /*
- * The last answer is made and its bytes wait to go out when the stop's first
- * part is over. The process must not end before its caller has them: the
- * answer would be cut in the middle.
+ * The last answer is finished, but not all of its bytes are sent, when the
+ * first phase of the shutdown ends. The process must not exit before the caller
+ * has received them; otherwise the answer is truncated.
  */
 static void
 test_stop_waits_for_the_last_bytes(void **state)
