--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -407,8 +407,8 @@
 	f->choices = ctr_get(set, "target_choices");
 	f->blocked = ctr_get(set, "contents_held");
 	f->recalled = ctr_get(set, "requests_withdrawn_held");
-	f->cut_silent = ctr_get(set, "requests_cut_before_answer");
-	f->cut_answering = ctr_get(set, "requests_cut_midway");
+	f->cut_before_answer = ctr_get(set, "requests_cut_before_answer");
+	f->cut_midway = ctr_get(set, "requests_cut_midway");
 	return f;
 }
 
--- a/lib/serve/fwd_answer.c
+++ b/lib/serve/fwd_answer.c
@@ -88,8 +88,8 @@
 		    r->target->says.id, r->target->says.address, limit, before);
 }
 
-/* Statuses by which callers understand that a request did not run. They may
- * be relayed only from a target that says so in its not-run header. */
+/* Statuses that tell callers that a request did not run. Only a target that
+ * sends the not-run header may state that; otherwise they are not relayed. */
 static bool
 implies_not_run(unsigned int status)
 {
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -44,9 +44,9 @@
 void
 fwd_prompt_read(struct fwd_req *r)
 {
-	if (!r->reading)
+	if (!r->prompt_pending)
 		return;
-	r->reading = false;
+	r->prompt_pending = false;
 	tgt_reading(r->target, r->prompt, false);
 	fwd_pump(r->fwd);
 }
@@ -242,11 +242,11 @@
 {
 	struct fwd *f = r->fwd;
 	struct tgt *target = tgt_ref(r->target);
-	bool ended =
+	bool terminated =
 	    target->side_us == 0 && fwd_now(r) - r->sent_us < REFUSED_US;
 
 	attempt_ended(r, FLOW_UNREACHABLE);
-	if (ended)
+	if (terminated)
 		fwd_target_terminated(f, target);
 	tgt_unref(target);
 }
@@ -285,7 +285,7 @@
 	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, wait_timer);
 
 	/* Connections usually stall many at a time, and each idle one that
-	 * stays in the pool would delay another request. */
+	 * stays in the pool would cost another request a stall timeout. */
 	if (r->call != NULL && hcall_kept(r->call))
 		hpool_forget_idle(r->fwd->conf.pool);
 	cancel_call(r);
@@ -297,7 +297,7 @@
 {
 	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, begin_timer);
 
-	/* The head of the answer has arrived: the target has begun. */
+	/* The head of the answer has arrived, so the target has begun. */
 	if (r->call == NULL || r->status != 0)
 		return;
 	cancel_call(r);
@@ -403,7 +403,7 @@
 	/* Ask now, so that the next request finds a permit. */
 	tgt_ask_permit(r->fwd->conf.targets, target, r->sent_us);
 	tgt_reading(target, r->prompt, true);
-	r->reading = true;
+	r->prompt_pending = true;
 	body = hreq_body(r->caller, &len);
 	r->call = hcall_start(r->fwd->conf.pool,
 	    &(struct hcall_conf){ .address = target->says.address,
--- a/lib/serve/fwd_internal.h
+++ b/lib/serve/fwd_internal.h
@@ -8,7 +8,7 @@
 #include "serve/hist.h"
 
 #define FWD_TRIED_MAX 8
-#define FWD_ID_MAX 64 /* bytes of a request id in log lines */
+#define FWD_ID_MAX 64 /* buffer for a request id, as in log lines */
 
 struct fwd_service;
 
@@ -32,7 +32,7 @@
 	char id[FWD_ID_MAX];
 	char *model; /* NULL: none requested */
 	uint64_t prompt; /* tokens; 0: unknown */
-	bool reading; /* prompt counted as not yet processed by the target */
+	bool prompt_pending; /* counted as not yet read by the target */
 	int64_t started_us; /* first byte received */
 	int64_t deadline_us; /* for the complete answer */
 	bool is_client_retry; /* inferred from the caller's deadline header */
@@ -72,8 +72,8 @@
 	unsigned int nwaiting;
 	/* Completed requests per second, moving average: the rate at which
 	 * slots become free. */
-	double rate;
-	int64_t rate_us;
+	double completion_rate;
+	int64_t rate_updated_us;
 	unsigned int completed;
 	/* Time from sending to the first event, moving average. */
 	int64_t first_event_us;
@@ -94,7 +94,7 @@
 	    *unexpected;
 	struct ctr *limited, *limited_again; /* sent to rate-limited targets */
 	/* Cut off by their targets before and after the first event. */
-	struct ctr *cut_silent, *cut_answering;
+	struct ctr *cut_before_answer, *cut_midway;
 	struct ctr *blocked, *recalled;
 	struct ctr *choices; /* scans over all targets of a service */
 	struct hist wait, first_event, gap, total;
@@ -115,8 +115,8 @@
     const char *why);
 
 /* fwd_wait.c: queueing for a slot */
-/* Updates the share of client retries; clears is_client_retry where the
- * remaining time does not indicate one. */
+/* Updates the service's share of client retries; clears is_client_retry where
+ * that share is so high that the remaining time does not indicate one. */
 void fwd_note_client_retry(struct fwd_req *r);
 void fwd_dispatch(struct fwd_req *r); /* sends, queues or refuses it */
 void fwd_dequeue(struct fwd_req *r);
--- a/lib/serve/fwd_suspect.c
+++ b/lib/serve/fwd_suspect.c
@@ -69,7 +69,7 @@
 		.at_us = fwd_now(r),
 	};
 
-	ctr_add(r->has_begun ? f->cut_answering : f->cut_silent, 1);
+	ctr_add(r->has_begun ? f->cut_midway : f->cut_before_answer, 1);
 	if (!is_planned_cut(r->target) && sus_cut(f->suspects, &termination))
 		publish(f, &termination, 1);
 }
--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -42,7 +42,7 @@
 void
 fwd_count_completion(struct fwd_service *service, int64_t now_us)
 {
-	int64_t span_us = now_us - service->rate_us;
+	int64_t span_us = now_us - service->rate_updated_us;
 	double rate, weight;
 
 	service->completed++;
@@ -50,17 +50,17 @@
 		return;
 	rate = (double)service->completed * G_USEC_PER_SEC / (double)span_us;
 	weight = MIN(1, (double)span_us / RATE_SPAN_US);
-	service->rate += (rate - service->rate) * weight;
-	service->rate_us = now_us;
+	service->completion_rate += (rate - service->completion_rate) * weight;
+	service->rate_updated_us = now_us;
 	service->completed = 0;
 }
 
 static double
 expected_wait_s(const struct fwd_service *service, unsigned int ahead)
 {
-	if (service->rate <= 0)
+	if (service->completion_rate <= 0)
 		return 0;
-	return (ahead + 1) / service->rate;
+	return (ahead + 1) / service->completion_rate;
 }
 
 double
--- a/lib/serve/stop.c
+++ b/lib/serve/stop.c
@@ -4,10 +4,10 @@
 
 /*
  * The load balancer needs two health checks, one second apart, to stop sending
- * callers here; until LISTEN_US connections are still accepted. A
- * request that arrives later could not complete within the grace period, so
- * from then on connections are rejected unread, which lets callers go
- * elsewhere.
+ * callers here; new connections are accepted until LISTEN_US after the request
+ * to stop. A request that arrives later could not complete within the grace
+ * period, so from then on connections are rejected unread, which lets callers
+ * go elsewhere.
  */
 #define LISTEN_US 2600000
 /* Requests still running this long before the end of the grace period are cut
--- a/tests/serve/test_fwd.c
+++ b/tests/serve/test_fwd.c
@@ -733,7 +733,7 @@
 	int64_t sent_us;
 	int fd;
 
-	config->routes[0].objective_us = 1000000; /* it is not silent so soon */
+	config->routes[0].objective_us = 1000000; /* no stall timeout before */
 	world_open(1, config);
 	target_announce(&w.target[0], false, 1);
 	tgt_find(w.set, "i0")->slow_link = true;
@@ -812,7 +812,7 @@
 	int64_t deadline_us;
 	int fd;
 
-	config->routes[0].objective_us = 1000000; /* it is not silent so soon */
+	config->routes[0].objective_us = 1000000; /* no stall timeout before */
 	world_open(1, config);
 	target_announce(&w.target[0], false, 1);
 	tgt_find(w.set, "i0")->near = false;
