--- a/lib/serve/fingerprint.c
+++ b/lib/serve/fingerprint.c
@@ -1,10 +1,10 @@
-/* Fingerprints of requests. */
+/* Request fingerprints. */
 
 #include <string.h>
 
 #include "serve/fingerprint.h"
 
-/* With its length before it: parts cannot run into one another. */
+/* Prefixes each part with its length, which separates it from the next one. */
 static void
 add_part(struct digest_stream *s, const void *data, size_t len)
 {
@@ -29,7 +29,7 @@
 	uint64_t bits;
 
 	add_text(s, c->host);
-	add_text(s, c->caller);
+	add_text(s, c->workspace);
 	add_part(s, c->target.p, c->target.n);
 	add_part(s, c->body, c->body_len);
 	digest_stream_end(s, &digest);
--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -1,13 +1,14 @@
-/* Callers' requests: taking them in, ending them. */
+/* Callers' requests: accepting and ending them. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
-#define DEFAULT_DUE_US 60000000 /* neither caller nor route names a time */
-/* Callers' own times are below their route's by up to this share; one that has
- * less left has spent it on an earlier try. */
-#define OWN_TIME_SHARE 0.15
+#define DEFAULT_TIMEOUT_US 60000000 /* neither caller nor route sets one */
+/* Deadlines that callers set themselves are below their route's timeout by up
+ * to this share. A caller with less has spent the difference on an earlier
+ * attempt. */
+#define CALLER_MARGIN_SHARE 0.15
 
 int64_t
 fwd_now(const struct fwd_req *r)
@@ -16,23 +17,23 @@
 }
 
 uint64_t
-fwd_content(struct fwd_req *r)
+fwd_fingerprint(struct fwd_req *r)
 {
 	struct fpr_content content = {
 		.host = r->route->host,
 		.target = hreq_msg(r->caller)->target,
-		.caller = r->workspace == NULL ? NULL : r->workspace->name,
+		.workspace = r->workspace == NULL ? NULL : r->workspace->name,
 	};
 
-	if (r->content == 0) {
+	if (r->fingerprint == 0) {
 		content.body = hreq_body(r->caller, &content.body_len);
-		r->content = fpr_of(&content);
+		r->fingerprint = fpr_of(&content);
 	}
-	return r->content;
+	return r->fingerprint;
 }
 
 /* ------------------------------------------------------------------ */
-/* Ends                                                                */
+/* Ending requests                                                     */
 /* ------------------------------------------------------------------ */
 
 void
@@ -50,12 +51,12 @@
 	    "x config=%" G_GINT64_FORMAT,
 	    r->id, r->route->name, r->service->targets->name, status, why,
 	    r->flow.tries, r->flow.runs, r->events,
-	    (now_us - r->begun_us) / 1000,
+	    (now_us - r->started_us) / 1000,
 	    r->first_event_us == 0 ? -1
-				   : (r->first_event_us - r->begun_us) / 1000,
-	    r->sent_us == 0 ? -1 : (r->sent_us - r->begun_us) / 1000,
-	    r->came_back, r->target == NULL ? "-" : r->target->record.id,
-	    r->content, rtab_config(r->routes)->version);
+				   : (r->first_event_us - r->started_us) / 1000,
+	    r->sent_us == 0 ? -1 : (r->sent_us - r->started_us) / 1000,
+	    r->is_client_retry, r->target == NULL ? "-" : r->target->record.id,
+	    r->fingerprint, rtab_config(r->routes)->version);
 }
 
 void
@@ -64,10 +65,10 @@
 	struct fwd *f = r->fwd;
 
 	TAILQ_REMOVE(&f->open, r, open);
-	fwd_unwait(r);
+	fwd_dequeue(r);
 	fwd_drop_call(r);
-	evl_timer_stop(f->conf.loop, &r->due);
-	evl_timer_stop(f->conf.loop, &r->step);
+	evl_timer_stop(f->conf.loop, &r->deadline);
+	evl_timer_stop(f->conf.loop, &r->wait_timer);
 	rtab_unref(r->routes);
 	g_free(r->model);
 	f->active--;
@@ -133,7 +134,7 @@
 }
 
 void
-fwd_break(struct fwd_req *r, const char *why)
+fwd_abort(struct fwd_req *r, const char *why)
 {
 	struct hreq *caller = r->caller;
 
@@ -143,14 +144,14 @@
 	hreq_abort(caller);
 }
 
-/* The time that the route or the caller gives is over. */
+/* The timeout of the route or the deadline of the caller has passed. */
 static void
-on_due(struct evl_timer *timer)
+on_deadline(struct evl_timer *timer)
 {
-	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, due);
+	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, deadline);
 
 	if (r->flow.begun)
-		fwd_break(r, "timeout");
+		fwd_abort(r, "timeout");
 	else if (r->flow.tries == 0)
 		fwd_refuse(r, "timeout_waiting");
 	else
@@ -158,7 +159,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Taking requests in                                                  */
+/* Accepting requests                                                  */
 /* ------------------------------------------------------------------ */
 
 static struct fwd_service *
@@ -176,7 +177,7 @@
 	return service;
 }
 
-/* Refuses a request that never became one of ours. */
+/* Refuses a request before a struct fwd_req is made for it. */
 static void
 answer_early(
     struct fwd *f, struct hreq *caller, unsigned int status, const char *why)
@@ -193,7 +194,7 @@
 	    caller, status, status == 503 ? "Retry-After: 1.2\r\n" : "", "", 0);
 }
 
-/* False when the request was answered. */
+/* Returns false if it has answered the request with 401. */
 static bool
 authorise(struct fwd *f, struct hreq *caller, const struct sv_route *route,
     const struct sv_workspace **workspace)
@@ -229,7 +230,7 @@
 	memcpy(r->id, h->value.p, MIN(h->value.n, sizeof(r->id) - 1));
 }
 
-/* "PROMPT,ANSWER" in tokens */
+/* Parses "PROMPT,ANSWER", both in tokens. */
 static void
 read_prompt(struct fwd_req *r, const struct hmsg *m)
 {
@@ -249,20 +250,21 @@
 }
 
 static void
-read_times(struct fwd_req *r, const struct hmsg *m)
+read_deadline(struct fwd_req *r, const struct hmsg *m)
 {
 	const struct hheader *h =
 	    hmsg_find(m, r->fwd->conf.dialect->header[SV_F_DEADLINE_MS]);
 	int64_t ms;
 
-	r->begun_us = hreq_started_us(r->caller);
-	r->due_us = r->begun_us +
-	    (r->route->timeout_us > 0 ? r->route->timeout_us : DEFAULT_DUE_US);
+	r->started_us = hreq_started_us(r->caller);
+	r->deadline_us = r->started_us +
+	    (r->route->timeout_us > 0 ? r->route->timeout_us
+				      : DEFAULT_TIMEOUT_US);
 	if (h == NULL || !hslice_number(h->value, &ms))
 		return;
-	r->due_us = MIN(r->due_us, r->begun_us + ms * 1000);
-	r->came_back = (double)(ms * 1000) <
-	    (double)r->route->timeout_us * (1 - OWN_TIME_SHARE);
+	r->deadline_us = MIN(r->deadline_us, r->started_us + ms * 1000);
+	r->is_client_retry = (double)(ms * 1000) <
+	    (double)r->route->timeout_us * (1 - CALLER_MARGIN_SHARE);
 }
 
 static bool
@@ -287,21 +289,21 @@
 	r->route = route;
 	r->workspace = workspace;
 	r->service = service_of(f, rtab_pick_service(route, rng_next(&f->rng)));
-	r->due.fire = on_due;
+	r->deadline.fire = on_deadline;
 	r->priority = workspace != NULL && workspace->priority != INT_MAX
 	    ? workspace->priority
 	    : route->priority;
 	if (model != NULL)
 		r->model = hslice_dup(model->value);
 	read_id(r, m);
-	read_times(r, m);
+	read_deadline(r, m);
 	read_prompt(r, m);
 	r->flow.repeatable = is_repeatable(route);
 	r->flow.attempts = route->attempts;
 	hreq_set_ctx(caller, r);
 	TAILQ_INSERT_TAIL(&f->open, r, open);
 	f->active++;
-	evl_timer_set(f->conf.loop, &r->due, r->due_us);
+	evl_timer_set(f->conf.loop, &r->deadline, r->deadline_us);
 	return r;
 }
 
@@ -331,22 +333,22 @@
 	if (!authorise(f, caller, route, &workspace))
 		return;
 	r = req_new(f, caller, route, workspace);
-	fwd_note_back(r);
+	fwd_note_client_retry(r);
 	spend_request(&r->service->budget, &f->conf.budget, fwd_now(r));
-	if (fwd_is_held(r, &until_us))
+	if (fwd_is_blocked(r, &until_us))
 		fwd_refuse_until(r, "held", until_us);
 	else
 		fwd_dispatch(r);
 }
 
 static void
-on_left(struct hreq *caller, void *ctx)
+on_disconnected(struct hreq *caller, void *ctx)
 {
 	struct fwd_req *r = hreq_ctx(caller);
 
 	if (r == NULL)
 		return;
-	ctr_add(r->fwd->left, 1);
+	ctr_add(r->fwd->disconnected, 1);
 	fwd_log_end(
 	    r, EVT_LEFT, 0, r->state == FWD_WAITING ? "waiting" : "running");
 	fwd_finish(r);
@@ -372,7 +374,7 @@
 
 const struct hserver_ops fwd_server_ops = {
 	.request = on_request,
-	.left = on_left,
+	.left = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
@@ -396,17 +398,17 @@
 	f->done = ctr_get(set, "requests_done");
 	f->refused = ctr_get(set, "requests_refused");
 	f->failed = ctr_get(set, "requests_failed");
-	f->left = ctr_get(set, "requests_left");
+	f->disconnected = ctr_get(set, "requests_left");
 	f->retries = ctr_get(set, "requests_sent_again");
 	f->resumes = ctr_get(set, "streams_resumed");
-	f->odd = ctr_get(set, "answers_not_ours");
+	f->unexpected = ctr_get(set, "answers_not_ours");
 	f->limited = ctr_get(set, "requests_to_limited");
 	f->limited_again = ctr_get(set, "requests_to_limited_again");
 	f->choices = ctr_get(set, "target_choices");
-	f->contents_held = ctr_get(set, "contents_held");
-	f->withdrawn = ctr_get(set, "requests_withdrawn_held");
-	f->cut_silent = ctr_get(set, "requests_cut_before_answer");
-	f->cut_answering = ctr_get(set, "requests_cut_midway");
+	f->blocked = ctr_get(set, "contents_held");
+	f->recalled = ctr_get(set, "requests_withdrawn_held");
+	f->cut_before_answer = ctr_get(set, "requests_cut_before_answer");
+	f->cut_midway = ctr_get(set, "requests_cut_midway");
 	return f;
 }
 
@@ -456,9 +458,9 @@
 {
 	g_string_append_printf(out,
 	    "requests_active %u\nrequests_waiting %u\ncontents_held_now %u\n",
-	    f->active, f->waiting, sus_count_known(f->suspects));
+	    f->active, f->waiting, sus_count_blocked(f->suspects));
 	hist_print(&f->wait, "request_wait_seconds", out);
-	hist_print(&f->first, "stream_first_event_seconds", out);
+	hist_print(&f->first_event, "stream_first_event_seconds", out);
 	hist_print(&f->gap, "stream_event_gap_seconds", out);
-	hist_print(&f->whole, "request_seconds", out);
+	hist_print(&f->total, "request_seconds", out);
 }
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -1,50 +1,52 @@
-/* One attempt at a target. */
+/* One attempt at a target: sending, timers, outcome. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
-/* An engine that has said nothing for so many objectives is taken as silent:
- * three times the objective is late already, and the caller gives up on a
- * stream after four. */
-#define SILENT_FIRST 3
+/* Stall timeout until the first event, in units of the route's objective.
+ * After three times the objective the answer is late already, and the caller
+ * gives up on a stream after four. */
+#define STALL_FIRST 3
 /*
- * Under load first events come late everywhere, and a request that is sent
- * again makes two of the work. So many times what is usual now are waited
- * for, as long as the caller still waits.
+ * Under load first events are late at all targets, and sending a request again
+ * doubles its work. So the timeout is at least this multiple of the current
+ * average time to the first event, up to a limit (in objectives) by which the
+ * caller gives up.
  */
-#define SILENT_USUAL 3
-#define SILENT_FIRST_MAX 5
-/* The same between events, in objectives for the pause. */
-#define SILENT_GAP 3
-#define SILENT_DEFAULT_US 1200000
-/* A plain request that may be repeated is tried elsewhere after this share of
- * its route's time, so that the second try still fits. */
-#define SILENT_PLAIN_SHARE 0.5
-/* A connection that fails sooner was refused by the target's host. */
+#define STALL_MEAN 3
+#define STALL_FIRST_MAX 5
+/* Stall timeout between events, in units of the route's gap objective. */
+#define STALL_GAP 3
+#define STALL_DEFAULT_US 1200000
+/* A repeatable request that is not a stream is sent elsewhere after this share
+ * of its route's timeout, so that there is time for the second attempt. */
+#define STALL_PLAIN_SHARE 0.5
+/* A connection that fails sooner than this was refused by the target's host. */
 #define REFUSED_US 100000
-/* Least time that another attempt needs. */
+/* Minimum remaining time for another attempt. */
 #define ATTEMPT_MIN_US 60000
 
 /*
- * A request that waits at its target until the target's weights are too old is
- * run on them all the same: its caller gets an answer that the operators have
- * withdrawn. What has not begun so long before that moment is cancelled and
- * goes on elsewhere; a target drops what its caller has left. Longer than a
- * cancel takes to get there beside other work, 20 to 40 ms.
+ * A request that is queued at its target when the target's weights become too
+ * old is still run on them, and its caller gets an answer from weights that the
+ * operators have withdrawn. So a request that has not begun this long before
+ * that time is cancelled and sent elsewhere; a target drops queued requests
+ * whose connection is closed. Must exceed the time that a cancel takes to
+ * arrive beside other work, 20 to 40 ms.
  */
-#define WITHDRAW_US 80000
-/* The same to another region, over a link that others fill. */
-#define WITHDRAW_FAR_US 400000
-/* The same over a slow link, where the cancel itself takes up to a second. */
-#define WITHDRAW_SLOW_US 980000
+#define RECALL_LOCAL_US 80000
+/* The same for a target in another region, over a shared, congested link. */
+#define RECALL_REMOTE_US 400000
+/* The same over a slow link, where a cancel takes up to one second. */
+#define RECALL_SLOW_US 980000
 
 void
-fwd_read(struct fwd_req *r)
+fwd_prompt_read(struct fwd_req *r)
 {
-	if (!r->reading)
+	if (!r->prompt_pending)
 		return;
-	r->reading = false;
+	r->prompt_pending = false;
 	tgt_prefill(r->target, r->prompt, false);
 	fwd_pump(r->fwd);
 }
@@ -52,8 +54,8 @@
 static void
 stop_timers(struct fwd_req *r)
 {
-	evl_timer_stop(r->fwd->conf.loop, &r->step);
-	evl_timer_stop(r->fwd->conf.loop, &r->begin);
+	evl_timer_stop(r->fwd->conf.loop, &r->wait_timer);
+	evl_timer_stop(r->fwd->conf.loop, &r->begin_timer);
 }
 
 static void
@@ -78,16 +80,16 @@
 	hbuf_free(&r->answer);
 	if (r->target == NULL)
 		return;
-	fwd_read(r);
+	fwd_prompt_read(r);
 	tgt_ended(r->target, fwd_now(r));
 	tgt_unref(r->target);
 	r->target = NULL;
-	fwd_count_end(r->service, fwd_now(r));
+	fwd_count_completion(r->service, fwd_now(r));
 	fwd_pump(f);
 }
 
 /* ------------------------------------------------------------------ */
-/* The end of an attempt                                               */
+/* End of an attempt                                                   */
 /* ------------------------------------------------------------------ */
 
 static bool
@@ -103,17 +105,17 @@
 	[FLOW_REFUSED] = "target_refused",
 	[FLOW_UNREACHABLE] = "target_unreachable",
 	[FLOW_LOST] = "answer_lost",
-	[FLOW_SILENT] = "target_silent",
-	[FLOW_WITHDRAWN] = "weights_too_old",
+	[FLOW_STALLED] = "target_silent",
+	[FLOW_RECALLED] = "weights_too_old",
 	[FLOW_FAILURE] = "target_failed",
 };
 
-static const enum tgt_outcome outcomes[] = {
+static const enum tgt_outcome target_outcomes[] = {
 	[FLOW_REFUSED] = TGT_REFUSED,
 	[FLOW_UNREACHABLE] = TGT_LOST,
 	[FLOW_LOST] = TGT_ERROR,
-	[FLOW_SILENT] = TGT_TIMEOUT,
-	[FLOW_WITHDRAWN] = TGT_REFUSED, /* says nothing against it */
+	[FLOW_STALLED] = TGT_TIMEOUT,
+	[FLOW_RECALLED] = TGT_REFUSED, /* no fault of the target */
 	[FLOW_FAILURE] = TGT_ERROR,
 };
 
@@ -122,7 +124,7 @@
 {
 	unsigned int failures = r->target->failures;
 
-	tgt_outcome(r->target, outcomes[end], fwd_now(r));
+	tgt_outcome(r->target, target_outcomes[end], fwd_now(r));
 	if (r->target->failures > failures)
 		evt(EVT_TARGET_REST,
 		    "target=%s address=%s why=%s failures=%u rest_ms=%" G_GINT64_FORMAT,
@@ -133,7 +135,7 @@
 		return;
 	if (r->status == 421)
 		tgt_wrong_instance(r->target);
-	else /* it is fuller than was thought */
+	else /* it is fuller than estimated */
 		tgt_set_load(r->target,
 		    (unsigned int)tgt_limit(
 			r->target, tgt_set_policy(r->fwd->conf.targets)),
@@ -141,7 +143,7 @@
 }
 
 static void
-go_on(struct fwd_req *r, enum flow_end end)
+retry(struct fwd_req *r, enum flow_end end)
 {
 	ctr_add(r->fwd->retries, 1);
 	if (r->flow.begun)
@@ -150,8 +152,8 @@
 	    "req=%s why=%s target=%s tries=%u runs=%u last_event=%" G_GINT64_FORMAT
 	    " ms=%" G_GINT64_FORMAT " content=%016" G_GINT64_MODIFIER "x",
 	    r->id, end_names[end], r->target->record.id, r->flow.tries,
-	    r->flow.runs, r->last_event, (fwd_now(r) - r->begun_us) / 1000,
-	    r->content);
+	    r->flow.runs, r->last_event, (fwd_now(r) - r->started_us) / 1000,
+	    r->fingerprint);
 	fwd_drop_call(r);
 	r->state = FWD_WAITING;
 	fwd_dispatch(r);
@@ -168,16 +170,16 @@
 		r->flow.may_have_run = true;
 		r->flow.runs++;
 	}
-	r->flow.time = r->due_us - fwd_now(r) > ATTEMPT_MIN_US &&
+	r->flow.has_time = r->deadline_us - fwd_now(r) > ATTEMPT_MIN_US &&
 	    r->ntried < FWD_TRIED_MAX;
-	r->flow.held = fwd_is_held(r, &until_us);
+	r->flow.blocked = fwd_is_blocked(r, &until_us);
 	switch (flow_next(&r->flow, end, may_spend, r)) {
-	case FLOW_AGAIN:
+	case FLOW_RETRY:
 	case FLOW_RESUME:
-		go_on(r, end);
+		retry(r, end);
 		break;
 	case FLOW_PASS:
-		fwd_answer_whole(r);
+		fwd_answer_complete(r);
 		break;
 	case FLOW_REFUSE:
 		fwd_refuse(r, end_names[end]);
@@ -185,14 +187,14 @@
 	case FLOW_FAIL:
 		fwd_fail(r, 502, end_names[end]);
 		break;
-	case FLOW_BREAK:
-		fwd_break(r, end_names[end]);
+	case FLOW_ABORT:
+		fwd_abort(r, end_names[end]);
 		break;
 	}
 }
 
 /* ------------------------------------------------------------------ */
-/* Events of the call                                                  */
+/* Callbacks of the call                                               */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -219,32 +221,33 @@
 	struct fwd_req *r = ctx;
 
 	r->call = NULL;
-	if (r->refused)
+	if (r->not_run)
 		attempt_ended(r, FLOW_REFUSED);
-	else if (r->broken)
+	else if (r->unusable)
 		attempt_ended(r, FLOW_LOST);
 	else if (is_failure(r))
 		attempt_ended(r, FLOW_FAILURE);
 	else {
 		tgt_outcome(r->target, TGT_ANSWERED, fwd_now(r));
 		fwd_note_answered(r);
-		fwd_answer_whole(r);
+		fwd_answer_complete(r);
 	}
 }
 
-/* A connection that is refused at once: nobody listens there any more. A side
- * knows better: its target may only refuse more connections. */
+/* A connection that is refused at once means that no process listens there any
+ * more. Where a sidecar reports on the target, it decides instead: the target
+ * may only be refusing further connections. */
 static void
 connection_failed(struct fwd_req *r)
 {
 	struct fwd *f = r->fwd;
 	struct tgt *target = tgt_ref(r->target);
-	bool ended =
+	bool terminated =
 	    target->side_report_us == 0 && fwd_now(r) - r->sent_us < REFUSED_US;
 
 	attempt_ended(r, FLOW_UNREACHABLE);
-	if (ended)
-		fwd_target_ended(f, target);
+	if (terminated)
+		fwd_target_terminated(f, target);
 	tgt_unref(target);
 }
 
@@ -254,9 +257,9 @@
 	struct fwd_req *r = ctx;
 
 	r->call = NULL;
-	/* A refusal was read whole enough: its head says that it did not
-	 * run, whatever became of its body. */
-	if (r->refused)
+	/* The head of a refusal is enough: it says that the request did not
+	 * run, even if the body is incomplete. */
+	if (r->not_run)
 		attempt_ended(r, FLOW_REFUSED);
 	else if (sent) {
 		fwd_note_cut(r);
@@ -277,42 +280,43 @@
 /* ------------------------------------------------------------------ */
 
 static void
-on_silent(struct evl_timer *timer)
+on_stalled(struct evl_timer *timer)
 {
-	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, step);
+	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, wait_timer);
 
-	/* When connections fall silent they do so many at a time, and each
-	 * kept one would cost another request. */
+	/* Connections usually stall many at a time, and each idle one that
+	 * stays in the pool would cost another request a stall timeout. */
 	if (r->call != NULL && hcall_kept(r->call))
 		hpool_forget_idle(r->fwd->conf.pool);
 	cancel_call(r);
-	attempt_ended(r, FLOW_SILENT);
+	attempt_ended(r, FLOW_STALLED);
 }
 
 static void
-on_begin_due(struct evl_timer *timer)
+on_begin_deadline(struct evl_timer *timer)
 {
-	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, begin);
+	struct fwd_req *r = CONTAINER_OF(timer, struct fwd_req, begin_timer);
 
-	/* The head of its answer came: it has begun. */
+	/* The head of the answer has arrived, so the target has begun. */
 	if (r->call == NULL || r->status != 0)
 		return;
 	cancel_call(r);
-	attempt_ended(r, FLOW_WITHDRAWN);
+	attempt_ended(r, FLOW_RECALLED);
 }
 
 static int64_t
-withdraw_us(const struct fwd_req *r)
+recall_margin_us(const struct fwd_req *r)
 {
 	if (tgt_path_is_slow(r->target, fwd_now(r)))
-		return WITHDRAW_SLOW_US;
-	return r->target->local ? WITHDRAW_US : WITHDRAW_FAR_US;
+		return RECALL_SLOW_US;
+	return r->target->local ? RECALL_LOCAL_US : RECALL_REMOTE_US;
 }
 
-/* Also of a stream that has begun elsewhere, and of a last attempt: their
- * callers lose the rest, which withdrawn weights must not make. */
+/* Arms the recall of a request that does not begin in time. This includes
+ * resumed streams and last attempts: their callers lose the rest of the answer,
+ * which must not be made with withdrawn weights. */
 static void
-expect_begin(struct fwd_req *r)
+arm_begin_timer(struct fwd_req *r)
 {
 	int64_t end_us;
 
@@ -323,52 +327,54 @@
 	    r->fwd->conf.versions, r->model, r->target->version);
 	if (end_us == 0)
 		return;
-	r->begin.fire = on_begin_due;
-	evl_timer_set(r->fwd->conf.loop, &r->begin, end_us - withdraw_us(r));
+	r->begin_timer.fire = on_begin_deadline;
+	evl_timer_set(
+	    r->fwd->conf.loop, &r->begin_timer, end_us - recall_margin_us(r));
 }
 
-/* Waits for the target's next word. A request that cannot go elsewhere is
- * left to its due time: its silence is no reason to end it sooner. */
+/* Arms the stall timer until the target's next event. A request that cannot be
+ * sent elsewhere only has its deadline: a stalled target is no reason to end it
+ * sooner. */
 static void
-expect_word(struct fwd_req *r)
+arm_stall_timer(struct fwd_req *r)
 {
 	const struct sv_route *route = r->route;
-	int64_t wait_us = SILENT_DEFAULT_US;
+	int64_t wait_us = STALL_DEFAULT_US;
 
 	if (!r->flow.repeatable || r->flow.runs + 1 >= r->flow.attempts)
 		return;
 	if (route->kind != SV_STREAM)
 		wait_us =
-		    (int64_t)((double)route->timeout_us * SILENT_PLAIN_SHARE);
+		    (int64_t)((double)route->timeout_us * STALL_PLAIN_SHARE);
 	else if (r->state == FWD_STREAMING && route->gap_us > 0)
-		wait_us = SILENT_GAP * route->gap_us;
+		wait_us = STALL_GAP * route->gap_us;
 	else if (route->objective_us > 0)
-		wait_us = CLAMP(SILENT_USUAL * r->service->first_us,
-		    SILENT_FIRST * route->objective_us,
-		    SILENT_FIRST_MAX * route->objective_us);
-	r->step.fire = on_silent;
-	evl_timer_set(r->fwd->conf.loop, &r->step, fwd_now(r) + wait_us);
+		wait_us = CLAMP(STALL_MEAN * r->service->first_event_us,
+		    STALL_FIRST * route->objective_us,
+		    STALL_FIRST_MAX * route->objective_us);
+	r->wait_timer.fire = on_stalled;
+	evl_timer_set(r->fwd->conf.loop, &r->wait_timer, fwd_now(r) + wait_us);
 }
 
 void
-fwd_heard(struct fwd_req *r)
+fwd_note_progress(struct fwd_req *r)
 {
-	expect_word(r);
+	arm_stall_timer(r);
 }
 
 static void
 reset_answer(struct fwd_req *r)
 {
 	r->status = 0;
-	r->ours = false;
-	r->refused = false;
-	r->broken = false;
+	r->is_matched = false;
+	r->not_run = false;
+	r->unusable = false;
 	r->sealed = false;
-	r->answering = false;
+	r->has_begun = false;
 	hbuf_free(&r->answer);
 }
 
-/* First sends and repeats apart: a limit binds both. */
+/* Counts first attempts and retries apart: a rate limit applies to both. */
 static void
 count_limited(struct fwd_req *r)
 {
@@ -394,10 +400,10 @@
 	r->flow.tries++;
 	count_limited(r);
 	tgt_sent(target, r->sent_us);
-	/* The next request finds its permit there. */
+	/* Ask now, so that the next request finds a permit. */
 	tgt_ask_permit(r->fwd->conf.targets, target, r->sent_us);
 	tgt_prefill(target, r->prompt, true);
-	r->reading = true;
+	r->prompt_pending = true;
 	body = hreq_body(r->caller, &len);
 	r->call = hcall_start(r->fwd->conf.pool,
 	    &(struct hcall_conf){ .address = target->record.address,
@@ -409,6 +415,6 @@
 		.ops = &call_ops,
 		.ctx = r });
 	g_string_free(head, TRUE);
-	expect_word(r);
-	expect_begin(r);
+	arm_stall_timer(r);
+	arm_begin_timer(r);
 }
--- a/lib/serve/fwd_suspect.c
+++ b/lib/serve/fwd_suspect.c
@@ -1,33 +1,33 @@
-/* Requests under which targets ended, among those that are forwarded. */
+/* Forwarded requests under which targets terminated. */
 
 #include <string.h>
 
 #include "serve/fwd_internal.h"
 
-/* Within this a request that ends its target has done so. */
-#define CHANCE_US 1000000
+/* A request that terminates its target does so within this time. */
+#define PROBE_US 1000000
 
 static uint64_t
-hash_of(const struct tgt *t)
+target_hash(const struct tgt *t)
 {
 	return hash64(0, t->record.id, strlen(t->record.id));
 }
 
 static void
-tell(struct fwd *f, const struct sus_end *ends, size_t n)
+publish(struct fwd *f, const struct sus_termination *ends, size_t n)
 {
-	if (n > 0 && f->conf.tell_ends != NULL)
-		f->conf.tell_ends(ends, n, f->conf.tell_ctx);
+	if (n > 0 && f->conf.publish_terminations != NULL)
+		f->conf.publish_terminations(ends, n, f->conf.publish_ctx);
 }
 
-/* Another request of the same content was sent and has no answer yet. */
+/* Another request with the same fingerprint is in flight. */
 static bool
-has_copy_under_way(const struct fwd_req *r)
+has_copy_in_flight(const struct fwd_req *r)
 {
 	const struct fwd_req *other;
 
 	TAILQ_FOREACH (other, &r->fwd->open, open) {
-		if (other != r && other->content == r->content &&
+		if (other != r && other->fingerprint == r->fingerprint &&
 		    other->call != NULL)
 			return true;
 	}
@@ -35,23 +35,25 @@
 }
 
 bool
-fwd_is_held(struct fwd_req *r, int64_t *until_us)
+fwd_is_blocked(struct fwd_req *r, int64_t *until_us)
 {
 	struct sus *s = r->fwd->suspects;
 
 	if (sus_is_empty(s))
 		return false;
-	if (sus_judge(s, fwd_content(r), fwd_now(r), until_us) == SUS_HELD)
+	if (sus_judge(s, fwd_fingerprint(r), fwd_now(r), until_us) ==
+	    SUS_BLOCKED)
 		return true;
-	/* Another chance is for one copy at a time. */
-	*until_us = fwd_now(r) + CHANCE_US;
-	return sus_is_known(s, r->content) && has_copy_under_way(r);
+	/* Only one copy at a time is sent as a probe. */
+	*until_us = fwd_now(r) + PROBE_US;
+	return sus_was_blocked(s, r->fingerprint) && has_copy_in_flight(r);
 }
 
-/* A target that was to stop, announced or taken out of the store, or that loads
- * weights cuts what it still has: that says nothing against a request. */
+/* A target that shuts down (announced, or removed from the store) or that loads
+ * weights closes its connections itself. That is no evidence against a
+ * request. */
 static bool
-cuts_by_itself(const struct tgt *t)
+is_planned_cut(const struct tgt *t)
 {
 	return t->leaving || t->dropped || (t->side_down && !t->terminated);
 }
@@ -60,131 +62,136 @@
 fwd_note_cut(struct fwd_req *r)
 {
 	struct fwd *f = r->fwd;
-	struct sus_end end = {
-		.content = fwd_content(r),
-		.target = hash_of(r->target),
-		.weight = r->answering ? SUS_ANSWERING : SUS_SILENT,
+	struct sus_termination termination = {
+		.fingerprint = fwd_fingerprint(r),
+		.target = target_hash(r->target),
+		.weight = r->has_begun ? SUS_ANSWERING : SUS_SILENT,
 		.at_us = fwd_now(r),
 	};
 
-	ctr_add(r->answering ? f->cut_answering : f->cut_silent, 1);
-	if (!cuts_by_itself(r->target) && sus_cut(f->suspects, &end))
-		tell(f, &end, 1);
+	ctr_add(r->has_begun ? f->cut_midway : f->cut_before_answer, 1);
+	if (!is_planned_cut(r->target) && sus_cut(f->suspects, &termination))
+		publish(f, &termination, 1);
 }
 
 void
 fwd_note_answered(struct fwd_req *r)
 {
-	struct sus_end clear = { .weight = SUS_CLEARED };
+	struct sus_termination cleared = { .weight = SUS_CLEARED };
 
 	if (sus_is_empty(r->fwd->suspects))
 		return;
-	clear.content = fwd_content(r);
-	clear.at_us = fwd_now(r);
-	if (!sus_answered(r->fwd->suspects, clear.content))
+	cleared.fingerprint = fwd_fingerprint(r);
+	cleared.at_us = fwd_now(r);
+	if (!sus_answered(r->fwd->suspects, cleared.fingerprint))
 		return;
 	evt(EVT_SUSPECT, "content=%016" G_GINT64_MODIFIER "x outcome=cleared",
-	    clear.content);
-	tell(r->fwd, &clear, 1);
+	    cleared.fingerprint);
+	publish(r->fwd, &cleared, 1);
 }
 
 /* ------------------------------------------------------------------ */
-/* Taking back what is held                                            */
+/* Recalling blocked requests                                          */
 /* ------------------------------------------------------------------ */
 
 static bool
-has_content(struct fwd_req *r, uint64_t content)
+has_fingerprint(struct fwd_req *r, uint64_t fingerprint)
 {
-	return fwd_content(r) == content;
+	return fwd_fingerprint(r) == fingerprint;
 }
 
-/* Its answer may still come whole, and clear it. */
+/* The rest of its answer may still arrive, which clears it. */
 static bool
 is_answering(const struct fwd_req *r)
 {
-	return r->state != FWD_WAITING && r->answering;
+	return r->state != FWD_WAITING && r->has_begun;
 }
 
 static void
-withdraw(struct fwd_req *r, int64_t until_us)
+recall(struct fwd_req *r, int64_t until_us)
 {
-	ctr_add(r->fwd->withdrawn, 1);
+	ctr_add(r->fwd->recalled, 1);
 	if (r->flow.begun)
-		fwd_break(r, "held");
+		fwd_abort(r, "held");
 	else if (r->flow.may_have_run || r->call != NULL)
 		fwd_fail(r, 502, "held");
 	else
 		fwd_refuse_until(r, "held", until_us);
 }
 
-/* Copies of a held request that are under way may not have begun yet: taken
- * back in time they end no more targets. */
+/* Copies of a blocked request that are in flight may not have begun to run:
+ * recalled in time, they terminate no further targets. */
 static void
-withdraw_copies(struct fwd *f, uint64_t content)
+recall_copies(struct fwd *f, uint64_t fingerprint)
 {
 	int64_t now_us = evl_now_us(f->conf.loop), until_us;
 	struct fwd_req *r, *next;
 
-	if (sus_judge(f->suspects, content, now_us, &until_us) != SUS_HELD)
+	if (sus_judge(f->suspects, fingerprint, now_us, &until_us) !=
+	    SUS_BLOCKED)
 		return;
 	for (r = TAILQ_FIRST(&f->open); r != NULL; r = next) {
 		next = TAILQ_NEXT(r, open);
-		if (has_content(r, content) && !is_answering(r))
-			withdraw(r, until_us);
+		if (has_fingerprint(r, fingerprint) && !is_answering(r))
+			recall(r, until_us);
 	}
 }
 
 static void
-note_held(struct fwd *f, uint64_t content, bool was_known)
+note_blocked(struct fwd *f, uint64_t fingerprint, bool was_known)
 {
 	int64_t now_us = evl_now_us(f->conf.loop), until_us = now_us;
 
-	if (was_known || !sus_is_known(f->suspects, content))
+	if (was_known || !sus_was_blocked(f->suspects, fingerprint))
 		return;
-	(void)sus_judge(f->suspects, content, now_us, &until_us);
-	ctr_add(f->contents_held, 1);
+	(void)sus_judge(f->suspects, fingerprint, now_us, &until_us);
+	ctr_add(f->blocked, 1);
 	evt(EVT_SUSPECT,
 	    "content=%016" G_GINT64_MODIFIER
 	    "x outcome=held ms=%" G_GINT64_FORMAT,
-	    content, (until_us - now_us) / 1000);
+	    fingerprint, (until_us - now_us) / 1000);
 }
 
 /* ------------------------------------------------------------------ */
-/* Ends of targets                                                     */
+/* Terminations of targets                                             */
 /* ------------------------------------------------------------------ */
 
 void
-fwd_target_ended(struct fwd *f, const struct tgt *t)
+fwd_target_terminated(struct fwd *f, const struct tgt *t)
 {
-	GArray *news = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
-	const struct sus_end *end;
+	GArray *confirmed =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
+	const struct sus_termination *termination;
 	guint i;
 
-	sus_ended(f->suspects, hash_of(t), evl_now_us(f->conf.loop), news);
-	tell(f, (const struct sus_end *)(void *)news->data, news->len);
-	for (i = 0; i < news->len; i++) {
-		end = &g_array_index(news, struct sus_end, i);
-		note_held(f, end->content, false);
-		withdraw_copies(f, end->content);
+	sus_target_terminated(
+	    f->suspects, target_hash(t), evl_now_us(f->conf.loop), confirmed);
+	publish(f, (const struct sus_termination *)(void *)confirmed->data,
+	    confirmed->len);
+	for (i = 0; i < confirmed->len; i++) {
+		termination =
+		    &g_array_index(confirmed, struct sus_termination, i);
+		note_blocked(f, termination->fingerprint, false);
+		recall_copies(f, termination->fingerprint);
 	}
-	g_array_unref(news);
+	g_array_unref(confirmed);
 }
 
 void
-fwd_told_end(struct fwd *f, const struct sus_end *end)
+fwd_report_termination(struct fwd *f, const struct sus_termination *termination)
 {
-	bool was_known = sus_is_known(f->suspects, end->content);
+	bool was_known = sus_was_blocked(f->suspects, termination->fingerprint);
 
-	if (!sus_told(f->suspects, end))
+	if (!sus_report(f->suspects, termination))
 		return;
-	note_held(f, end->content, was_known);
-	withdraw_copies(f, end->content);
+	note_blocked(f, termination->fingerprint, was_known);
+	recall_copies(f, termination->fingerprint);
 }
 
 void
-fwd_held_ends(const struct fwd *f, GArray *out)
+fwd_blocked_terminations(const struct fwd *f, GArray *out)
 {
-	sus_ends_known(f->suspects, out);
+	sus_blocked_terminations(f->suspects, out);
 }
 
 void
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -189,11 +189,11 @@
 
 void
 side_termination_put(
-    GByteArray *entries, const struct sus_end *end, int64_t now_us)
+    GByteArray *entries, const struct sus_termination *end, int64_t now_us)
 {
 	int64_t age_ms = MAX(0, now_us - end->at_us) / 1000;
 	struct wire_termination wire = {
-		.fingerprint = GUINT64_TO_BE(end->content),
+		.fingerprint = GUINT64_TO_BE(end->fingerprint),
 		.target = GUINT64_TO_BE(end->target),
 		.age_ms = htonl((uint32_t)MIN(age_ms, UINT32_MAX)),
 		.weight = (uint8_t)end->weight,
@@ -210,13 +210,13 @@
 
 void
 side_termination_get(const struct side_terminations *terminations, size_t i,
-    int64_t now_us, struct sus_end *out)
+    int64_t now_us, struct sus_termination *out)
 {
 	struct wire_termination wire;
 
 	memcpy(&wire, terminations->entries.data + i * SIDE_TERMINATION_BYTES,
 	    sizeof(wire));
-	out->content = GUINT64_FROM_BE(wire.fingerprint);
+	out->fingerprint = GUINT64_FROM_BE(wire.fingerprint);
 	out->target = GUINT64_FROM_BE(wire.target);
 	out->at_us = now_us - (int64_t)ntohl(wire.age_ms) * 1000;
 	out->weight = MIN(wire.weight, SUS_SILENT);
--- a/programs/entry/gateway_ends.c
+++ b/programs/entry/gateway_ends.c
@@ -26,7 +26,7 @@
 }
 
 void
-gateway_ends_tell(const struct sus_end *ends, size_t n, void *ctx)
+gateway_ends_tell(const struct sus_termination *ends, size_t n, void *ctx)
 {
 	struct gateway *g = ctx;
 	GByteArray *entry = g_byte_array_new();
@@ -37,7 +37,7 @@
 		g_byte_array_set_size(entry, 0);
 		side_termination_put(entry, &ends[i], evl_now_us(g->st.loop));
 		one.entries = (struct slice){ entry->data, entry->len };
-		send_ends(g, ends[i].content, &one);
+		send_ends(g, ends[i].fingerprint, &one);
 	}
 	g_byte_array_unref(entry);
 }
@@ -46,20 +46,21 @@
 static void
 refresh(struct gateway *g)
 {
-	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	GArray *ends =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_termination));
 	GByteArray *entries = g_byte_array_new();
-	const struct sus_end *end;
+	const struct sus_termination *end;
 	struct side_terminations message;
 	guint i;
 
-	fwd_held_ends(g->fwd, ends);
+	fwd_blocked_terminations(g->fwd, ends);
 	for (i = 0; i < ends->len; i++) {
-		end = &g_array_index(ends, struct sus_end, i);
+		end = &g_array_index(ends, struct sus_termination, i);
 		side_termination_put(entries, end, evl_now_us(g->st.loop));
-		if (i + 1 < ends->len && end[1].content == end->content)
+		if (i + 1 < ends->len && end[1].fingerprint == end->fingerprint)
 			continue;
 		message.entries = (struct slice){ entries->data, entries->len };
-		send_ends(g, end->content, &message);
+		send_ends(g, end->fingerprint, &message);
 		g_byte_array_set_size(entries, 0);
 	}
 	g_byte_array_unref(entries);
@@ -86,11 +87,11 @@
 void
 gateway_ends_take(struct gateway *g, const struct side_terminations *ends)
 {
-	struct sus_end end;
+	struct sus_termination end;
 	size_t i;
 
 	for (i = 0; i < side_terminations_count(ends); i++) {
 		side_termination_get(ends, i, evl_now_us(g->st.loop), &end);
-		fwd_told_end(g->fwd, &end);
+		fwd_report_termination(g->fwd, &end);
 	}
 }
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -65,7 +65,7 @@
 	tgt_set_side_down(t, down, now_us);
 	t->terminated = load->engine == SIDE_ENGINE_DOWN;
 	if (t->terminated && !had_ended)
-		fwd_target_ended(g->fwd, t);
+		fwd_target_terminated(g->fwd, t);
 	g_strlcpy(t->model, load->version > 0 ? t->service->engine.model : "",
 	    sizeof(t->model));
 	t->version = (int64_t)load->version;
