--- a/lib/route/claim.h
+++ b/lib/route/claim.h
@@ -2,153 +2,157 @@
 #define CLAIM_H
 
 /*
- * clm: durable claims, so that a request that must not run twice, and whose
- * caller gave it a key, runs at most once whichever entry its tries come to.
+ * clm: durable claims on idempotency keys. A request that is not idempotent
+ * and carries a key runs at most once, whichever gateways its retries reach.
  *
- * A claim is a record in a bucket, an object at the object API. One entry
- * owns a bucket at a time and writes it for all; claims that arrive within
- * CLM_GROUP_MS, or while a write is under way, go into one write, and a
- * pace bounds the writes, so that they don't grow with the requests.
+ * A claim is a record in a bucket, which is an object at the object API. One
+ * gateway at a time owns a bucket and writes it for all gateways. Claims that
+ * arrive within CLM_GROUP_MS, or during a write, are batched into one write,
+ * and a rate limit bounds the writes independently of the request rate.
  *
- * The decisions here do no I/O: what is to be read, written or answered is
- * handed to callbacks. What holds whatever fails:
+ * This module does no I/O: reads, writes and answers go to callbacks. It
+ * guarantees under all failures:
  *
  * - Every write is conditional on the version read or written last. A write
- *   by another owner changes it, so what a former owner still sends is refused; this is the
- *   fence, and it needs no clock.
- * - A claim is granted only when the write that holds it is known to be in,
- *   and the owner's lease, counted from before that write was sent, still runs. After a write
- *   whose answer is unknown nothing is taken from memory: the bucket is read back first.
- * - A grant goes to one asker, named in the record. The same asker asking
- *   again is granted again, as its first answer may have been lost; any
- *   other gets the outcome, waits for it, or is told that it is in doubt.
- * - A record goes only by its asker's word that nothing ran, or by age:
- *   CLM_KEEP_MS after the request's own deadline. Age is counted by the
+ *   by another owner changes that version, so the writes of a former owner
+ *   are refused; this fencing needs no clock.
+ * - A claim is granted only once the write that contains it is confirmed, and
+ *   within the owner's lease, which starts before that write is sent. After a
+ *   write of unknown outcome the bucket is read back before the records in
+ *   memory are used again.
+ * - A claim is granted to one claimant, named in the record. A repeated
+ *   request of the same claimant is granted again, as the first answer may
+ *   have been lost; any other claimant receives the outcome, waits for it, or
+ *   is answered CLM_IN_DOUBT.
+ * - A record is removed only when its claimant reports NOT_RUN, or by age:
+ *   CLM_KEEP_MS after the deadline of the request. The age is measured by the
  *   owners' monotonic clocks and written with the record; a change of owner
- *   can make it run slow, never fast.
- * - Without the object API nothing is granted: refused as NOT_RUN.
+ *   can make it lag but never run ahead.
+ * - Without the object API no claim is granted: the request is refused as
+ *   NOT_RUN.
  */
 
 #include "common/common.h"
 
-/* All writes together are bounded, so a bucket's turn comes the sooner the
- * fewer there are; the most claims that can be kept grow with them. */
+/* As the total write rate is bounded, fewer buckets are written more often,
+ * but more buckets can store more claims. */
 #define CLM_BUCKETS 16
-#define CLM_KEY_MAX 320 /* TEAM/SERVICE/KEY */
+#define CLM_KEY_MAX 320 /* WORKSPACE/SERVICE/KEY */
 #define CLM_ASKER_MAX 128
-#define CLM_ANSWER_MAX 1024 /* longer answers are kept as a digest only */
+#define CLM_ANSWER_MAX 1024 /* longer answers are stored as a digest only */
 #define CLM_TYPE_MAX 64
-#define CLM_VALUE_MAX (900u << 10) /* of the object; the API takes 1 MB */
+#define CLM_VALUE_MAX (900u << 10) /* object size; the API limit is 1 MB */
 
 #define CLM_GROUP_MS 20
-#define CLM_OUTCOME_MS 500 /* outcomes wait so long for claims to go with */
+#define CLM_OUTCOME_MS 500 /* delay of outcomes, to batch them with claims */
 #define CLM_LEASE_MS 2000
 #define CLM_KEEP_MS (300 * 1000)
-/* Writes a second over all buckets and entries; the API takes several
- * hundred for everything. */
+/* Writes per second over all buckets and gateways; the API supports several
+ * hundred for all its uses. */
 #define CLM_WRITES_S 200
 
-/* The bucket of a key, the same on all entries. */
+/* The bucket of a key, equal on all gateways. */
 unsigned int clm_bucket_of(const char *key);
 
 enum clm_result {
-	CLM_GRANTED, /* run it */
-	CLM_RECORDED, /* it ran; the outcome is given */
-	CLM_IN_DOUBT, /* it may have run and nobody will say */
-	CLM_OTHER_BODY, /* the key was used for another request */
-	CLM_FULL, /* the bucket has no room */
-	CLM_DOWN, /* the object API cannot be used */
-	CLM_MOVED, /* ask the owner that is given */
-	CLM_BAD_KEY, /* not text, or too long */
+	CLM_GRANTED, /* run the request */
+	CLM_RECORDED, /* the request ran; its outcome is passed */
+	CLM_IN_DOUBT, /* it may have run and no outcome is expected */
+	CLM_OTHER_BODY, /* the key was used with a different request */
+	CLM_FULL, /* the bucket is full */
+	CLM_DOWN, /* the object API is unavailable */
+	CLM_MOVED, /* retry at the owner that is passed */
+	CLM_BAD_KEY, /* key or claimant is not UTF-8 or too long */
 	CLM_RESULTS,
 };
-/* What a refused result means for the caller. */
+/* Sets the error that the caller receives for a result that is no grant. */
 void clm_error(enum clm_result result, struct err *out);
 
 struct clm_outcome {
-	enum verdict verdict; /* MAY_HAVE_RUN: in doubt for good */
+	enum verdict verdict; /* MAY_HAVE_RUN: the doubt is final */
 	unsigned int status;
 	const char *type; /* media type of the answer; may be NULL */
-	const char *answer; /* NULL: too long to be kept, or not text */
+	const char *answer; /* NULL: too long to store, or not UTF-8 */
 	struct digest digest; /* of the answer */
 };
 
-/* Embedded by who asks; zero it and set the first part, whose strings must
- * live until the answer. */
+/* A pending request for a claim, embedded by its user: zero it and set the
+ * first group of members, whose strings must remain valid until the answer. */
 struct clm_ask {
 	const char *key;
 	struct digest body;
-	const char *asker; /* "ENTRY/...": unique for one caller's request */
+	const char *asker; /* "GATEWAY/...": unique to a caller's request */
 	unsigned int keep_ms; /* until the request's deadline */
-	int64_t until_us; /* give up waiting for another's outcome */
+	int64_t until_us; /* latest time of the answer */
 
-	/* Used by clm. */
+	/* Private to clm. */
 	TAILQ_ENTRY(clm_ask) link;
 	struct clm_asks *list;
-	bool tried; /* was in a write: the claim may be in */
-	bool reread; /* the bucket was read again for it */
+	bool tried; /* was part of a write, so it may be stored */
+	bool reread; /* the bucket was read again for this request */
 };
 TAILQ_HEAD(clm_asks, clm_ask);
 
 struct clm; /* one bucket */
 
-/* None of these may call back into the bucket, but for `answer`. */
+/* Only `answer` may call functions of the bucket. */
 struct clm_ops {
-	/* Read the object; clm_read_done follows. */
+	/* Reads the object; completed by clm_read_done. */
 	void (*read)(struct clm *clm, void *ctx);
-	/* Write if the version is `if_version` (0: absent); clm_write_done
-	 * follows. */
+	/* Writes if the version is `if_version` (0: absent); completed by
+	 * clm_write_done. */
 	void (*write)(
 	    struct clm *clm, const char *value, uint64_t if_version, void *ctx);
-	/* The ask is no longer known. `outcome` with CLM_RECORDED, `owner`
-	 * with CLM_MOVED ("": nobody yet). */
+	/* Answers and releases `ask`. `outcome` is set with CLM_RECORDED,
+	 * `owner` with CLM_MOVED ("": no owner yet). */
 	void (*answer)(struct clm_ask *ask, enum clm_result result,
 	    const struct clm_outcome *outcome, const char *owner, void *ctx);
 	bool (*is_live)(const char *entry, void *ctx);
-	/* A word for clm_settle that `owner` is to hear instead. */
+	/* Forwards an outcome to clm_settle at `owner`. */
 	void (*pass_on)(const char *key, const char *asker,
 	    const struct clm_outcome *outcome, const char *owner, void *ctx);
 };
 
-/* Bounds the writes of all buckets of one entry; zero it and set the first
- * part. Tick the buckets in turns, so that the first ones don't use it up. */
+/* Rate limit of the writes of all buckets of one gateway; zero it and set
+ * writes_s. Rotate the order in which the buckets are ticked, or the first ones
+ * use up the rate. */
 struct clm_pace {
-	unsigned int writes_s; /* this entry's part of CLM_WRITES_S */
+	unsigned int writes_s; /* this gateway's share of CLM_WRITES_S */
 	int64_t next_us;
 };
 
-/* `self` is this entry's id; `pace` is shared and must outlive it. */
+/* `self` is this gateway's id; `pace` is shared and must outlive the bucket. */
 struct clm *clm_new(const char *self, struct clm_pace *pace,
     const struct clm_ops *ops, void *ctx);
-void clm_free(struct clm *clm); /* asks are forgotten */
+void clm_free(struct clm *clm); /* drops pending requests unanswered */
 
 void clm_ask(struct clm *clm, struct clm_ask *ask, int64_t now_us);
-/* Nobody waits for the answer any more. A claim that was made stays. */
+/* Drops a pending request without an answer. A stored claim remains. */
 void clm_forget(struct clm_ask *ask);
-/* The asker's word on how it ended. NOT_RUN frees the key, also before the
- * claim was granted. */
+/* Records the outcome that the claimant reports. NOT_RUN frees the key, also
+ * before the claim was granted. */
 void clm_settle(struct clm *clm, const char *key, const char *asker,
     const struct clm_outcome *outcome, int64_t now_us);
 
-/* `value` NULL with version 0: absent; `failed`: it could not be read. */
+/* `value` NULL with version 0: the object is absent; `failed`: not read. */
 void clm_read_done(struct clm *clm, bool failed, uint64_t version,
     const char *value, int64_t now_us);
 enum clm_write_end {
-	CLM_WRITE_IN, /* known to be in */
+	CLM_WRITE_IN, /* confirmed */
 	CLM_WRITE_LOST, /* refused: the version differs */
-	CLM_WRITE_UNKNOWN, /* may be in, or come in later */
+	CLM_WRITE_UNKNOWN, /* may have been applied, or may be applied later */
 };
 void clm_write_done(
     struct clm *clm, enum clm_write_end end, uint64_t version, int64_t now_us);
-/* Another entry is to own the bucket now: the next write says so. */
+/* Releases the bucket to another gateway with the next write. */
 void clm_give_up(struct clm *clm, int64_t now_us);
-/* What is due; to be called every CLM_TICK_MS. */
+/* Runs due work; to be called every CLM_TICK_MS. */
 #define CLM_TICK_MS 10
 void clm_tick(struct clm *clm, int64_t now_us);
 
 struct clm_stats {
 	uint64_t reads, writes, granted, takeovers;
-	unsigned int records, unwritten; /* outcomes not yet written */
+	unsigned int records, unwritten; /* unwritten: outcomes */
 	bool held;
 };
 void clm_stats(const struct clm *clm, struct clm_stats *out);
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -2,13 +2,14 @@
 #define ROUTE_H
 
 /*
- * route: from a caller's request to the target that answers it. The messages
- * between entry and side, the split between versions, and the life of an
- * attempt (charts/attempt.yaml). Targets, admission, limits and claims have
- * headers of their own, included here.
+ * route: routing of a caller's request to the target that answers it. This
+ * header declares the messages between gateways and sidecars, the traffic
+ * split between model versions, and the state machine of a request's attempts
+ * (charts/attempt.yaml). Targets, admission, limits and claims have headers of
+ * their own, included here.
  *
- * Everything here decides over (state, event, now); programs/entry and
- * programs/side carry it out.
+ * The functions take the state, an event and the current time, and do no I/O;
+ * programs/entry and programs/side carry out what they decide.
  */
 
 #include "chart/chart.h"
@@ -19,14 +20,14 @@
 #include "route/limit.h"
 
 /* ------------------------------------------------------------------ */
-/* Messages of entries and sides (types 20-39)                         */
+/* Messages of gateways and sidecars (types 20-39)                     */
 /* ------------------------------------------------------------------ */
 
 #define RT_PATH_MAX 2048
 #define RT_HEADERS_MAX (16u << 10)
 #define RT_BODY_MAX (1u << 20)
-#define RT_DATA_MAX (64u << 10) /* so that streams take turns on the link */
-#define RT_WINDOW (256u << 10) /* unread bytes of one stream in flight */
+#define RT_DATA_MAX (64u << 10) /* bounded so that streams share the link */
+#define RT_WINDOW (256u << 10) /* flow-control window of one stream, bytes */
 
 enum rt_type {
 	RT_REQUEST = 20,
@@ -43,35 +44,35 @@
 	RT_STATUS,
 	RT_EVENTS_GET,
 	RT_EVENTS,
-	RT_DEMAND, /* between entries from here on */
+	RT_DEMAND, /* from here on between gateways */
 	RT_CLAIM = 36,
 	RT_CLAIM_ANSWER,
 	RT_CLAIM_SETTLE,
 };
 
-/* Entry to side: run this at your target. */
+/* Gateway to sidecar: run this request at the named target. */
 struct rt_request {
-	uint64_t stream; /* chosen by the entry, unique per connection */
+	uint64_t stream; /* chosen by the gateway, unique per connection */
 	struct slice request_id;
 	uint64_t attempt;
-	uint64_t deadline_ms; /* left, not absolute: clocks differ */
+	uint64_t deadline_ms; /* time remaining: the hosts' clocks differ */
 	struct slice target;
 	struct slice method;
 	struct slice path;
 	struct slice headers; /* "Name: value\n" lines */
 	struct slice body;
-	struct digest expect; /* version that must be loaded; zero: any */
+	struct digest expect; /* required loaded version; zero: any */
 	uint64_t idempotent;
 	uint64_t priority;
-	uint64_t stall_ms; /* no byte from the target for so long ends it */
+	uint64_t stall_ms; /* abort if the target sends nothing for this long */
 };
 
-/* Side to entry: the target began to answer. */
+/* Sidecar to gateway: status and headers of the target's answer. */
 struct rt_head {
 	uint64_t stream;
 	uint64_t status;
 	struct slice headers;
-	struct digest loaded; /* named by the engine in its answer */
+	struct digest loaded; /* version that the engine's answer names */
 };
 
 struct rt_data {
@@ -79,14 +80,14 @@
 	struct slice bytes;
 };
 
-/* Side to entry: last message of a stream. Load rides on it. */
+/* Sidecar to gateway: last message of a stream; also carries the load. */
 struct rt_end {
 	uint64_t stream;
 	uint64_t code; /* enum err_code */
 	uint64_t verdict; /* enum verdict */
 	uint64_t retry_after_ms;
 	struct slice message;
-	uint64_t running; /* at the target now, as the side counts them */
+	uint64_t running; /* requests at the target, as the sidecar counts */
 	uint64_t slots;
 };
 
@@ -94,13 +95,13 @@
 	uint64_t stream;
 };
 
-/* Entry to side: the caller took so many bytes more. */
+/* Gateway to sidecar: window update; the caller consumed this many bytes. */
 struct rt_window {
 	uint64_t stream;
 	uint64_t bytes;
 };
 
-/* Entry to side: tell me your targets now and at every change. */
+/* Gateway to sidecar: send all targets now and each one that changes. */
 struct rt_watch {
 	uint64_t ignored;
 };
@@ -115,17 +116,17 @@
 	uint64_t accepting;
 	uint64_t running;
 	uint64_t slots;
-	uint64_t count; /* targets of this side in all */
-	uint64_t ordered_off; /* an order keeps it from new work */
+	uint64_t count; /* total number of targets of this sidecar */
+	uint64_t ordered_off; /* an RT_ORDER_DRAIN is active */
 };
 
 enum rt_order_kind {
 	RT_ORDER_LOAD, /* load this version into the engine */
-	RT_ORDER_DRAIN, /* take no new work on this target */
-	RT_ORDER_ADMIT, /* take work again */
+	RT_ORDER_DRAIN, /* accept no new requests at this target */
+	RT_ORDER_ADMIT, /* accept requests again */
 };
 
-/* Holder of a leased role to side; passes the order gate or is refused. */
+/* Holder of a leased role to sidecar; subject to the fencing check. */
 struct rt_order {
 	struct slice role;
 	uint64_t fence;
@@ -147,7 +148,7 @@
 	struct digest loaded;
 };
 
-/* How far a version has come at a side. */
+/* Asks a sidecar for the transfer progress of a version. */
 struct rt_status_get {
 	struct digest root;
 };
@@ -169,20 +170,20 @@
 	struct slice json; /* an array of events */
 };
 
-/* Entry to entry: what is asked of me for this team; see lim_reported(). */
+/* Gateway to gateway: a workspace's demand at the sender; see lim_reported(). */
 struct rt_demand {
 	struct slice team;
 	uint64_t demand_milli_s;
 };
 
-/* Entry to the owner of a bucket of claims; see clm_ask(). */
+/* Gateway to the owner of a bucket of claims; see clm_ask(). */
 struct rt_claim {
-	uint64_t number; /* chosen by the asker, unique per connection */
+	uint64_t number; /* chosen by the sender, unique per connection */
 	struct slice key;
 	struct slice asker;
 	struct digest body;
 	uint64_t keep_ms;
-	uint64_t wait_ms; /* left, not absolute: clocks differ */
+	uint64_t wait_ms; /* time remaining: the hosts' clocks differ */
 };
 
 struct rt_claim_answer {
@@ -192,11 +193,11 @@
 	uint64_t status;
 	struct slice type;
 	struct slice answer;
-	uint64_t has_answer; /* else only its digest was kept */
+	uint64_t has_answer; /* 0: only the digest was retained */
 	struct digest digest;
 };
 
-/* How a claim ended; see clm_settle(). Not answered. */
+/* Outcome of a claimed request; see clm_settle(). Has no reply. */
 struct rt_claim_settle {
 	struct slice key;
 	struct slice asker;
@@ -228,7 +229,7 @@
 extern const struct msg_desc rt_claim_settle_desc;
 
 /* ------------------------------------------------------------------ */
-/* Catalogue: a team's branch in typed form                            */
+/* Catalogue: a workspace's settings branch in typed form              */
 /* ------------------------------------------------------------------ */
 
 struct rt_version {
@@ -238,21 +239,21 @@
 	uint64_t chunk_bytes;
 	const char *weights; /* names at the origin, borrowed from the branch */
 	const char *chunks;
-	unsigned int weight; /* share of live traffic; all 0: no rules */
+	unsigned int weight; /* traffic share; 0 for all versions: no rules */
 };
 
 struct rt_model {
 	char name[RT_NAME_MAX + 1];
 	char pool[RT_NAME_MAX + 1];
-	const char **domains; /* NULL-terminated; empty: everywhere */
+	const char **domains; /* NULL-terminated; empty: any domain */
 	unsigned int hosts; /* 0: all hosts of the pool */
 	struct rt_version *versions;
 	size_t nversions;
-	const struct rt_version *rollout; /* version wanted; NULL: none */
+	const struct rt_version *rollout; /* target of the rollout, or NULL */
 	bool time_first;
 	unsigned int origin_copies;
 	unsigned int max_unavailable;
-	bool room_for_two; /* the engine holds two versions while it loads */
+	bool room_for_two; /* the engine can store two versions while loading */
 };
 
 struct rt_service {
@@ -265,7 +266,7 @@
 struct rt_team {
 	char name[RT_NAME_MAX + 1];
 	uint64_t version; /* of the branch */
-	struct cfg *cfg; /* owned copy the borrowed strings live in */
+	struct cfg *cfg; /* owns the strings borrowed below */
 	unsigned int requests_s; /* 0: no limit */
 	unsigned int queue;
 	unsigned int weight;
@@ -278,7 +279,7 @@
 	size_t nservices;
 };
 
-/* Reads a checked branch; takes over `cfg`. */
+/* Reads a validated branch; takes ownership of `cfg`. */
 struct rt_team *rt_team_read(struct cfg *cfg, uint64_t version);
 void rt_team_free(struct rt_team *team);
 const struct rt_model *rt_team_model(
@@ -287,24 +288,26 @@
     const struct rt_team *team, const char *name);
 bool rt_service_is_idempotent(
     const struct rt_service *service, const char *method);
-/* Whether a target of this pool in this domain is a place for the model. */
+/* Whether the model may be placed on a target of this pool and domain. */
 bool rt_model_placed(
     const struct rt_model *model, const char *pool, const char *domain);
 const struct rt_version *rt_model_version(
     const struct rt_model *model, const struct digest *root);
 /*
- * The versions a request may be answered from, best first; `roots` has room
- * for model->nversions. With rules the first is drawn by weight from `draw`
- * (the request's hash), the others that have a weight stand in where it is
- * not in service, and `ranked` is set; without rules every version goes
- * alike: the old one serves until the rollout's is loaded.
+ * Returns the number of versions that may answer a request and stores their
+ * digest roots, the preferred one first; `roots` has room for
+ * model->nversions. With traffic rules, the first is drawn by weight from
+ * `draw` (the request's hash), the others of non-zero weight are fallbacks
+ * where it is not in service, and `ranked` is set. Without rules all versions
+ * are equivalent: the old one serves until that of the rollout is loaded.
  */
 size_t rt_model_roots(const struct rt_model *model, uint64_t draw,
     struct digest *roots, bool *ranked);
 
 /*
- * A side's targets as text in its membership record, so that others know
- * what it is a place for: "NAME,engine|service,TEAM,POOL,SERVICE;...".
+ * A sidecar's targets as text in its membership record, from which other nodes
+ * compute placement: "NAME,engine|service,TEAM,POOL,SERVICE;...". TEAM is the
+ * workspace.
  */
 struct rt_target_info {
 	char name[RT_NAME_MAX + 1];
@@ -314,15 +317,15 @@
 	char service[RT_NAME_MAX + 1];
 };
 void rt_info_append(GString *out, const struct rt_target_info *target);
-/* Calls `each` for each target in the text; malformed parts are skipped. */
+/* Calls `each` for each target in the text; skips malformed elements. */
 void rt_info_each(const char *info,
     void (*each)(const struct rt_target_info *target, void *ctx), void *ctx);
 
 /*
- * The hosts that a model is placed on, the same on every node with the same
- * view: all that have a target of its pool in its domains, or, with
- * `hosts` set, the first so many by a hash of model and host, so that a
- * host lost moves one replica and no other.
+ * Placement of a model on hosts, equal on all nodes with the same membership:
+ * all hosts that have a target of the model's pool in its domains or, with
+ * rt_model.hosts set, that many of them by rendezvous hash of model and host,
+ * so that the loss of a host moves one replica only.
  */
 struct rt_place_host {
 	char id[RT_NAME_MAX + 1];
@@ -331,12 +334,12 @@
 	uint64_t rank;
 };
 
-struct rt_place; /* under construction */
+struct rt_place; /* a placement that is being computed */
 struct rt_place *rt_place_new(const char *team, const struct rt_model *model);
-/* Offers a live host with its target text; ignored when it has no place. */
+/* Adds a live host with its target text; ignores it if none is eligible. */
 void rt_place_offer(struct rt_place *place, const char *id, const char *address,
     const char *domain, const char *info);
-/* The hosts chosen, by rank; frees `place`. Free with g_array_unref. */
+/* Returns the hosts by rank and frees `place`. Free with g_array_unref. */
 GArray *rt_place_end(struct rt_place *place);
 bool rt_place_has(const GArray *hosts, const char *id);
 
@@ -345,47 +348,48 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * The life of one request over its attempts, as charts/attempt.yaml says. The events come
- * from the connection and the clock; the actions are carried out through the callbacks.
+ * State machine of one request over all its attempts, defined by
+ * charts/attempt.yaml. Events come from connections and the clock; actions are
+ * carried out through the callbacks.
  */
 enum att_event {
 	ATT_START, /* admitted */
 	ATT_CLAIMED, /* the key's claim was granted */
-	ATT_REFUSED, /* ended with verdict NOT_RUN */
-	ATT_LOST, /* ended, or link gone, with MAY_HAVE_RUN */
+	ATT_REFUSED, /* attempt ended with verdict NOT_RUN */
+	ATT_LOST, /* attempt or connection ended with MAY_HAVE_RUN */
 	ATT_HEAD, /* first byte of an answer */
-	ATT_DONE, /* whole answer, verdict RAN */
+	ATT_DONE, /* complete answer, verdict RAN */
 	ATT_DEADLINE,
 	ATT_CALLER_GONE,
 	ATT_EVENTS,
 };
 
 struct att_facts {
-	bool idempotent; /* may run more than once without harm */
-	unsigned int attempts; /* begun so far */
+	bool idempotent; /* may run more than once */
+	unsigned int attempts; /* started so far */
 	unsigned int max_attempts;
-	bool budget; /* the retry budget has room */
-	bool time_left; /* the deadline leaves room for another try */
-	bool nothing_sent; /* no target has the present attempt */
-	bool keyed; /* must be claimed first, and its outcome recorded */
+	bool budget; /* the retry budget allows a retry */
+	bool time_left; /* the deadline allows a retry */
+	bool nothing_sent; /* no target has received the current attempt */
+	bool keyed; /* requires a claim and a recorded outcome */
 };
 
 struct att_ops {
 	void (*dispatch)(void *ctx); /* choose a target and send */
-	void (*pass_head)(void *ctx); /* begin to answer the caller */
-	void (*finish)(void *ctx); /* end the answer, whole */
-	void (*fail)(void *ctx); /* final error with the verdict of `last` */
-	void (*cut)(void *ctx); /* visible error inside a begun answer */
-	void (*cancel)(void *ctx); /* stop the work at the target */
-	/* Of keyed requests only; NULL where there are none. */
-	void (*claim)(void *ctx); /* ask for the claim */
-	void (*detach)(void *ctx); /* the caller is gone, the work goes on */
-	/* The last action, in every keyed life that asked for the claim:
-	 * record how it ended, as `may_have_run` and the answer say. */
+	void (*pass_head)(void *ctx); /* start the answer to the caller */
+	void (*finish)(void *ctx); /* complete the answer */
+	void (*fail)(void *ctx); /* final error, with the verdict */
+	void (*cut)(void *ctx); /* visible error inside a started answer */
+	void (*cancel)(void *ctx); /* cancel the work at the target */
+	/* For keyed requests only; NULL where there are none. */
+	void (*claim)(void *ctx); /* request the claim */
+	void (*detach)(void *ctx); /* the caller disconnected; work goes on */
+	/* Records the outcome from `may_have_run` and the answer; the last
+	 * action of each keyed request that requested a claim. */
 	void (*settle)(void *ctx);
 };
 
-struct att_chart; /* the chart and its numbers, one per process */
+struct att_chart; /* the chart and its event numbers, one per process */
 struct att_chart *att_chart_load(const char *charts_dir, struct err *err);
 void att_chart_free(struct att_chart *chart);
 
@@ -395,9 +399,9 @@
 	void *ctx;
 	int state;
 	struct att_facts facts;
-	bool may_have_run; /* some attempt may have run: the final verdict */
-	/* Set while a step runs: an action must not feed an event back from
-	 * within, or the outer step would overwrite the inner one's state. */
+	bool may_have_run; /* an attempt may have run; final verdict */
+	/* Set during a step: an action must not deliver an event, as the
+	 * outer step would overwrite the state that the inner one set. */
 	bool busy;
 };
 void att_init(struct att *att, const struct att_chart *chart,
