--- a/lib/route/attempt.c
+++ b/lib/route/attempt.c
@@ -1,4 +1,4 @@
-/* The life of a request over its attempts, driven by charts/attempt.yaml. */
+/* State machine of a request's attempts, defined by charts/attempt.yaml. */
 
 #include "route/route.h"
 
@@ -22,7 +22,7 @@
 /* Guards and actions                                                  */
 /* ------------------------------------------------------------------ */
 
-/* Not run for certain: anything may be tried again, within the limits. */
+/* The attempt did not run: any request may be retried within the limits. */
 static bool
 may_try_again(void *ctx, const void *event_data)
 {
@@ -33,8 +33,8 @@
 }
 
 /*
- * May have run: a second run of a request that is not idempotent would book
- * twice or send two notes, so only an idempotent one is tried again.
+ * The attempt may have run: only an idempotent request is retried. A second run
+ * of any other would repeat its effect, such as a booking or a sent note.
  */
 static bool
 may_run_again(void *ctx, const void *event_data)
@@ -44,8 +44,8 @@
 	return att->facts.idempotent && may_try_again(ctx, event_data);
 }
 
-/* The deadline came between two attempts: what was lost before has been
- * noted, and to note more would turn a true NOT_RUN into a doubt. */
+/* The deadline passed between two attempts: earlier losses are recorded, and
+ * recording another would turn a correct NOT_RUN into MAY_HAVE_RUN. */
 static bool
 nothing_sent(void *ctx, const void *event_data)
 {
@@ -62,8 +62,8 @@
 	return att->facts.keyed;
 }
 
-/* An entry that was paused may hear of its claim after the deadline; by then
- * its caller has been told that nothing ran. */
+/* A gateway that was paused may receive its claim after the deadline, when the
+ * caller has already been answered NOT_RUN. */
 static bool
 time_left(void *ctx, const void *event_data)
 {
