--- a/lib/route/catalogue.c
+++ b/lib/route/catalogue.c
@@ -1,4 +1,4 @@
-/* A team's branch of the settings in typed form. */
+/* A workspace's settings branch in typed form. */
 
 #include <string.h>
 
@@ -10,7 +10,7 @@
 	g_strlcpy(out, from == NULL ? "" : from, RT_NAME_MAX + 1);
 }
 
-/* A NULL-terminated array of the strings of a list; strings are borrowed. */
+/* Returns a NULL-terminated array of a list's strings, which are borrowed. */
 static const char **
 read_strings(const struct cfg *cfg, const char *path)
 {
@@ -41,23 +41,23 @@
 read_version(const struct cfg *cfg, const char *model, const char *name,
     struct rt_version *out)
 {
-	char *at = g_strdup_printf("models.%s.versions.%s", model, name);
+	char *path = g_strdup_printf("models.%s.versions.%s", model, name);
 
 	copy_name(out->name, name);
-	digest_from_hex(cfg_str(cfg, "%s.root", at), &out->root);
-	out->bytes = (uint64_t)cfg_int(cfg, "%s.bytes", at);
-	out->chunk_bytes = (uint64_t)cfg_int(cfg, "%s.chunk_bytes", at);
-	out->weights = cfg_str(cfg, "%s.weights", at);
-	out->chunks = cfg_str(cfg, "%s.chunks", at);
+	digest_from_hex(cfg_str(cfg, "%s.root", path), &out->root);
+	out->bytes = (uint64_t)cfg_int(cfg, "%s.bytes", path);
+	out->chunk_bytes = (uint64_t)cfg_int(cfg, "%s.chunk_bytes", path);
+	out->weights = cfg_str(cfg, "%s.weights", path);
+	out->chunks = cfg_str(cfg, "%s.chunks", path);
 	out->weight = rule_weight(cfg, model, name);
-	g_free(at);
+	g_free(path);
 }
 
 static void
 read_rollout(const struct cfg *cfg, struct rt_model *out)
 {
-	char *at = g_strdup_printf("models.%s.rollout", out->name);
-	const char *wanted = cfg_str(cfg, "%s.version", at);
+	char *path = g_strdup_printf("models.%s.rollout", out->name);
+	const char *wanted = cfg_str(cfg, "%s.version", path);
 	size_t i;
 
 	for (i = 0; i < out->nversions; i++) {
@@ -65,12 +65,13 @@
 			out->rollout = &out->versions[i];
 	}
 	out->time_first =
-	    strcmp(cfg_str(cfg, "%s.policy", at), "time_first") == 0;
-	out->origin_copies = (unsigned int)cfg_int(cfg, "%s.origin_copies", at);
+	    strcmp(cfg_str(cfg, "%s.policy", path), "time_first") == 0;
+	out->origin_copies =
+	    (unsigned int)cfg_int(cfg, "%s.origin_copies", path);
 	out->max_unavailable =
-	    (unsigned int)cfg_int(cfg, "%s.max_unavailable", at);
-	out->room_for_two = cfg_bool(cfg, "%s.room_for_two", at);
-	g_free(at);
+	    (unsigned int)cfg_int(cfg, "%s.max_unavailable", path);
+	out->room_for_two = cfg_bool(cfg, "%s.room_for_two", path);
+	g_free(path);
 }
 
 static void
@@ -244,17 +245,17 @@
 	return n;
 }
 
-/* The version whose share of the weights holds `draw`. */
+/* The version whose range of the cumulative weights contains `draw`. */
 static size_t
 drawn_version(const struct rt_model *model, uint64_t draw, uint64_t total)
 {
-	uint64_t at = 0;
+	uint64_t end = 0;
 	size_t i;
 
 	draw %= total;
 	for (i = 0; i + 1 < model->nversions; i++) {
-		at += model->versions[i].weight;
-		if (draw < at)
+		end += model->versions[i].weight;
+		if (draw < end)
 			break;
 	}
 	return i;
@@ -282,10 +283,10 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* A side's targets as text                                            */
+/* A sidecar's targets as text                                         */
 /* ------------------------------------------------------------------ */
 
-#define INFO_PARTS 5
+#define INFO_FIELDS 5
 
 void
 rt_info_append(GString *out, const struct rt_target_info *target)
@@ -299,20 +300,20 @@
 static bool
 read_info(const char *text, struct rt_target_info *out)
 {
-	char **part = g_strsplit(text, ",", INFO_PARTS);
-	bool good = g_strv_length(part) == INFO_PARTS;
-	bool service = good && strcmp(part[1], "service") == 0;
+	char **field = g_strsplit(text, ",", INFO_FIELDS);
+	bool valid = g_strv_length(field) == INFO_FIELDS;
+	bool service = valid && strcmp(field[1], "service") == 0;
 
-	good = good && (service || strcmp(part[1], "engine") == 0);
-	if (good) {
-		copy_name(out->name, part[0]);
+	valid = valid && (service || strcmp(field[1], "engine") == 0);
+	if (valid) {
+		copy_name(out->name, field[0]);
 		out->kind = service ? RT_SERVICE : RT_ENGINE;
-		copy_name(out->team, part[2]);
-		copy_name(out->pool, part[3]);
-		copy_name(out->service, part[4]);
+		copy_name(out->team, field[2]);
+		copy_name(out->pool, field[3]);
+		copy_name(out->service, field[4]);
 	}
-	g_strfreev(part);
-	return good;
+	g_strfreev(field);
+	return valid;
 }
 
 void
--- a/lib/route/messages.c
+++ b/lib/route/messages.c
@@ -1,4 +1,4 @@
-/* Field tables of the messages of entries and sides. */
+/* Field tables of the messages between gateways and sidecars. */
 
 #include "route/route.h"
 
