--- a/lib/route/claim.c
+++ b/lib/route/claim.c
@@ -1,15 +1,15 @@
-/* One bucket of claims: what an ask is told, and what calls for a write. */
+/* One bucket of claims: answers to requests, and scheduling of writes. */
 
 #include <string.h>
 
 #include "route/claim_internal.h"
 
-#define SETTLES_MAX 4096 /* kept while the API is down; the oldest go */
+#define SETTLES_MAX 4096 /* queued while the API is down; drops the oldest */
 #define DOWN_RETRY_MS 1000
 #define DOUBT_RETRY_MS 1000
 
 /* ------------------------------------------------------------------ */
-/* Asks and their lists                                                */
+/* Pending requests and their lists                                    */
 /* ------------------------------------------------------------------ */
 
 unsigned int
@@ -19,7 +19,7 @@
 }
 
 void
-clm_put_in(struct clm_asks *list, struct clm_ask *ask)
+clm_enqueue(struct clm_asks *list, struct clm_ask *ask)
 {
 	g_assert(ask->list == NULL);
 	TAILQ_INSERT_TAIL(list, ask, link);
@@ -42,7 +42,7 @@
 
 	while ((ask = TAILQ_FIRST(from)) != NULL) {
 		clm_forget(ask);
-		clm_put_in(to, ask);
+		clm_enqueue(to, ask);
 	}
 }
 
@@ -65,7 +65,7 @@
 }
 
 static void
-answer_recorded(
+answer_with_outcome(
     struct clm *clm, struct clm_ask *ask, const struct clm_record *record)
 {
 	const struct clm_outcome outcome = {
@@ -81,13 +81,13 @@
 }
 
 void
-clm_be_due(struct clm *clm, int64_t at_us)
+clm_schedule_write(struct clm *clm, int64_t at_us)
 {
 	clm->due_us = MIN(clm->due_us, at_us);
 }
 
 /* ------------------------------------------------------------------ */
-/* Askers' words                                                       */
+/* Reported outcomes                                                   */
 /* ------------------------------------------------------------------ */
 
 void
@@ -121,7 +121,7 @@
 	clm->nsettles++;
 }
 
-/* What ran stays so; only its own asker's word counts. */
+/* A record in state CLM_RAN is final. Only its claimant changes a record. */
 static void
 apply(struct clm *clm, const struct settle *s)
 {
@@ -137,25 +137,25 @@
 }
 
 static void
-take_word(struct clm *clm, const char *key, const char *asker,
+add_outcome(struct clm *clm, const char *key, const char *asker,
     const struct clm_outcome *outcome, int64_t now_us)
 {
 	add_settle(clm, key, asker, outcome);
-	if (clm->phase != PHASE_HELD)
+	if (clm->phase != PHASE_OWNED)
 		return;
 	apply(clm, TAILQ_LAST(&clm->settles, settles));
-	clm_be_due(clm, now_us + CLM_OUTCOME_MS * 1000);
+	clm_schedule_write(clm, now_us + CLM_OUTCOME_MS * 1000);
 }
 
-/* The asker is told that nothing ran although its claim may be in, or get
- * in yet: the claim is taken out as soon as that is possible. */
+/* Answers CLM_DOWN, hence NOT_RUN, although the claim may be stored, or be
+ * stored later: queues its removal. */
 void
-clm_refuse_down(struct clm *clm, struct clm_ask *ask, int64_t now_us)
+clm_refuse_unavailable(struct clm *clm, struct clm_ask *ask, int64_t now_us)
 {
 	const struct clm_outcome nothing = { .verdict = VERDICT_NOT_RUN };
 
 	if (ask->tried)
-		take_word(clm, ask->key, ask->asker, &nothing, now_us);
+		add_outcome(clm, ask->key, ask->asker, &nothing, now_us);
 	clm_answer(clm, ask, CLM_DOWN);
 }
 
@@ -169,7 +169,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What an ask is told                                                 */
+/* Answers to requests                                                 */
 /* ------------------------------------------------------------------ */
 
 static bool
@@ -182,32 +182,33 @@
 	return clm->ops->is_live(entry, clm->ctx);
 }
 
-/* Another asker's claim that has no outcome. */
+/* The record is of another claimant and has no outcome. */
 static void
-consider_other(struct clm *clm, struct clm_ask *ask,
+evaluate_other(struct clm *clm, struct clm_ask *ask,
     const struct clm_record *record, int64_t now_us)
 {
-	/* Without the lease another owner may know more by now. */
+	/* Without the lease another owner may have changed the object. */
 	if (now_us >= clm->lease_until_us && !clm->writing && !ask->reread) {
 		ask->reread = true;
-		clm_put_in(&clm->pending, ask);
+		clm_enqueue(&clm->pending, ask);
 		clm_step_down(clm, now_us);
 		return;
 	}
 	if (record->state == CLM_RUNNING && ask->until_us > now_us &&
 	    asker_is_live(clm, record->asker))
-		clm_put_in(&clm->waiting, ask);
+		clm_enqueue(&clm->waiting, ask);
 	else
 		clm_answer(clm, ask, CLM_IN_DOUBT);
 }
 
 /*
- * The asker's own claim. Granted when it is surely in and the lease holds;
- * else a write decides: an owner that was paused for longer than its lease may
- * have been followed by another, and then its write is refused.
+ * The record is of the same claimant. Grants the claim if it is confirmed in
+ * the object and the lease is valid. Otherwise a write decides: an owner that
+ * was paused beyond its lease may have been replaced, and then its write is
+ * refused.
  */
 static void
-consider_own(struct clm *clm, struct clm_ask *ask,
+evaluate_own(struct clm *clm, struct clm_ask *ask,
     const struct clm_record *record, int64_t now_us)
 {
 	if (record->state == CLM_UNSURE) {
@@ -215,35 +216,35 @@
 	} else if (record->written && now_us < clm->lease_until_us) {
 		clm_answer(clm, ask, CLM_GRANTED);
 	} else if (clm->writing && !record->written) {
-		clm_put_in(&clm->inflight, ask);
+		clm_enqueue(&clm->inflight, ask);
 	} else {
-		clm_put_in(&clm->pending, ask);
-		clm_be_due(clm, now_us);
+		clm_enqueue(&clm->pending, ask);
+		clm_schedule_write(clm, now_us);
 	}
 }
 
 void
-clm_consider(struct clm *clm, struct clm_ask *ask, int64_t now_us)
+clm_evaluate(struct clm *clm, struct clm_ask *ask, int64_t now_us)
 {
 	const struct clm_record *record =
 	    g_hash_table_lookup(clm->records, ask->key);
 
 	if (record == NULL) {
-		clm_put_in(&clm->pending, ask);
-		clm_be_due(clm, now_us + CLM_GROUP_MS * 1000);
+		clm_enqueue(&clm->pending, ask);
+		clm_schedule_write(clm, now_us + CLM_GROUP_MS * 1000);
 	} else if (!digest_equal(&record->body, &ask->body)) {
 		clm_answer(clm, ask, CLM_OTHER_BODY);
 	} else if (record->state == CLM_RAN) {
-		answer_recorded(clm, ask, record);
+		answer_with_outcome(clm, ask, record);
 	} else if (strcmp(record->asker, ask->asker) == 0) {
-		consider_own(clm, ask, record, now_us);
+		evaluate_own(clm, ask, record, now_us);
 	} else {
-		consider_other(clm, ask, record, now_us);
+		evaluate_other(clm, ask, record, now_us);
 	}
 }
 
 void
-clm_consider_all(struct clm *clm, struct clm_asks *list, int64_t now_us)
+clm_evaluate_all(struct clm *clm, struct clm_asks *list, int64_t now_us)
 {
 	struct clm_asks asks = TAILQ_HEAD_INITIALIZER(asks);
 	struct clm_ask *ask;
@@ -251,10 +252,10 @@
 	clm_move_all(list, &asks);
 	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
 		clm_forget(ask);
-		if (clm->phase == PHASE_HELD)
-			clm_consider(clm, ask, now_us);
+		if (clm->phase == PHASE_OWNED)
+			clm_evaluate(clm, ask, now_us);
 		else
-			clm_put_in(&clm->pending, ask);
+			clm_enqueue(&clm->pending, ask);
 	}
 }
 
@@ -284,15 +285,15 @@
 void
 clm_free(struct clm *clm)
 {
-	struct clm_asks gone = TAILQ_HEAD_INITIALIZER(gone);
+	struct clm_asks dropped = TAILQ_HEAD_INITIALIZER(dropped);
 
 	if (clm == NULL)
 		return;
-	clm_move_all(&clm->pending, &gone);
-	clm_move_all(&clm->inflight, &gone);
-	clm_move_all(&clm->waiting, &gone);
-	while (!TAILQ_EMPTY(&gone))
-		clm_forget(TAILQ_FIRST(&gone));
+	clm_move_all(&clm->pending, &dropped);
+	clm_move_all(&clm->inflight, &dropped);
+	clm_move_all(&clm->waiting, &dropped);
+	while (!TAILQ_EMPTY(&dropped))
+		clm_forget(TAILQ_FIRST(&dropped));
 	while (!TAILQ_EMPTY(&clm->settles))
 		clm_free_settle(clm, TAILQ_FIRST(&clm->settles));
 	g_hash_table_unref(clm->records);
@@ -302,7 +303,7 @@
 }
 
 static bool
-is_good(const char *text, size_t max)
+is_valid_text(const char *text, size_t max)
 {
 	return strlen(text) <= max && g_utf8_validate(text, -1, NULL);
 }
@@ -312,19 +313,19 @@
 {
 	ask->tried = false;
 	ask->reread = false;
-	if (!is_good(ask->key, CLM_KEY_MAX) ||
-	    !is_good(ask->asker, CLM_ASKER_MAX)) {
+	if (!is_valid_text(ask->key, CLM_KEY_MAX) ||
+	    !is_valid_text(ask->asker, CLM_ASKER_MAX)) {
 		clm_answer(clm, ask, CLM_BAD_KEY);
 		return;
 	}
 	switch (clm->phase) {
-	case PHASE_HELD:
-		clm_consider(clm, ask, now_us);
+	case PHASE_OWNED:
+		clm_evaluate(clm, ask, now_us);
 		return;
 	case PHASE_READING:
-		clm_put_in(&clm->pending, ask);
+		clm_enqueue(&clm->pending, ask);
 		return;
-	case PHASE_FOREIGN:
+	case PHASE_NOT_OWNED:
 		if (now_us < clm->seen_us + TAKE_OVER_US &&
 		    clm->ops->is_live(clm->owner, clm->ctx)) {
 			clm_answer(clm, ask, CLM_MOVED);
@@ -334,7 +335,7 @@
 	case PHASE_IDLE:
 		break;
 	}
-	clm_put_in(&clm->pending, ask);
+	clm_enqueue(&clm->pending, ask);
 	clm_start_read(clm, now_us);
 }
 
@@ -342,15 +343,15 @@
 clm_settle(struct clm *clm, const char *key, const char *asker,
     const struct clm_outcome *outcome, int64_t now_us)
 {
-	take_word(clm, key, asker, outcome, now_us);
+	add_outcome(clm, key, asker, outcome, now_us);
 	switch (clm->phase) {
-	case PHASE_HELD:
-		clm_consider_all(clm, &clm->waiting, now_us);
+	case PHASE_OWNED:
+		clm_evaluate_all(clm, &clm->waiting, now_us);
 		return;
 	case PHASE_READING:
 		return;
-	case PHASE_FOREIGN:
-		clm_pass_on_settles(clm);
+	case PHASE_NOT_OWNED:
+		clm_forward_settles(clm);
 		return;
 	case PHASE_IDLE:
 		if (now_us >= clm->retry_us)
@@ -362,15 +363,16 @@
 void
 clm_give_up(struct clm *clm, int64_t now_us)
 {
-	if (clm->phase != PHASE_HELD)
+	if (clm->phase != PHASE_OWNED)
 		return;
-	clm->giving_up = true;
-	clm_be_due(clm, now_us);
+	clm->releasing = true;
+	clm_schedule_write(clm, now_us);
 }
 
-/* An ask that waited for as long as its request may. */
+/* Answers requests past their `until_us`. `claimed`: by another claimant. */
 static void
-expire(struct clm *clm, struct clm_asks *list, bool known, int64_t now_us)
+expire_waits(
+    struct clm *clm, struct clm_asks *list, bool claimed, int64_t now_us)
 {
 	struct clm_ask *ask, *next;
 
@@ -378,21 +380,21 @@
 		next = TAILQ_NEXT(ask, link);
 		if (ask->until_us > now_us)
 			continue;
-		if (known)
+		if (claimed)
 			clm_answer(clm, ask, CLM_IN_DOUBT);
 		else
-			clm_refuse_down(clm, ask, now_us);
+			clm_refuse_unavailable(clm, ask, now_us);
 	}
 }
 
 void
 clm_tick(struct clm *clm, int64_t now_us)
 {
-	expire(clm, &clm->waiting, true, now_us);
-	expire(clm, &clm->pending, false, now_us);
-	expire(clm, &clm->inflight, false, now_us);
-	if (clm->phase == PHASE_HELD)
-		clm_consider_all(clm, &clm->waiting, now_us);
+	expire_waits(clm, &clm->waiting, true, now_us);
+	expire_waits(clm, &clm->pending, false, now_us);
+	expire_waits(clm, &clm->inflight, false, now_us);
+	if (clm->phase == PHASE_OWNED)
+		clm_evaluate_all(clm, &clm->waiting, now_us);
 	if (clm->phase == PHASE_IDLE && !TAILQ_EMPTY(&clm->settles) &&
 	    now_us >= clm->retry_us)
 		clm_start_read(clm, now_us);
@@ -400,7 +402,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What callers are told                                               */
+/* Errors for callers                                                  */
 /* ------------------------------------------------------------------ */
 
 void
@@ -409,7 +411,7 @@
 	switch (result) {
 	case CLM_IN_DOUBT:
 		err_set(out, ERR_IN_DOUBT, VERDICT_MAY_HAVE_RUN,
-		    "an earlier try with this key may have run");
+		    "an earlier request with this key may have run");
 		out->retry_after_ms = DOUBT_RETRY_MS;
 		return;
 	case CLM_OTHER_BODY:
@@ -438,5 +440,5 @@
 	*out = clm->stats;
 	out->records = g_hash_table_size(clm->records);
 	out->unwritten = clm->nsettles;
-	out->held = clm->phase == PHASE_HELD;
+	out->held = clm->phase == PHASE_OWNED;
 }
--- a/lib/route/claim.h
+++ b/lib/route/claim.h
@@ -69,7 +69,7 @@
 void clm_error(enum clm_result result, struct err *out);
 
 struct clm_outcome {
-	enum verdict verdict; /* MAY_HAVE_RUN: the doubt is final */
+	enum verdict verdict; /* MAY_HAVE_RUN: permanently in doubt */
 	unsigned int status;
 	const char *type; /* media type of the answer; may be NULL */
 	const char *answer; /* NULL: too long to store, or not UTF-8 */
--- a/lib/route/claim_internal.h
+++ b/lib/route/claim_internal.h
@@ -1,14 +1,14 @@
 #ifndef CLAIM_INTERNAL_H
 #define CLAIM_INTERNAL_H
 
-/* A bucket, its records and their text; internal to route. */
+/* A bucket, its records and their serialization; private to clm. */
 
 #include "route/claim.h"
 
 enum clm_state {
-	CLM_RUNNING, /* claimed; its asker may be at it */
+	CLM_RUNNING, /* claimed; the request may be running */
 	CLM_RAN,
-	CLM_UNSURE, /* its asker does not know */
+	CLM_UNSURE, /* the claimant reported MAY_HAVE_RUN */
 	CLM_STATES,
 };
 
@@ -17,28 +17,28 @@
 	char *asker;
 	struct digest body;
 	enum clm_state state;
-	int64_t claimed_us; /* by this owner's clock; may be before its start */
+	int64_t claimed_us; /* by the local clock; may precede its start */
 	uint64_t keep_s;
 	unsigned int status;
 	char *type;
 	char *answer;
 	struct digest digest;
-	bool written; /* in the object for certain */
+	bool written; /* confirmed to be in the object */
 };
 
-/* key -> struct clm_record, both owned. */
+/* Maps a key to its struct clm_record; owns both. */
 GHashTable *clm_records_new(void);
 struct clm_record *clm_record_add(
     GHashTable *records, const struct clm_ask *ask, int64_t now_us);
 void clm_record_settle(
     struct clm_record *record, const struct clm_outcome *outcome);
-/* Drops the records whose time is over. */
+/* Removes expired records. */
 void clm_records_prune(GHashTable *records, int64_t now_us);
-/* Drops the kept answers, to make room. */
+/* Removes the stored answers to reduce the size; keeps their digests. */
 void clm_records_strip(GHashTable *records);
 char *clm_records_print(
     GHashTable *records, const char *owner, uint64_t fence, int64_t now_us);
-/* `owner` is to be freed. False when the text is not a bucket. */
+/* Returns false if the text is not a bucket. The caller frees `owner`. */
 bool clm_records_parse(GHashTable *records, const char *text, int64_t now_us,
     char **owner, uint64_t *fence);
 
@@ -47,17 +47,17 @@
 /* ------------------------------------------------------------------ */
 
 #define NEVER INT64_MAX
-/* A lease and a tenth: clocks of two hosts may run at different rates. */
+/* The lease plus 10%, as the clocks of two hosts may run at different rates. */
 #define TAKE_OVER_US (CLM_LEASE_MS * 1100)
 
 enum phase {
-	PHASE_IDLE, /* nothing known of the object */
+	PHASE_IDLE, /* the object's state is unknown */
 	PHASE_READING,
-	PHASE_HELD, /* the records are here; writes are ours to try */
-	PHASE_FOREIGN, /* a live entry owns it */
+	PHASE_OWNED, /* the records are in memory and may be written */
+	PHASE_NOT_OWNED, /* another live gateway owns the bucket */
 };
 
-/* An asker's word that is not yet in the object. */
+/* A reported outcome that is not yet in the object. */
 struct settle {
 	TAILQ_ENTRY(settle) link;
 	char *key;
@@ -76,42 +76,43 @@
 	const struct clm_ops *ops;
 	void *ctx;
 	enum phase phase;
-	GHashTable *records; /* while held */
+	GHashTable *records; /* in PHASE_OWNED */
 	uint64_t version;
-	uint64_t fence; /* grows with each change of owner */
-	char *owner; /* as the object says */
-	int64_t seen_us; /* when `version` was first seen, while foreign */
-	int64_t read_us; /* begin of the present read */
+	uint64_t fence; /* increases with each change of owner */
+	char *owner; /* as last read or written */
+	int64_t seen_us; /* first read of `version`, if not owned */
+	int64_t read_us; /* start of the current read */
 	int64_t retry_us;
 	int64_t lease_until_us;
 	bool writing;
-	int64_t sent_us; /* begin of the present write */
-	int64_t due_us; /* of the next write */
-	bool giving_up;
-	struct clm_asks pending; /* need a write, or the records */
-	struct clm_asks inflight; /* in the present write */
-	struct clm_asks waiting; /* for another asker's outcome */
-	struct settles settles;
+	int64_t sent_us; /* start of the current write */
+	int64_t due_us; /* earliest time of the next write */
+	bool releasing;
+	struct clm_asks pending; /* wait for a read or for the next write */
+	struct clm_asks inflight; /* in the current write */
+	struct clm_asks waiting; /* for the outcome of another claimant */
+	struct settles settles; /* oldest first */
 	unsigned int nsettles;
 	struct clm_stats stats;
 };
 
 /* claim.c */
-void clm_put_in(struct clm_asks *list, struct clm_ask *ask);
+void clm_enqueue(struct clm_asks *list, struct clm_ask *ask);
 void clm_move_all(struct clm_asks *from, struct clm_asks *to);
 void clm_answer(struct clm *clm, struct clm_ask *ask, enum clm_result result);
 void clm_answer_all(
     struct clm *clm, struct clm_asks *list, enum clm_result result);
-void clm_be_due(struct clm *clm, int64_t at_us);
+void clm_schedule_write(struct clm *clm, int64_t at_us);
 void clm_free_settle(struct clm *clm, struct settle *s);
 void clm_apply_all(struct clm *clm);
-void clm_refuse_down(struct clm *clm, struct clm_ask *ask, int64_t now_us);
-void clm_consider(struct clm *clm, struct clm_ask *ask, int64_t now_us);
-void clm_consider_all(struct clm *clm, struct clm_asks *list, int64_t now_us);
+void clm_refuse_unavailable(
+    struct clm *clm, struct clm_ask *ask, int64_t now_us);
+void clm_evaluate(struct clm *clm, struct clm_ask *ask, int64_t now_us);
+void clm_evaluate_all(struct clm *clm, struct clm_asks *list, int64_t now_us);
 /* claim_io.c */
 void clm_start_read(struct clm *clm, int64_t now_us);
 void clm_step_down(struct clm *clm, int64_t now_us);
 void clm_write_if_due(struct clm *clm, int64_t now_us);
-void clm_pass_on_settles(struct clm *clm);
+void clm_forward_settles(struct clm *clm);
 
 #endif
--- a/lib/route/claim_io.c
+++ b/lib/route/claim_io.c
@@ -5,7 +5,7 @@
 #include "route/claim_internal.h"
 
 #define RETRY_US G_USEC_PER_SEC /* between reads while the API is down */
-#define PACE_BURST 8 /* writes that a quiet time allows at once */
+#define WRITE_BURST 8 /* writes allowed at once after an idle period */
 
 /* ------------------------------------------------------------------ */
 /* Reading                                                             */
@@ -21,9 +21,10 @@
 }
 
 /*
- * What is in memory may not be what is in the object: a write was lost or
- * its answer was, or the lease ran out. The object is read back before anything
- * is granted from it; claims that got in are found there by their askers' names.
+ * The records in memory may differ from the object: a write was refused, its
+ * answer was lost, or the lease expired. Returns to PHASE_IDLE, so that the
+ * object is read back before any claim is granted; claims that were stored are
+ * then found by their claimant.
  */
 void
 clm_step_down(struct clm *clm, int64_t now_us)
@@ -38,7 +39,7 @@
 }
 
 void
-clm_pass_on_settles(struct clm *clm)
+clm_forward_settles(struct clm *clm)
 {
 	struct settle *s;
 
@@ -50,17 +51,17 @@
 }
 
 static void
-stay_out(struct clm *clm)
+leave_to_owner(struct clm *clm)
 {
-	clm->phase = PHASE_FOREIGN;
+	clm->phase = PHASE_NOT_OWNED;
 	g_hash_table_remove_all(clm->records);
-	clm_pass_on_settles(clm);
+	clm_forward_settles(clm);
 	clm_answer_all(clm, &clm->pending, CLM_MOVED);
 	clm_answer_all(clm, &clm->waiting, CLM_MOVED);
 }
 
 static void
-note_reread(struct clm_asks *list)
+mark_reread(struct clm_asks *list)
 {
 	struct clm_ask *ask;
 
@@ -73,19 +74,19 @@
 {
 	bool ours = strcmp(clm->owner, clm->self) == 0;
 
-	clm->phase = PHASE_HELD;
-	clm->giving_up = false;
+	clm->phase = PHASE_OWNED;
+	clm->releasing = false;
 	clm->stats.takeovers += ours ? 0 : 1;
 	clm->fence += ours ? 0 : 1;
 	clm->due_us = NEVER;
 	clm_apply_all(clm);
-	note_reread(&clm->pending);
-	clm_consider_all(clm, &clm->waiting, now_us);
-	clm_consider_all(clm, &clm->pending, now_us);
+	mark_reread(&clm->pending);
+	clm_evaluate_all(clm, &clm->waiting, now_us);
+	clm_evaluate_all(clm, &clm->pending, now_us);
 	if (!TAILQ_EMPTY(&clm->pending))
-		clm_be_due(clm, now_us);
+		clm_schedule_write(clm, now_us);
 	if (!TAILQ_EMPTY(&clm->settles))
-		clm_be_due(clm, now_us + CLM_OUTCOME_MS * 1000);
+		clm_schedule_write(clm, now_us + CLM_OUTCOME_MS * 1000);
 }
 
 static void
@@ -97,18 +98,19 @@
 	clm->retry_us = now_us + RETRY_US;
 	g_hash_table_remove_all(clm->records);
 	while ((ask = TAILQ_FIRST(&clm->pending)) != NULL)
-		clm_refuse_down(clm, ask, now_us);
-	/* These are known to have been claimed by another. */
+		clm_refuse_unavailable(clm, ask, now_us);
+	/* The keys of these requests are claimed by other claimants. */
 	clm_answer_all(clm, &clm->waiting, CLM_IN_DOUBT);
 }
 
 /*
- * The object's owner is another live entry. It loses the bucket only after
- * the object has not changed for a lease from the first sight of it to the
- * begin of this read: what that owner wrote before was sent before.
+ * Whether the object's owner is another live gateway whose lease may be valid.
+ * Its lease has expired if the object did not change for TAKE_OVER_US from the
+ * first read of this version to the start of this read: the write that made
+ * the version was sent before the first read.
  */
 static bool
-is_foreign(struct clm *clm, uint64_t version, int64_t now_us)
+owned_by_other(struct clm *clm, uint64_t version, int64_t now_us)
 {
 	bool same = clm->seen_us != 0 && clm->version == version;
 
@@ -129,7 +131,7 @@
     int64_t now_us)
 {
 	char *owner = NULL;
-	bool foreign;
+	bool not_owned;
 
 	g_hash_table_remove_all(clm->records);
 	if (!failed && value == NULL) {
@@ -143,10 +145,10 @@
 	}
 	g_free(clm->owner);
 	clm->owner = owner;
-	foreign = is_foreign(clm, version, now_us);
+	not_owned = owned_by_other(clm, version, now_us);
 	clm->version = version;
-	if (foreign)
-		stay_out(clm);
+	if (not_owned)
+		leave_to_owner(clm);
 	else
 		take_over(clm, now_us);
 }
@@ -163,22 +165,22 @@
 	struct clm_ask *ask;
 
 	clm_move_all(&clm->pending, &asks);
-	note_reread(&asks); /* a write tells as much as a read would */
+	mark_reread(&asks); /* the write verifies the version as a read would */
 	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
 		clm_forget(ask);
 		record = g_hash_table_lookup(clm->records, ask->key);
 		if (record != NULL && strcmp(record->asker, ask->asker) != 0) {
-			clm_consider(clm, ask, now_us);
+			clm_evaluate(clm, ask, now_us);
 			continue;
 		}
 		if (record == NULL)
 			clm_record_add(clm->records, ask, now_us);
 		ask->tried = true;
-		clm_put_in(&clm->inflight, ask);
+		clm_enqueue(&clm->inflight, ask);
 	}
 }
 
-/* Takes back the claims that were to be made. */
+/* Removes the claims that are not yet stored, and answers CLM_FULL. */
 static void
 refuse_full(struct clm *clm)
 {
@@ -195,10 +197,10 @@
 	}
 }
 
-/* Kept answers go before a claim is refused, and no claim goes before its
- * time: a record that is dropped lets its request run again. */
+/* Removes stored answers first and then refuses new claims, but never removes
+ * an unexpired record: without it the request could run again. */
 static char *
-print_within_bounds(struct clm *clm, const char *owner, int64_t now_us)
+print_bounded(struct clm *clm, const char *owner, int64_t now_us)
 {
 	char *text = clm_records_print(clm->records, owner, clm->fence, now_us);
 
@@ -218,14 +220,14 @@
 }
 
 static bool
-pace_allows(struct clm_pace *pace, int64_t now_us)
+write_allowed(struct clm_pace *pace, int64_t now_us)
 {
 	int64_t each_us = G_USEC_PER_SEC / MAX(pace->writes_s, 1);
 
 	if (pace->next_us > now_us)
 		return false;
 	pace->next_us =
-	    MAX(pace->next_us, now_us - PACE_BURST * each_us) + each_us;
+	    MAX(pace->next_us, now_us - WRITE_BURST * each_us) + each_us;
 	return true;
 }
 
@@ -239,10 +241,9 @@
 	clm_records_prune(clm->records, now_us);
 	claim_pending(clm, now_us);
 	if (TAILQ_EMPTY(&clm->inflight) && TAILQ_EMPTY(&clm->settles) &&
-	    !clm->giving_up)
-		return; /* what called for a write was withdrawn */
-	text =
-	    print_within_bounds(clm, clm->giving_up ? "" : clm->self, now_us);
+	    !clm->releasing)
+		return; /* the reason for the write was cancelled */
+	text = print_bounded(clm, clm->releasing ? "" : clm->self, now_us);
 	TAILQ_FOREACH (s, &clm->settles, link)
 		s->in_write = true;
 	clm->writing = true;
@@ -255,13 +256,13 @@
 void
 clm_write_if_due(struct clm *clm, int64_t now_us)
 {
-	if (clm->phase == PHASE_HELD && !clm->writing &&
-	    now_us >= clm->due_us && pace_allows(clm->pace, now_us))
+	if (clm->phase == PHASE_OWNED && !clm->writing &&
+	    now_us >= clm->due_us && write_allowed(clm->pace, now_us))
 		start_write(clm, now_us);
 }
 
 static void
-note_written(struct clm *clm)
+mark_written(struct clm *clm)
 {
 	struct settle *s, *next;
 	GHashTableIter iter;
@@ -286,30 +287,30 @@
 	clm_move_all(&clm->inflight, &asks);
 	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
 		clm_forget(ask);
-		if (clm->phase != PHASE_HELD) {
-			clm_put_in(&clm->pending, ask);
+		if (clm->phase != PHASE_OWNED) {
+			clm_enqueue(&clm->pending, ask);
 			continue;
 		}
-		/* None there: its asker has said NOT_RUN meanwhile. */
+		/* No record: the claimant has reported NOT_RUN meanwhile. */
 		if (g_hash_table_contains(clm->records, ask->key))
-			clm_consider(clm, ask, now_us);
+			clm_evaluate(clm, ask, now_us);
 		else
 			clm_answer(clm, ask, CLM_DOWN);
 	}
 }
 
 static void
-write_is_in(struct clm *clm, uint64_t version, int64_t now_us)
+write_applied(struct clm *clm, uint64_t version, int64_t now_us)
 {
 	clm->version = version;
 	g_free(clm->owner);
-	clm->owner = g_strdup(clm->giving_up ? "" : clm->self);
-	note_written(clm);
+	clm->owner = g_strdup(clm->releasing ? "" : clm->self);
+	mark_written(clm);
 	clm->lease_until_us = clm->sent_us + CLM_LEASE_MS * 1000;
 	grant_written(clm, now_us);
-	if (!clm->giving_up)
+	if (!clm->releasing)
 		return;
-	clm->giving_up = false;
+	clm->releasing = false;
 	clm_answer_all(clm, &clm->pending, CLM_MOVED);
 	clm_answer_all(clm, &clm->waiting, CLM_MOVED);
 	clm_step_down(clm, now_us);
@@ -321,7 +322,7 @@
 {
 	clm->writing = false;
 	if (end == CLM_WRITE_IN)
-		write_is_in(clm, version, now_us);
+		write_applied(clm, version, now_us);
 	else
 		clm_step_down(clm, now_us);
 }
--- a/lib/route/claim_record.c
+++ b/lib/route/claim_record.c
@@ -1,4 +1,4 @@
-/* Records of a bucket, and the object's text. */
+/* Records of a bucket and their JSON text. */
 
 #include <json-glib/json-glib.h>
 #include <string.h>
@@ -45,7 +45,7 @@
 }
 
 static char *
-kept_text(const char *text, size_t max)
+copy_bounded(const char *text, size_t max)
 {
 	if (text == NULL || strlen(text) > max ||
 	    !g_utf8_validate(text, -1, NULL))
@@ -60,13 +60,13 @@
 	g_free(record->answer);
 	record->state = outcome->verdict == VERDICT_RAN ? CLM_RAN : CLM_UNSURE;
 	record->status = outcome->status;
-	record->type = kept_text(outcome->type, CLM_TYPE_MAX);
-	record->answer = kept_text(outcome->answer, CLM_ANSWER_MAX);
+	record->type = copy_bounded(outcome->type, CLM_TYPE_MAX);
+	record->answer = copy_bounded(outcome->answer, CLM_ANSWER_MAX);
 	record->digest = outcome->digest;
 }
 
 /* ------------------------------------------------------------------ */
-/* Keeping within bounds                                               */
+/* Expiry and size                                                     */
 /* ------------------------------------------------------------------ */
 
 static int64_t
@@ -76,7 +76,7 @@
 }
 
 static gboolean
-is_over(gpointer key, gpointer value, gpointer data)
+is_expired(gpointer key, gpointer value, gpointer data)
 {
 	const struct clm_record *record = value;
 	const int64_t *now_us = data;
@@ -87,7 +87,7 @@
 void
 clm_records_prune(GHashTable *records, int64_t now_us)
 {
-	g_hash_table_foreach_remove(records, is_over, &now_us);
+	g_hash_table_foreach_remove(records, is_expired, &now_us);
 }
 
 void
@@ -229,7 +229,7 @@
 }
 
 static bool
-read_root(GHashTable *records, JsonObject *o, int64_t now_us)
+read_claims(GHashTable *records, JsonObject *o, int64_t now_us)
 {
 	JsonNode *node = json_object_get_member(o, "claims");
 	JsonArray *claims;
@@ -254,18 +254,18 @@
 {
 	JsonParser *parser = json_parser_new();
 	JsonObject *o = NULL;
-	bool good = false;
+	bool valid = false;
 
 	if (json_parser_load_from_data(parser, text, -1, NULL) &&
 	    json_parser_get_root(parser) != NULL &&
 	    JSON_NODE_HOLDS_OBJECT(json_parser_get_root(parser)))
 		o = json_node_get_object(json_parser_get_root(parser));
 	if (o != NULL && read_text(o, "owner") != NULL &&
-	    read_root(records, o, now_us)) {
+	    read_claims(records, o, now_us)) {
 		*owner = g_strdup(read_text(o, "owner"));
 		*fence = (uint64_t)read_int(o, "fence");
-		good = true;
+		valid = true;
 	}
 	g_object_unref(parser);
-	return good;
+	return valid;
 }
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -170,7 +170,7 @@
 	struct slice json; /* an array of events */
 };
 
-/* Gateway to gateway: a workspace's demand at the sender; see lim_reported(). */
+/* Gateway to gateway: a workspace's local demand; see lim_reported(). */
 struct rt_demand {
 	struct slice team;
 	uint64_t demand_milli_s;
