--- a/tests/route/test_attempt.c
+++ b/tests/route/test_attempt.c
@@ -1,4 +1,4 @@
-/* Attempts: every event in every state, and what the verdict allows. */
+/* Attempts: the state machine, and the retries that each verdict allows. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,41 +10,41 @@
 
 static struct att_chart *chart;
 
-struct trail { /* what the callbacks saw */
+struct recorder { /* records the actions */
 	struct att att;
-	char ran[128];
+	char actions[128];
 };
 
 static void
-note(struct trail *trail, const char *what)
+record(struct recorder *rec, const char *what)
 {
-	if (trail->ran[0] != '\0')
-		g_strlcat(trail->ran, " ", sizeof(trail->ran));
-	g_strlcat(trail->ran, what, sizeof(trail->ran));
+	if (rec->actions[0] != '\0')
+		g_strlcat(rec->actions, " ", sizeof(rec->actions));
+	g_strlcat(rec->actions, what, sizeof(rec->actions));
 }
 
 static void
 on_dispatch(void *ctx)
 {
-	struct trail *trail = ctx;
+	struct recorder *rec = ctx;
 
-	trail->att.facts.attempts++;
-	note(trail, "dispatch");
+	rec->att.facts.attempts++;
+	record(rec, "dispatch");
 }
 
-#define RECORDER(name)                   \
+#define ACTION(name)                     \
 	static void on_##name(void *ctx) \
 	{                                \
-		note(ctx, #name);        \
+		record(ctx, #name);      \
 	}
-RECORDER(pass_head)
-RECORDER(finish)
-RECORDER(fail)
-RECORDER(cut)
-RECORDER(cancel)
-RECORDER(claim)
-RECORDER(detach)
-RECORDER(settle)
+ACTION(pass_head)
+ACTION(finish)
+ACTION(fail)
+ACTION(cut)
+ACTION(cancel)
+ACTION(claim)
+ACTION(detach)
+ACTION(settle)
 
 static const struct att_ops ops = {
 	.claim = on_claim,
@@ -59,11 +59,11 @@
 };
 
 static void
-begin(struct trail *trail, const struct att_facts *facts)
+begin(struct recorder *rec, const struct att_facts *facts)
 {
-	memset(trail, 0, sizeof(*trail));
-	att_init(&trail->att, chart, &ops, trail);
-	trail->att.facts = *facts;
+	memset(rec, 0, sizeof(*rec));
+	att_init(&rec->att, chart, &ops, rec);
+	rec->att.facts = *facts;
 }
 
 #define S ATT_START
@@ -77,50 +77,50 @@
 #define END ATT_EVENTS
 
 /*
- * One request each. `idempotent` 0 and 1 are given apart where they differ;
- * 2 stands for both; KEYED is not idempotent and has a key.
+ * Event sequences of one request each. `idempotent` is 0 or 1 where the cases
+ * differ and 2 for both; KEYED: not idempotent, with a key.
  */
 #define KEYED 3
 
 static const struct {
 	int idempotent;
 	enum att_event events[6];
-	const char *ran;
+	const char *actions;
 	bool over;
 	bool may_have_run;
-} lives[] = {
+} cases[] = {
 	/* Before the first attempt nothing has run. */
 	{ 2, { R, END }, "fail", true, false },
 	{ 2, { T, END }, "fail", true, false },
 	{ 2, { G, END }, "", true, false },
 	{ 2, { L, H, D, END }, "", false, false },
-	/* A whole answer, passed on at once or held. */
+	/* A complete answer, streamed or buffered. */
 	{ 2, { S, D, END }, "dispatch finish", true, false },
 	{ 2, { S, H, D, END }, "dispatch pass_head finish", true, false },
-	/* NOT_RUN: both kinds are tried again. */
+	/* NOT_RUN: any request is retried. */
 	{ 2, { S, R, D, END }, "dispatch dispatch finish", true, false },
 	{ 2, { S, R, R, R, END }, "dispatch dispatch dispatch fail", true,
 	    false },
-	/* MAY_HAVE_RUN: only what is idempotent runs again. */
+	/* MAY_HAVE_RUN: only an idempotent request is retried. */
 	{ 0, { S, L, END }, "dispatch fail", true, true },
 	{ 1, { S, L, D, END }, "dispatch dispatch finish", true, true },
 	{ 1, { S, L, L, L, END }, "dispatch dispatch dispatch fail", true,
 	    true },
-	/* A sure refusal after a loss does not make the request NOT_RUN. */
+	/* NOT_RUN does not clear MAY_HAVE_RUN of an earlier attempt. */
 	{ 1, { S, L, R, R, END }, "dispatch dispatch dispatch fail", true,
 	    true },
 	{ 0, { S, R, L, END }, "dispatch dispatch fail", true, true },
-	/* Nothing is run again once the caller has seen a byte. */
+	/* No retry once the caller has received a byte. */
 	{ 2, { S, H, L, END }, "dispatch pass_head cut", true, true },
 	{ 2, { S, H, R, END }, "dispatch pass_head cut", true, false },
 	{ 2, { S, H, T, END }, "dispatch pass_head cancel cut", true, true },
 	{ 2, { S, H, G, END }, "dispatch pass_head cancel", true, true },
 	{ 2, { S, H, H, S, D, END }, "dispatch pass_head finish", true, false },
-	/* Time up or caller gone while a target may be at it. */
+	/* Deadline or disconnect while a target may run the request. */
 	{ 2, { S, T, END }, "dispatch cancel fail", true, true },
 	{ 2, { S, G, END }, "dispatch cancel", true, true },
-	/* With a key nothing is sent before the claim, and how it ended is
-	 * the last thing done. */
+	/* With a key nothing is sent before the claim is granted, and the
+	 * last action records the outcome. */
 	{ KEYED, { S, C, D, END }, "claim dispatch finish settle", true,
 	    false },
 	{ KEYED, { S, R, END }, "claim fail settle", true, false },
@@ -135,60 +135,60 @@
 	    true },
 	{ KEYED, { S, C, H, L, END }, "claim dispatch pass_head cut settle",
 	    true, true },
-	/* The caller goes, the work does not stop. */
+	/* The caller disconnects, and the work goes on. */
 	{ KEYED, { S, C, G, D, END }, "claim dispatch detach finish settle",
 	    true, false },
 	{ KEYED, { S, C, H, G, D, END },
 	    "claim dispatch pass_head detach finish settle", true, false },
-	/* What comes after the end is dropped. */
+	/* Events after the end are ignored. */
 	{ 2, { S, D, L, H, D, END }, "dispatch finish", true, false },
 	{ 2, { S, T, D, R, G, END }, "dispatch cancel fail", true, true },
 };
 
 static void
-run_life(size_t i, bool idempotent)
+run_case(size_t i, bool idempotent)
 {
-	struct trail trail;
+	struct recorder rec;
 	const struct att_facts facts = {
 		.idempotent = idempotent,
-		.keyed = lives[i].idempotent == KEYED,
+		.keyed = cases[i].idempotent == KEYED,
 		.max_attempts = 3,
 		.budget = true,
 		.time_left = true,
 	};
 	size_t n;
 
-	begin(&trail, &facts);
-	for (n = 0; lives[i].events[n] != END; n++)
-		att_take(&trail.att, lives[i].events[n]);
-	assert_string_equal(trail.ran, lives[i].ran);
-	assert_int_equal(att_is_over(&trail.att), lives[i].over);
-	assert_int_equal(trail.att.may_have_run, lives[i].may_have_run);
+	begin(&rec, &facts);
+	for (n = 0; cases[i].events[n] != END; n++)
+		att_take(&rec.att, cases[i].events[n]);
+	assert_string_equal(rec.actions, cases[i].actions);
+	assert_int_equal(att_is_over(&rec.att), cases[i].over);
+	assert_int_equal(rec.att.may_have_run, cases[i].may_have_run);
 }
 
 static void
-test_lives(void **state)
+test_event_sequences(void **state)
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(lives); i++) {
-		if (lives[i].idempotent != 1)
-			run_life(i, false);
-		if (lives[i].idempotent == 1 || lives[i].idempotent == 2)
-			run_life(i, true);
+	for (i = 0; i < G_N_ELEMENTS(cases); i++) {
+		if (cases[i].idempotent != 1)
+			run_case(i, false);
+		if (cases[i].idempotent == 1 || cases[i].idempotent == 2)
+			run_case(i, true);
 	}
 }
 
 /*
- * The caller gets an error at once and not a second run. The first attempt
- * ends without an answer; a further one is out of tries, budget or time, or
- * the request must not run twice. Each limit alone is enough.
+ * After an attempt without an answer the request fails at once, with no retry,
+ * if any one limit excludes it: the maximum of attempts, the retry budget, the
+ * deadline, or a request that must not run twice.
  */
 static void
 test_limits_of_retry(void **state)
 {
 	unsigned int bits;
-	struct trail trail;
+	struct recorder rec;
 	enum att_event event;
 
 	for (bits = 0; bits < 32; bits++) {
@@ -204,51 +204,52 @@
 		event = (bits & 16) != 0 ? ATT_LOST : ATT_REFUSED;
 		if (event == ATT_LOST)
 			again = again && facts.idempotent;
-		begin(&trail, &facts);
-		att_take(&trail.att, ATT_START);
-		att_take(&trail.att, event);
+		begin(&rec, &facts);
+		att_take(&rec.att, ATT_START);
+		att_take(&rec.att, event);
 		assert_string_equal(
-		    trail.ran, again ? "dispatch dispatch" : "dispatch fail");
-		assert_int_equal(att_is_over(&trail.att), !again);
+		    rec.actions, again ? "dispatch dispatch" : "dispatch fail");
+		assert_int_equal(att_is_over(&rec.att), !again);
 	}
 }
 
 /*
- * The caller is told NOT_RUN, and that is true. No target could be chosen, so
- * the attempt is about to be refused, when the deadline passes: nothing was
- * sent and the verdict must not say that something may have run.
+ * No target could be chosen, and the deadline passes before the attempt is
+ * refused. As nothing was sent, the verdict must be NOT_RUN and not
+ * MAY_HAVE_RUN.
  */
 static void
 test_deadline_with_nothing_sent(void **state)
 {
 	const struct att_facts facts = { .max_attempts = 3 };
-	struct trail trail;
+	struct recorder rec;
 
-	begin(&trail, &facts);
-	att_take(&trail.att, ATT_START);
-	trail.att.facts.nothing_sent = true;
-	att_take(&trail.att, ATT_DEADLINE);
-	assert_string_equal(trail.ran, "dispatch fail");
-	assert_true(att_is_over(&trail.att));
-	assert_false(trail.att.may_have_run);
+	begin(&rec, &facts);
+	att_take(&rec.att, ATT_START);
+	rec.att.facts.nothing_sent = true;
+	att_take(&rec.att, ATT_DEADLINE);
+	assert_string_equal(rec.actions, "dispatch fail");
+	assert_true(att_is_over(&rec.att));
+	assert_false(rec.att.may_have_run);
 }
 
 /*
- * The caller was told NOT_RUN at its deadline while the entry was paused. On
- * waking, the entry hears of its claim before its own timer runs.
+ * A gateway is paused beyond the deadline of a request, and then receives the
+ * claim before its deadline timer runs. The request must not be dispatched, as
+ * the caller was answered NOT_RUN at the deadline.
  */
 static void
 test_claimed_too_late(void **state)
 {
 	const struct att_facts facts = { .max_attempts = 3, .keyed = true };
-	struct trail trail;
+	struct recorder rec;
 
-	begin(&trail, &facts);
-	att_take(&trail.att, ATT_START);
-	att_take(&trail.att, ATT_CLAIMED);
-	assert_string_equal(trail.ran, "claim fail settle");
-	assert_true(att_is_over(&trail.att));
-	assert_false(trail.att.may_have_run);
+	begin(&rec, &facts);
+	att_take(&rec.att, ATT_START);
+	att_take(&rec.att, ATT_CLAIMED);
+	assert_string_equal(rec.actions, "claim fail settle");
+	assert_true(att_is_over(&rec.att));
+	assert_false(rec.att.may_have_run);
 }
 
 static void
@@ -281,7 +282,7 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_lives),
+		cmocka_unit_test(test_event_sequences),
 		cmocka_unit_test(test_limits_of_retry),
 		cmocka_unit_test(test_deadline_with_nothing_sent),
 		cmocka_unit_test(test_claimed_too_late),
