--- a/tests/route/test_catalogue.c
+++ b/tests/route/test_catalogue.c
@@ -1,4 +1,4 @@
-/* Catalogue: the example branch in typed form, splits, target text. */
+/* Catalogue: the example branch, traffic splits and target text. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -75,7 +75,7 @@
 }
 
 static void
-test_branch_with_little(void **state)
+test_minimal_branch(void **state)
 {
 	struct rt_team *team = read_team("models",
 	    "{m: {versions: {v1: {bytes: 1, chunk_bytes: 65536, weights: w, "
@@ -106,7 +106,7 @@
 	bool ranked;
 
 	for (i = 0; i < DRAWS; i++) {
-		/* The other one stands in. */
+		/* The other version is the fallback. */
 		assert_int_equal(rt_model_roots(model, hash64(1, &i, sizeof(i)),
 				     roots, &ranked),
 		    2);
@@ -114,13 +114,13 @@
 		if (digest_equal(&roots[0], &model->versions[0].root))
 			old++;
 	}
-	/* 900 of 1000; the spread at 10,000 draws is 0.3%. */
+	/* 900 of 1000; the standard deviation at 10,000 draws is 0.3%. */
 	assert_in_range(old, DRAWS * 88 / 100, DRAWS * 92 / 100);
 	rt_team_free(team);
 }
 
 static void
-test_weight_of_nothing(void **state)
+test_zero_weight(void **state)
 {
 	struct rt_team *team = read_team("models.inspect.rules",
 	    "[{version: v2, weight: 0}, {version: v1, weight: 1}]");
@@ -137,7 +137,7 @@
 	rt_team_free(team);
 }
 
-/* The version wanted comes first; the old one serves where it is loaded. */
+/* The version of the rollout comes first, and the old one is a fallback. */
 static void
 test_no_rules(void **state)
 {
@@ -198,9 +198,9 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_branch),
-		cmocka_unit_test(test_branch_with_little),
+		cmocka_unit_test(test_minimal_branch),
 		cmocka_unit_test(test_split_by_weight),
-		cmocka_unit_test(test_weight_of_nothing),
+		cmocka_unit_test(test_zero_weight),
 		cmocka_unit_test(test_no_rules),
 		cmocka_unit_test(test_target_text),
 	};
--- a/tests/route/test_messages.c
+++ b/tests/route/test_messages.c
@@ -1,4 +1,4 @@
-/* Messages between entry and side: round trips and bounds. */
+/* Messages between gateways and sidecars: round trips and bounds. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -31,7 +31,7 @@
 	&rt_claim_settle_desc,
 };
 
-/* A value of its own for each field, within the field's bound. */
+/* Fills each field with a distinct value within its bound. */
 static void
 fill(const struct msg_desc *desc, uint8_t *out)
 {
@@ -89,18 +89,18 @@
 	GByteArray *bytes = g_byte_array_new();
 	struct err err = { 0 };
 	struct msg m;
-	bool good;
+	bool valid;
 
 	msg_pack(bytes, 7, desc, sent);
 	assert_true(bytes->len <= FRAME_MAX);
 	assert_true(msg_open(&m, bytes->data, bytes->len, &err));
 	assert_int_equal(m.type, desc->type);
-	good = msg_read(&m, desc, got, &err);
-	if (good)
+	valid = msg_read(&m, desc, got, &err);
+	if (valid)
 		assert_same(desc, sent, got);
 	msg_close(&m);
 	g_byte_array_unref(bytes);
-	return good;
+	return valid;
 }
 
 static void
@@ -116,7 +116,7 @@
 	}
 }
 
-/* A number above its bound would be used as an index or an enum. */
+/* A number above its bound, used as an index or enum, must be refused. */
 static void
 test_numbers_out_of_bounds(void **state)
 {
@@ -148,7 +148,7 @@
 	}
 }
 
-/* The largest request fits a frame with all its parts at their bounds. */
+/* A request with all fields at their bounds must fit into a frame. */
 static void
 test_largest_request(void **state)
 {
