--- a/tests/route/test_attempt.c
+++ b/tests/route/test_attempt.c
@@ -10,26 +10,26 @@
 
 static struct att_chart *chart;
 
-struct recorder { /* records the actions */
+struct trail { /* records the actions */
 	struct att att;
 	char actions[128];
 };
 
 static void
-record(struct recorder *rec, const char *what)
+record(struct trail *trail, const char *what)
 {
-	if (rec->actions[0] != '\0')
-		g_strlcat(rec->actions, " ", sizeof(rec->actions));
-	g_strlcat(rec->actions, what, sizeof(rec->actions));
+	if (trail->actions[0] != '\0')
+		g_strlcat(trail->actions, " ", sizeof(trail->actions));
+	g_strlcat(trail->actions, what, sizeof(trail->actions));
 }
 
 static void
 on_dispatch(void *ctx)
 {
-	struct recorder *rec = ctx;
+	struct trail *trail = ctx;
 
-	rec->att.facts.attempts++;
-	record(rec, "dispatch");
+	trail->att.facts.attempts++;
+	record(trail, "dispatch");
 }
 
 #define ACTION(name)                     \
@@ -59,11 +59,11 @@
 };
 
 static void
-begin(struct recorder *rec, const struct att_facts *facts)
+begin(struct trail *trail, const struct att_facts *facts)
 {
-	memset(rec, 0, sizeof(*rec));
-	att_init(&rec->att, chart, &ops, rec);
-	rec->att.facts = *facts;
+	memset(trail, 0, sizeof(*trail));
+	att_init(&trail->att, chart, &ops, trail);
+	trail->att.facts = *facts;
 }
 
 #define S ATT_START
@@ -148,7 +148,7 @@
 static void
 run_case(size_t i, bool idempotent)
 {
-	struct recorder rec;
+	struct trail trail;
 	const struct att_facts facts = {
 		.idempotent = idempotent,
 		.keyed = cases[i].idempotent == KEYED,
@@ -158,12 +158,12 @@
 	};
 	size_t n;
 
-	begin(&rec, &facts);
+	begin(&trail, &facts);
 	for (n = 0; cases[i].events[n] != END; n++)
-		att_take(&rec.att, cases[i].events[n]);
-	assert_string_equal(rec.actions, cases[i].actions);
-	assert_int_equal(att_is_over(&rec.att), cases[i].over);
-	assert_int_equal(rec.att.may_have_run, cases[i].may_have_run);
+		att_take(&trail.att, cases[i].events[n]);
+	assert_string_equal(trail.actions, cases[i].actions);
+	assert_int_equal(att_is_over(&trail.att), cases[i].over);
+	assert_int_equal(trail.att.may_have_run, cases[i].may_have_run);
 }
 
 static void
@@ -188,7 +188,7 @@
 test_limits_of_retry(void **state)
 {
 	unsigned int bits;
-	struct recorder rec;
+	struct trail trail;
 	enum att_event event;
 
 	for (bits = 0; bits < 32; bits++) {
@@ -204,12 +204,12 @@
 		event = (bits & 16) != 0 ? ATT_LOST : ATT_REFUSED;
 		if (event == ATT_LOST)
 			again = again && facts.idempotent;
-		begin(&rec, &facts);
-		att_take(&rec.att, ATT_START);
-		att_take(&rec.att, event);
-		assert_string_equal(
-		    rec.actions, again ? "dispatch dispatch" : "dispatch fail");
-		assert_int_equal(att_is_over(&rec.att), !again);
+		begin(&trail, &facts);
+		att_take(&trail.att, ATT_START);
+		att_take(&trail.att, event);
+		assert_string_equal(trail.actions,
+		    again ? "dispatch dispatch" : "dispatch fail");
+		assert_int_equal(att_is_over(&trail.att), !again);
 	}
 }
 
@@ -222,15 +222,15 @@
 test_deadline_with_nothing_sent(void **state)
 {
 	const struct att_facts facts = { .max_attempts = 3 };
-	struct recorder rec;
+	struct trail trail;
 
-	begin(&rec, &facts);
-	att_take(&rec.att, ATT_START);
-	rec.att.facts.nothing_sent = true;
-	att_take(&rec.att, ATT_DEADLINE);
-	assert_string_equal(rec.actions, "dispatch fail");
-	assert_true(att_is_over(&rec.att));
-	assert_false(rec.att.may_have_run);
+	begin(&trail, &facts);
+	att_take(&trail.att, ATT_START);
+	trail.att.facts.nothing_sent = true;
+	att_take(&trail.att, ATT_DEADLINE);
+	assert_string_equal(trail.actions, "dispatch fail");
+	assert_true(att_is_over(&trail.att));
+	assert_false(trail.att.may_have_run);
 }
 
 /*
@@ -242,14 +242,14 @@
 test_claimed_too_late(void **state)
 {
 	const struct att_facts facts = { .max_attempts = 3, .keyed = true };
-	struct recorder rec;
+	struct trail trail;
 
-	begin(&rec, &facts);
-	att_take(&rec.att, ATT_START);
-	att_take(&rec.att, ATT_CLAIMED);
-	assert_string_equal(rec.actions, "claim fail settle");
-	assert_true(att_is_over(&rec.att));
-	assert_false(rec.att.may_have_run);
+	begin(&trail, &facts);
+	att_take(&trail.att, ATT_START);
+	att_take(&trail.att, ATT_CLAIMED);
+	assert_string_equal(trail.actions, "claim fail settle");
+	assert_true(att_is_over(&trail.att));
+	assert_false(trail.att.may_have_run);
 }
 
 static void
