--- a/bench/route_bench.c
+++ b/bench/route_bench.c
@@ -167,9 +167,9 @@
 		for (i = 0; i < BATCH; i++, n++) {
 			memset(&att, 0, sizeof(att));
 			att_init(&att, chart, &ops, NULL);
-			att_take(&att, ATT_START);
-			att_take(&att, ATT_HEAD);
-			att_take(&att, ATT_DONE);
+			att_step(&att, ATT_START);
+			att_step(&att, ATT_HEAD);
+			att_step(&att, ATT_DONE);
 		}
 		now = clk_now_us(clk_system());
 	} while (now - began < RUN_US);
--- a/lib/route/attempt.c
+++ b/lib/route/attempt.c
@@ -228,13 +228,13 @@
 }
 
 void
-att_take(struct att *att, enum att_event event)
+att_step(struct att *att, enum att_event event)
 {
-	g_assert(!att->busy);
-	att->busy = true;
+	g_assert(!att->in_step);
+	att->in_step = true;
 	att->state = chart_step(att->chart->chart, att->state,
 	    att->chart->events[event], att, NULL);
-	att->busy = false;
+	att->in_step = false;
 }
 
 bool
--- a/lib/route/catalogue.c
+++ b/lib/route/catalogue.c
@@ -109,7 +109,7 @@
 }
 
 static void
-read_limits(const struct cfg *cfg, struct rt_team *out)
+read_limits(const struct cfg *cfg, struct rt_workspace *out)
 {
 	out->requests_s = (unsigned int)cfg_int(cfg, "limits.requests_s");
 	out->queue = (unsigned int)cfg_int(cfg, "limits.queue");
@@ -122,10 +122,10 @@
 	    (unsigned int)cfg_int(cfg, "limits.retry_budget_permille");
 }
 
-struct rt_team *
-rt_team_read(struct cfg *cfg, uint64_t version)
+struct rt_workspace *
+rt_workspace_read(struct cfg *cfg, uint64_t version)
 {
-	struct rt_team *team = g_new0(struct rt_team, 1);
+	struct rt_workspace *team = g_new0(struct rt_workspace, 1);
 	size_t i;
 
 	team->cfg = cfg;
@@ -148,7 +148,7 @@
 }
 
 void
-rt_team_free(struct rt_team *team)
+rt_workspace_free(struct rt_workspace *team)
 {
 	size_t i;
 
@@ -171,7 +171,7 @@
 /* ------------------------------------------------------------------ */
 
 const struct rt_model *
-rt_team_model(const struct rt_team *team, const char *name)
+rt_workspace_model(const struct rt_workspace *team, const char *name)
 {
 	size_t i;
 
@@ -183,7 +183,7 @@
 }
 
 const struct rt_service *
-rt_team_service(const struct rt_team *team, const char *name)
+rt_workspace_service(const struct rt_workspace *team, const char *name)
 {
 	size_t i;
 
@@ -293,7 +293,7 @@
 {
 	g_string_append_printf(out, "%s%s,%s,%s,%s,%s",
 	    out->len == 0 ? "" : ";", target->name,
-	    target->kind == RT_ENGINE ? "engine" : "service", target->team,
+	    target->kind == RT_ENGINE ? "engine" : "service", target->workspace,
 	    target->pool, target->service);
 }
 
@@ -308,7 +308,7 @@
 	if (valid) {
 		copy_name(out->name, field[0]);
 		out->kind = service ? RT_SERVICE : RT_ENGINE;
-		copy_name(out->team, field[2]);
+		copy_name(out->workspace, field[2]);
 		copy_name(out->pool, field[3]);
 		copy_name(out->service, field[4]);
 	}
--- a/lib/route/claim.c
+++ b/lib/route/claim.c
@@ -19,7 +19,7 @@
 }
 
 void
-clm_enqueue(struct clm_asks *list, struct clm_ask *ask)
+clm_enqueue(struct clm_requests *list, struct clm_request *ask)
 {
 	g_assert(ask->list == NULL);
 	TAILQ_INSERT_TAIL(list, ask, link);
@@ -27,7 +27,7 @@
 }
 
 void
-clm_forget(struct clm_ask *ask)
+clm_cancel(struct clm_request *ask)
 {
 	if (ask->list == NULL)
 		return;
@@ -36,29 +36,30 @@
 }
 
 void
-clm_move_all(struct clm_asks *from, struct clm_asks *to)
+clm_move_all(struct clm_requests *from, struct clm_requests *to)
 {
-	struct clm_ask *ask;
+	struct clm_request *ask;
 
 	while ((ask = TAILQ_FIRST(from)) != NULL) {
-		clm_forget(ask);
+		clm_cancel(ask);
 		clm_enqueue(to, ask);
 	}
 }
 
 void
-clm_answer(struct clm *clm, struct clm_ask *ask, enum clm_result result)
+clm_answer(struct clm *clm, struct clm_request *ask, enum clm_result result)
 {
-	clm_forget(ask);
+	clm_cancel(ask);
 	clm->stats.granted += result == CLM_GRANTED ? 1 : 0;
 	clm->ops->answer(
 	    ask, result, NULL, clm->owner == NULL ? "" : clm->owner, clm->ctx);
 }
 
 void
-clm_answer_all(struct clm *clm, struct clm_asks *list, enum clm_result result)
+clm_answer_all(
+    struct clm *clm, struct clm_requests *list, enum clm_result result)
 {
-	struct clm_ask *ask;
+	struct clm_request *ask;
 
 	while ((ask = TAILQ_FIRST(list)) != NULL)
 		clm_answer(clm, ask, result);
@@ -66,7 +67,7 @@
 
 static void
 answer_with_outcome(
-    struct clm *clm, struct clm_ask *ask, const struct clm_record *record)
+    struct clm *clm, struct clm_request *ask, const struct clm_record *record)
 {
 	const struct clm_outcome outcome = {
 		.verdict = VERDICT_RAN,
@@ -76,7 +77,7 @@
 		.digest = record->digest,
 	};
 
-	clm_forget(ask);
+	clm_cancel(ask);
 	clm->ops->answer(ask, CLM_RECORDED, &outcome, "", clm->ctx);
 }
 
@@ -144,18 +145,18 @@
 	if (clm->phase != PHASE_OWNED)
 		return;
 	apply(clm, TAILQ_LAST(&clm->settles, settles));
-	clm_schedule_write(clm, now_us + CLM_OUTCOME_MS * 1000);
+	clm_schedule_write(clm, now_us + CLM_OUTCOME_DELAY_MS * 1000);
 }
 
 /* Answers CLM_DOWN, hence NOT_RUN, although the claim may be stored, or be
  * stored later: queues its removal. */
 void
-clm_refuse_unavailable(struct clm *clm, struct clm_ask *ask, int64_t now_us)
+clm_refuse_unavailable(struct clm *clm, struct clm_request *ask, int64_t now_us)
 {
 	const struct clm_outcome nothing = { .verdict = VERDICT_NOT_RUN };
 
-	if (ask->tried)
-		add_outcome(clm, ask->key, ask->asker, &nothing, now_us);
+	if (ask->maybe_written)
+		add_outcome(clm, ask->key, ask->claimant, &nothing, now_us);
 	clm_answer(clm, ask, CLM_DOWN);
 }
 
@@ -175,7 +176,7 @@
 static bool
 asker_is_live(const struct clm *clm, const char *asker)
 {
-	char entry[CLM_ASKER_MAX + 1];
+	char entry[CLM_CLAIMANT_MAX + 1];
 	size_t n = strcspn(asker, "/");
 
 	g_strlcpy(entry, asker, MIN(n + 1, sizeof(entry)));
@@ -184,7 +185,7 @@
 
 /* The record is of another claimant and has no outcome. */
 static void
-evaluate_other(struct clm *clm, struct clm_ask *ask,
+evaluate_other(struct clm *clm, struct clm_request *ask,
     const struct clm_record *record, int64_t now_us)
 {
 	/* Without the lease another owner may have changed the object. */
@@ -208,7 +209,7 @@
  * refused.
  */
 static void
-evaluate_own(struct clm *clm, struct clm_ask *ask,
+evaluate_own(struct clm *clm, struct clm_request *ask,
     const struct clm_record *record, int64_t now_us)
 {
 	if (record->state == CLM_UNSURE) {
@@ -224,19 +225,19 @@
 }
 
 void
-clm_evaluate(struct clm *clm, struct clm_ask *ask, int64_t now_us)
+clm_evaluate(struct clm *clm, struct clm_request *ask, int64_t now_us)
 {
 	const struct clm_record *record =
 	    g_hash_table_lookup(clm->records, ask->key);
 
 	if (record == NULL) {
 		clm_enqueue(&clm->pending, ask);
-		clm_schedule_write(clm, now_us + CLM_GROUP_MS * 1000);
+		clm_schedule_write(clm, now_us + CLM_BATCH_MS * 1000);
 	} else if (!digest_equal(&record->body, &ask->body)) {
 		clm_answer(clm, ask, CLM_OTHER_BODY);
 	} else if (record->state == CLM_RAN) {
 		answer_with_outcome(clm, ask, record);
-	} else if (strcmp(record->asker, ask->asker) == 0) {
+	} else if (strcmp(record->asker, ask->claimant) == 0) {
 		evaluate_own(clm, ask, record, now_us);
 	} else {
 		evaluate_other(clm, ask, record, now_us);
@@ -244,14 +245,14 @@
 }
 
 void
-clm_evaluate_all(struct clm *clm, struct clm_asks *list, int64_t now_us)
+clm_evaluate_all(struct clm *clm, struct clm_requests *list, int64_t now_us)
 {
-	struct clm_asks asks = TAILQ_HEAD_INITIALIZER(asks);
-	struct clm_ask *ask;
+	struct clm_requests asks = TAILQ_HEAD_INITIALIZER(asks);
+	struct clm_request *ask;
 
 	clm_move_all(list, &asks);
 	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
-		clm_forget(ask);
+		clm_cancel(ask);
 		if (clm->phase == PHASE_OWNED)
 			clm_evaluate(clm, ask, now_us);
 		else
@@ -264,8 +265,8 @@
 /* ------------------------------------------------------------------ */
 
 struct clm *
-clm_new(const char *self, struct clm_pace *pace, const struct clm_ops *ops,
-    void *ctx)
+clm_new(const char *self, struct clm_write_limit *pace,
+    const struct clm_ops *ops, void *ctx)
 {
 	struct clm *clm = g_new0(struct clm, 1);
 
@@ -285,7 +286,7 @@
 void
 clm_free(struct clm *clm)
 {
-	struct clm_asks dropped = TAILQ_HEAD_INITIALIZER(dropped);
+	struct clm_requests dropped = TAILQ_HEAD_INITIALIZER(dropped);
 
 	if (clm == NULL)
 		return;
@@ -293,7 +294,7 @@
 	clm_move_all(&clm->inflight, &dropped);
 	clm_move_all(&clm->waiting, &dropped);
 	while (!TAILQ_EMPTY(&dropped))
-		clm_forget(TAILQ_FIRST(&dropped));
+		clm_cancel(TAILQ_FIRST(&dropped));
 	while (!TAILQ_EMPTY(&clm->settles))
 		clm_free_settle(clm, TAILQ_FIRST(&clm->settles));
 	g_hash_table_unref(clm->records);
@@ -309,12 +310,12 @@
 }
 
 void
-clm_ask(struct clm *clm, struct clm_ask *ask, int64_t now_us)
+clm_request(struct clm *clm, struct clm_request *ask, int64_t now_us)
 {
-	ask->tried = false;
+	ask->maybe_written = false;
 	ask->reread = false;
 	if (!is_valid_text(ask->key, CLM_KEY_MAX) ||
-	    !is_valid_text(ask->asker, CLM_ASKER_MAX)) {
+	    !is_valid_text(ask->claimant, CLM_CLAIMANT_MAX)) {
 		clm_answer(clm, ask, CLM_BAD_KEY);
 		return;
 	}
@@ -361,7 +362,7 @@
 }
 
 void
-clm_give_up(struct clm *clm, int64_t now_us)
+clm_release(struct clm *clm, int64_t now_us)
 {
 	if (clm->phase != PHASE_OWNED)
 		return;
@@ -372,9 +373,9 @@
 /* Answers requests past their `until_us`. `claimed`: by another claimant. */
 static void
 expire_waits(
-    struct clm *clm, struct clm_asks *list, bool claimed, int64_t now_us)
+    struct clm *clm, struct clm_requests *list, bool claimed, int64_t now_us)
 {
-	struct clm_ask *ask, *next;
+	struct clm_request *ask, *next;
 
 	for (ask = TAILQ_FIRST(list); ask != NULL; ask = next) {
 		next = TAILQ_NEXT(ask, link);
@@ -440,5 +441,5 @@
 	*out = clm->stats;
 	out->records = g_hash_table_size(clm->records);
 	out->unwritten = clm->nsettles;
-	out->held = clm->phase == PHASE_OWNED;
+	out->owned = clm->phase == PHASE_OWNED;
 }
--- a/lib/route/claim.h
+++ b/lib/route/claim.h
@@ -7,7 +7,7 @@
  *
  * A claim is a record in a bucket, which is an object at the object API. One
  * gateway at a time owns a bucket and writes it for all gateways. Claims that
- * arrive within CLM_GROUP_MS, or during a write, are batched into one write,
+ * arrive within CLM_BATCH_MS, or during a write, are batched into one write,
  * and a rate limit bounds the writes independently of the request rate.
  *
  * This module does no I/O: reads, writes and answers go to callbacks. It
@@ -25,7 +25,7 @@
  *   have been lost; any other claimant receives the outcome, waits for it, or
  *   is answered CLM_IN_DOUBT.
  * - A record is removed only when its claimant reports NOT_RUN, or by age:
- *   CLM_KEEP_MS after the deadline of the request. The age is measured by the
+ *   CLM_RETENTION_MS after the deadline of the request. The age is measured by the
  *   owners' monotonic clocks and written with the record; a change of owner
  *   can make it lag but never run ahead.
  * - Without the object API no claim is granted: the request is refused as
@@ -38,15 +38,16 @@
  * but more buckets can store more claims. */
 #define CLM_BUCKETS 16
 #define CLM_KEY_MAX 320 /* WORKSPACE/SERVICE/KEY */
-#define CLM_ASKER_MAX 128
+#define CLM_CLAIMANT_MAX 128
 #define CLM_ANSWER_MAX 1024 /* longer answers are stored as a digest only */
 #define CLM_TYPE_MAX 64
 #define CLM_VALUE_MAX (900u << 10) /* object size; the API limit is 1 MB */
 
-#define CLM_GROUP_MS 20
-#define CLM_OUTCOME_MS 500 /* delay of outcomes, to batch them with claims */
+#define CLM_BATCH_MS 20
+#define CLM_OUTCOME_DELAY_MS \
+	500 /* delay of outcomes, to batch them with claims */
 #define CLM_LEASE_MS 2000
-#define CLM_KEEP_MS (300 * 1000)
+#define CLM_RETENTION_MS (300 * 1000)
 /* Writes per second over all buckets and gateways; the API supports several
  * hundred for all its uses. */
 #define CLM_WRITES_S 200
@@ -78,20 +79,20 @@
 
 /* A pending request for a claim, embedded by its user: zero it and set the
  * first group of members, whose strings must remain valid until the answer. */
-struct clm_ask {
+struct clm_request {
 	const char *key;
 	struct digest body;
-	const char *asker; /* "GATEWAY/...": unique to a caller's request */
+	const char *claimant; /* "GATEWAY/...": unique to a caller's request */
 	unsigned int keep_ms; /* until the request's deadline */
 	int64_t until_us; /* latest time of the answer */
 
 	/* Private to clm. */
-	TAILQ_ENTRY(clm_ask) link;
-	struct clm_asks *list;
-	bool tried; /* was part of a write, so it may be stored */
+	TAILQ_ENTRY(clm_request) link;
+	struct clm_requests *list;
+	bool maybe_written; /* was part of a write, so it may be stored */
 	bool reread; /* the bucket was read again for this request */
 };
-TAILQ_HEAD(clm_asks, clm_ask);
+TAILQ_HEAD(clm_requests, clm_request);
 
 struct clm; /* one bucket */
 
@@ -105,30 +106,30 @@
 	    struct clm *clm, const char *value, uint64_t if_version, void *ctx);
 	/* Answers and releases `ask`. `outcome` is set with CLM_RECORDED,
 	 * `owner` with CLM_MOVED ("": no owner yet). */
-	void (*answer)(struct clm_ask *ask, enum clm_result result,
+	void (*answer)(struct clm_request *ask, enum clm_result result,
 	    const struct clm_outcome *outcome, const char *owner, void *ctx);
 	bool (*is_live)(const char *entry, void *ctx);
 	/* Forwards an outcome to clm_settle at `owner`. */
-	void (*pass_on)(const char *key, const char *asker,
+	void (*forward)(const char *key, const char *asker,
 	    const struct clm_outcome *outcome, const char *owner, void *ctx);
 };
 
 /* Rate limit of the writes of all buckets of one gateway; zero it and set
  * writes_s. Rotate the order in which the buckets are ticked, or the first ones
  * use up the rate. */
-struct clm_pace {
+struct clm_write_limit {
 	unsigned int writes_s; /* this gateway's share of CLM_WRITES_S */
 	int64_t next_us;
 };
 
 /* `self` is this gateway's id; `pace` is shared and must outlive the bucket. */
-struct clm *clm_new(const char *self, struct clm_pace *pace,
+struct clm *clm_new(const char *self, struct clm_write_limit *pace,
     const struct clm_ops *ops, void *ctx);
 void clm_free(struct clm *clm); /* drops pending requests unanswered */
 
-void clm_ask(struct clm *clm, struct clm_ask *ask, int64_t now_us);
+void clm_request(struct clm *clm, struct clm_request *ask, int64_t now_us);
 /* Drops a pending request without an answer. A stored claim remains. */
-void clm_forget(struct clm_ask *ask);
+void clm_cancel(struct clm_request *ask);
 /* Records the outcome that the claimant reports. NOT_RUN frees the key, also
  * before the claim was granted. */
 void clm_settle(struct clm *clm, const char *key, const char *asker,
@@ -137,15 +138,15 @@
 /* `value` NULL with version 0: the object is absent; `failed`: not read. */
 void clm_read_done(struct clm *clm, bool failed, uint64_t version,
     const char *value, int64_t now_us);
-enum clm_write_end {
-	CLM_WRITE_IN, /* confirmed */
-	CLM_WRITE_LOST, /* refused: the version differs */
+enum clm_write_result {
+	CLM_WRITE_APPLIED, /* confirmed */
+	CLM_WRITE_CONFLICT, /* refused: the version differs */
 	CLM_WRITE_UNKNOWN, /* may have been applied, or may be applied later */
 };
-void clm_write_done(
-    struct clm *clm, enum clm_write_end end, uint64_t version, int64_t now_us);
+void clm_write_done(struct clm *clm, enum clm_write_result end,
+    uint64_t version, int64_t now_us);
 /* Releases the bucket to another gateway with the next write. */
-void clm_give_up(struct clm *clm, int64_t now_us);
+void clm_release(struct clm *clm, int64_t now_us);
 /* Runs due work; to be called every CLM_TICK_MS. */
 #define CLM_TICK_MS 10
 void clm_tick(struct clm *clm, int64_t now_us);
@@ -153,7 +154,7 @@
 struct clm_stats {
 	uint64_t reads, writes, granted, takeovers;
 	unsigned int records, unwritten; /* unwritten: outcomes */
-	bool held;
+	bool owned;
 };
 void clm_stats(const struct clm *clm, struct clm_stats *out);
 
--- a/lib/route/claim_internal.h
+++ b/lib/route/claim_internal.h
@@ -29,7 +29,7 @@
 /* Maps a key to its struct clm_record; owns both. */
 GHashTable *clm_records_new(void);
 struct clm_record *clm_record_add(
-    GHashTable *records, const struct clm_ask *ask, int64_t now_us);
+    GHashTable *records, const struct clm_request *ask, int64_t now_us);
 void clm_record_settle(
     struct clm_record *record, const struct clm_outcome *outcome);
 /* Removes expired records. */
@@ -72,7 +72,7 @@
 
 struct clm {
 	char *self;
-	struct clm_pace *pace;
+	struct clm_write_limit *pace;
 	const struct clm_ops *ops;
 	void *ctx;
 	enum phase phase;
@@ -88,27 +88,29 @@
 	int64_t sent_us; /* start of the current write */
 	int64_t due_us; /* earliest time of the next write */
 	bool releasing;
-	struct clm_asks pending; /* wait for a read or for the next write */
-	struct clm_asks inflight; /* in the current write */
-	struct clm_asks waiting; /* for the outcome of another claimant */
+	struct clm_requests pending; /* wait for a read or for the next write */
+	struct clm_requests inflight; /* in the current write */
+	struct clm_requests waiting; /* for the outcome of another claimant */
 	struct settles settles; /* oldest first */
 	unsigned int nsettles;
 	struct clm_stats stats;
 };
 
 /* claim.c */
-void clm_enqueue(struct clm_asks *list, struct clm_ask *ask);
-void clm_move_all(struct clm_asks *from, struct clm_asks *to);
-void clm_answer(struct clm *clm, struct clm_ask *ask, enum clm_result result);
+void clm_enqueue(struct clm_requests *list, struct clm_request *ask);
+void clm_move_all(struct clm_requests *from, struct clm_requests *to);
+void clm_answer(
+    struct clm *clm, struct clm_request *ask, enum clm_result result);
 void clm_answer_all(
-    struct clm *clm, struct clm_asks *list, enum clm_result result);
+    struct clm *clm, struct clm_requests *list, enum clm_result result);
 void clm_schedule_write(struct clm *clm, int64_t at_us);
 void clm_free_settle(struct clm *clm, struct settle *s);
 void clm_apply_all(struct clm *clm);
 void clm_refuse_unavailable(
-    struct clm *clm, struct clm_ask *ask, int64_t now_us);
-void clm_evaluate(struct clm *clm, struct clm_ask *ask, int64_t now_us);
-void clm_evaluate_all(struct clm *clm, struct clm_asks *list, int64_t now_us);
+    struct clm *clm, struct clm_request *ask, int64_t now_us);
+void clm_evaluate(struct clm *clm, struct clm_request *ask, int64_t now_us);
+void clm_evaluate_all(
+    struct clm *clm, struct clm_requests *list, int64_t now_us);
 /* claim_io.c */
 void clm_start_read(struct clm *clm, int64_t now_us);
 void clm_step_down(struct clm *clm, int64_t now_us);
--- a/lib/route/claim_io.c
+++ b/lib/route/claim_io.c
@@ -44,7 +44,7 @@
 	struct settle *s;
 
 	while ((s = TAILQ_FIRST(&clm->settles)) != NULL) {
-		clm->ops->pass_on(
+		clm->ops->forward(
 		    s->key, s->asker, &s->outcome, clm->owner, clm->ctx);
 		clm_free_settle(clm, s);
 	}
@@ -61,9 +61,9 @@
 }
 
 static void
-mark_reread(struct clm_asks *list)
+mark_reread(struct clm_requests *list)
 {
-	struct clm_ask *ask;
+	struct clm_request *ask;
 
 	TAILQ_FOREACH (ask, list, link)
 		ask->reread = true;
@@ -86,13 +86,13 @@
 	if (!TAILQ_EMPTY(&clm->pending))
 		clm_schedule_write(clm, now_us);
 	if (!TAILQ_EMPTY(&clm->settles))
-		clm_schedule_write(clm, now_us + CLM_OUTCOME_MS * 1000);
+		clm_schedule_write(clm, now_us + CLM_OUTCOME_DELAY_MS * 1000);
 }
 
 static void
 read_failed(struct clm *clm, int64_t now_us)
 {
-	struct clm_ask *ask;
+	struct clm_request *ask;
 
 	clm->phase = PHASE_IDLE;
 	clm->retry_us = now_us + RETRY_US;
@@ -160,22 +160,23 @@
 static void
 claim_pending(struct clm *clm, int64_t now_us)
 {
-	struct clm_asks asks = TAILQ_HEAD_INITIALIZER(asks);
+	struct clm_requests asks = TAILQ_HEAD_INITIALIZER(asks);
 	const struct clm_record *record;
-	struct clm_ask *ask;
+	struct clm_request *ask;
 
 	clm_move_all(&clm->pending, &asks);
 	mark_reread(&asks); /* the write verifies the version as a read would */
 	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
-		clm_forget(ask);
+		clm_cancel(ask);
 		record = g_hash_table_lookup(clm->records, ask->key);
-		if (record != NULL && strcmp(record->asker, ask->asker) != 0) {
+		if (record != NULL &&
+		    strcmp(record->asker, ask->claimant) != 0) {
 			clm_evaluate(clm, ask, now_us);
 			continue;
 		}
 		if (record == NULL)
 			clm_record_add(clm->records, ask, now_us);
-		ask->tried = true;
+		ask->maybe_written = true;
 		clm_enqueue(&clm->inflight, ask);
 	}
 }
@@ -185,7 +186,7 @@
 refuse_full(struct clm *clm)
 {
 	const struct clm_record *record;
-	struct clm_ask *ask, *next;
+	struct clm_request *ask, *next;
 
 	for (ask = TAILQ_FIRST(&clm->inflight); ask != NULL; ask = next) {
 		next = TAILQ_NEXT(ask, link);
@@ -220,7 +221,7 @@
 }
 
 static bool
-write_allowed(struct clm_pace *pace, int64_t now_us)
+write_allowed(struct clm_write_limit *pace, int64_t now_us)
 {
 	int64_t each_us = G_USEC_PER_SEC / MAX(pace->writes_s, 1);
 
@@ -281,12 +282,12 @@
 static void
 grant_written(struct clm *clm, int64_t now_us)
 {
-	struct clm_asks asks = TAILQ_HEAD_INITIALIZER(asks);
-	struct clm_ask *ask;
+	struct clm_requests asks = TAILQ_HEAD_INITIALIZER(asks);
+	struct clm_request *ask;
 
 	clm_move_all(&clm->inflight, &asks);
 	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
-		clm_forget(ask);
+		clm_cancel(ask);
 		if (clm->phase != PHASE_OWNED) {
 			clm_enqueue(&clm->pending, ask);
 			continue;
@@ -317,11 +318,11 @@
 }
 
 void
-clm_write_done(
-    struct clm *clm, enum clm_write_end end, uint64_t version, int64_t now_us)
+clm_write_done(struct clm *clm, enum clm_write_result end, uint64_t version,
+    int64_t now_us)
 {
 	clm->writing = false;
-	if (end == CLM_WRITE_IN)
+	if (end == CLM_WRITE_APPLIED)
 		write_applied(clm, version, now_us);
 	else
 		clm_step_down(clm, now_us);
--- a/lib/route/claim_record.c
+++ b/lib/route/claim_record.c
@@ -31,15 +31,16 @@
 }
 
 struct clm_record *
-clm_record_add(GHashTable *records, const struct clm_ask *ask, int64_t now_us)
+clm_record_add(
+    GHashTable *records, const struct clm_request *ask, int64_t now_us)
 {
 	struct clm_record *record = g_new0(struct clm_record, 1);
 
 	record->key = g_strdup(ask->key);
-	record->asker = g_strdup(ask->asker);
+	record->asker = g_strdup(ask->claimant);
 	record->body = ask->body;
 	record->claimed_us = now_us;
-	record->keep_s = (ask->keep_ms + CLM_KEEP_MS) / 1000;
+	record->keep_s = (ask->keep_ms + CLM_RETENTION_MS) / 1000;
 	g_hash_table_replace(records, record->key, record);
 	return record;
 }
@@ -204,16 +205,16 @@
 static bool
 read_record(GHashTable *records, JsonObject *o, int64_t now_us)
 {
-	struct clm_ask ask = {
+	struct clm_request ask = {
 		.key = read_text(o, "key"),
-		.asker = read_text(o, "asker"),
+		.claimant = read_text(o, "asker"),
 	};
 	const char *body = read_text(o, "body");
 	const char *digest = read_text(o, "digest");
 	struct clm_record *record;
 	enum clm_state state;
 
-	if (ask.key == NULL || ask.asker == NULL || body == NULL ||
+	if (ask.key == NULL || ask.claimant == NULL || body == NULL ||
 	    !digest_from_hex(body, &ask.body) ||
 	    !read_state(read_text(o, "state"), &state))
 		return false;
--- a/lib/route/messages.c
+++ b/lib/route/messages.c
@@ -72,10 +72,10 @@
 #define RT_STRUCT rt_window
 static const struct msg_field window_fields[] = {
 	F(stream, MSG_U64, 0),
-	F(bytes, MSG_U64, RT_WINDOW),
+	F(bytes, MSG_U64, RT_WINDOW_BYTES),
 };
 const struct msg_desc rt_window_desc =
-    MSG_DESC(RT_WINDOW_MORE, "window", struct rt_window, window_fields);
+    MSG_DESC(RT_WINDOW_UPDATE, "window", struct rt_window, window_fields);
 #undef RT_STRUCT
 
 #define RT_STRUCT rt_watch
@@ -90,7 +90,7 @@
 static const struct msg_field target_fields[] = {
 	F(name, MSG_STR, RT_NAME_MAX),
 	F(kind, MSG_U64, RT_SERVICE),
-	F(team, MSG_STR, RT_NAME_MAX),
+	F(workspace, MSG_STR, RT_NAME_MAX),
 	F(pool, MSG_STR, RT_NAME_MAX),
 	F(service, MSG_STR, RT_NAME_MAX),
 	F(loaded, MSG_DIGEST, 0),
@@ -98,7 +98,7 @@
 	F(running, MSG_U64, UINT32_MAX),
 	F(slots, MSG_U64, UINT32_MAX),
 	F(count, MSG_U64, 0),
-	F(ordered_off, MSG_U64, 1),
+	F(drain_ordered, MSG_U64, 1),
 };
 const struct msg_desc rt_target_desc =
     MSG_DESC(RT_TARGET, "target", struct rt_target_msg, target_fields);
@@ -172,7 +172,7 @@
 
 #define RT_STRUCT rt_demand
 static const struct msg_field demand_fields[] = {
-	F(team, MSG_STR, RT_NAME_MAX),
+	F(workspace, MSG_STR, RT_NAME_MAX),
 	F(demand_milli_s, MSG_U64, 0),
 };
 const struct msg_desc rt_demand_desc =
@@ -183,7 +183,7 @@
 static const struct msg_field claim_fields[] = {
 	F(number, MSG_U64, 0),
 	F(key, MSG_STR, CLM_KEY_MAX),
-	F(asker, MSG_STR, CLM_ASKER_MAX),
+	F(claimant, MSG_STR, CLM_CLAIMANT_MAX),
 	F(body, MSG_DIGEST, 0),
 	F(keep_ms, MSG_U64, UINT32_MAX),
 	F(wait_ms, MSG_U64, UINT32_MAX),
@@ -210,7 +210,7 @@
 #define RT_STRUCT rt_claim_settle
 static const struct msg_field claim_settle_fields[] = {
 	F(key, MSG_STR, CLM_KEY_MAX),
-	F(asker, MSG_STR, CLM_ASKER_MAX),
+	F(claimant, MSG_STR, CLM_CLAIMANT_MAX),
 	F(verdict, MSG_U64, VERDICT_RAN),
 	F(status, MSG_U64, 999),
 	F(type, MSG_STR, CLM_TYPE_MAX),
--- a/lib/route/place.c
+++ b/lib/route/place.c
@@ -8,7 +8,7 @@
 	const char *workspace;
 	const struct rt_model *model;
 	GArray *hosts;
-	/* State of the rt_place_offer call in progress. */
+	/* State of the rt_place_add_host call in progress. */
 	const char *domain;
 	bool fits;
 };
@@ -30,13 +30,13 @@
 	struct rt_place *place = ctx;
 
 	if (target->kind == RT_ENGINE &&
-	    strcmp(target->team, place->workspace) == 0 &&
+	    strcmp(target->workspace, place->workspace) == 0 &&
 	    rt_model_placed(place->model, target->pool, place->domain))
 		place->fits = true;
 }
 
 void
-rt_place_offer(struct rt_place *place, const char *id, const char *address,
+rt_place_add_host(struct rt_place *place, const char *id, const char *address,
     const char *domain, const char *info)
 {
 	struct rt_place_host host = { 0 };
@@ -66,7 +66,7 @@
 }
 
 GArray *
-rt_place_end(struct rt_place *place)
+rt_place_finish(struct rt_place *place)
 {
 	GArray *hosts = place->hosts;
 	unsigned int max_hosts = place->model->hosts;
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -27,7 +27,8 @@
 #define RT_HEADERS_MAX (16u << 10)
 #define RT_BODY_MAX (1u << 20)
 #define RT_DATA_MAX (64u << 10) /* bounded so that streams share the link */
-#define RT_WINDOW (256u << 10) /* flow-control window of one stream, bytes */
+#define RT_WINDOW_BYTES \
+	(256u << 10) /* flow-control window of one stream, bytes */
 
 enum rt_type {
 	RT_REQUEST = 20,
@@ -35,7 +36,7 @@
 	RT_DATA,
 	RT_END,
 	RT_CANCEL,
-	RT_WINDOW_MORE,
+	RT_WINDOW_UPDATE,
 	RT_WATCH,
 	RT_TARGET,
 	RT_ORDER,
@@ -109,7 +110,7 @@
 struct rt_target_msg {
 	struct slice name;
 	uint64_t kind;
-	struct slice team;
+	struct slice workspace;
 	struct slice pool;
 	struct slice service;
 	struct digest loaded;
@@ -117,7 +118,7 @@
 	uint64_t running;
 	uint64_t slots;
 	uint64_t count; /* total number of targets of this sidecar */
-	uint64_t ordered_off; /* an RT_ORDER_DRAIN is active */
+	uint64_t drain_ordered; /* an RT_ORDER_DRAIN is active */
 };
 
 enum rt_order_kind {
@@ -172,15 +173,15 @@
 
 /* Gateway to gateway: a workspace's local demand; see lim_reported(). */
 struct rt_demand {
-	struct slice team;
+	struct slice workspace;
 	uint64_t demand_milli_s;
 };
 
-/* Gateway to the owner of a bucket of claims; see clm_ask(). */
+/* Gateway to the owner of a bucket of claims; see clm_request(). */
 struct rt_claim {
 	uint64_t number; /* chosen by the sender, unique per connection */
 	struct slice key;
-	struct slice asker;
+	struct slice claimant;
 	struct digest body;
 	uint64_t keep_ms;
 	uint64_t wait_ms; /* time remaining: the hosts' clocks differ */
@@ -200,7 +201,7 @@
 /* Outcome of a claimed request; see clm_settle(). Has no reply. */
 struct rt_claim_settle {
 	struct slice key;
-	struct slice asker;
+	struct slice claimant;
 	uint64_t verdict;
 	uint64_t status;
 	struct slice type;
@@ -263,7 +264,7 @@
 	unsigned int stall_ms;
 };
 
-struct rt_team {
+struct rt_workspace {
 	char name[RT_NAME_MAX + 1];
 	uint64_t version; /* of the branch */
 	struct cfg *cfg; /* owns the strings borrowed below */
@@ -280,12 +281,12 @@
 };
 
 /* Reads a validated branch; takes ownership of `cfg`. */
-struct rt_team *rt_team_read(struct cfg *cfg, uint64_t version);
-void rt_team_free(struct rt_team *team);
-const struct rt_model *rt_team_model(
-    const struct rt_team *team, const char *name);
-const struct rt_service *rt_team_service(
-    const struct rt_team *team, const char *name);
+struct rt_workspace *rt_workspace_read(struct cfg *cfg, uint64_t version);
+void rt_workspace_free(struct rt_workspace *team);
+const struct rt_model *rt_workspace_model(
+    const struct rt_workspace *team, const char *name);
+const struct rt_service *rt_workspace_service(
+    const struct rt_workspace *team, const char *name);
 bool rt_service_is_idempotent(
     const struct rt_service *service, const char *method);
 /* Whether the model may be placed on a target of this pool and domain. */
@@ -312,7 +313,7 @@
 struct rt_target_info {
 	char name[RT_NAME_MAX + 1];
 	enum rt_target_kind kind;
-	char team[RT_NAME_MAX + 1];
+	char workspace[RT_NAME_MAX + 1];
 	char pool[RT_NAME_MAX + 1];
 	char service[RT_NAME_MAX + 1];
 };
@@ -337,10 +338,10 @@
 struct rt_place; /* a placement that is being computed */
 struct rt_place *rt_place_new(const char *team, const struct rt_model *model);
 /* Adds a live host with its target text; ignores it if none is eligible. */
-void rt_place_offer(struct rt_place *place, const char *id, const char *address,
-    const char *domain, const char *info);
+void rt_place_add_host(struct rt_place *place, const char *id,
+    const char *address, const char *domain, const char *info);
 /* Returns the hosts by rank and frees `place`. Free with g_array_unref. */
-GArray *rt_place_end(struct rt_place *place);
+GArray *rt_place_finish(struct rt_place *place);
 bool rt_place_has(const GArray *hosts, const char *id);
 
 /* ------------------------------------------------------------------ */
@@ -402,11 +403,11 @@
 	bool may_have_run; /* an attempt may have run; final verdict */
 	/* Set during a step: an action must not deliver an event, as the
 	 * outer step would overwrite the state that the inner one set. */
-	bool busy;
+	bool in_step;
 };
 void att_init(struct att *att, const struct att_chart *chart,
     const struct att_ops *ops, void *ctx);
-void att_take(struct att *att, enum att_event event);
+void att_step(struct att *att, enum att_event event);
 bool att_is_over(const struct att *att);
 
 #endif
--- a/lib/route/subset.c
+++ b/lib/route/subset.c
@@ -59,8 +59,8 @@
 count_target(const struct rt_target_info *target, void *ctx)
 {
 	struct group_counts *c = ctx;
-	char *key =
-	    g_strjoin("\n", target->team, target->pool, target->service, NULL);
+	char *key = g_strjoin(
+	    "\n", target->workspace, target->pool, target->service, NULL);
 	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(c->sidecars, key));
 
 	if (n < RT_SUBSET_SIDECARS)
--- a/programs/entry/caller.c
+++ b/programs/entry/caller.c
@@ -148,11 +148,11 @@
 	return true;
 }
 
-static const struct rt_team *
+static const struct rt_workspace *
 find_team(struct entry *entry, SoupServerMessage *message, const char *name,
     struct err *err)
 {
-	const struct rt_team *team = entry_team(entry, name);
+	const struct rt_workspace *team = entry_team(entry, name);
 
 	if (!entry_takes_work(entry)) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
@@ -273,7 +273,7 @@
 
 	if (ask.team == NULL)
 		return;
-	ask.model = rt_team_model(ask.team, chat->model);
+	ask.model = rt_workspace_model(ask.team, chat->model);
 	if (ask.model == NULL) {
 		err_set(err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
 		    "unknown model '%.40s' of team '%.40s'", chat->model,
@@ -330,7 +330,7 @@
 	};
 
 	if (ask.team != NULL)
-		ask.service = rt_team_service(ask.team, service);
+		ask.service = rt_workspace_service(ask.team, service);
 	if (ask.team != NULL && ask.service == NULL)
 		err_set(err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
 		    "unknown service '%.40s' of team '%.40s'", service, team);
--- a/programs/entry/claim_ask.c
+++ b/programs/entry/claim_ask.c
@@ -98,7 +98,7 @@
 	const struct rt_claim message = {
 		.number = c->number,
 		.key = slice_str(c->key),
-		.asker = slice_str(c->asker),
+		.claimant = slice_str(c->asker),
 		.body = c->body,
 		.keep_ms = c->keep_ms,
 		.wait_ms = (uint64_t)MAX(left_ms(c) - OWNER_SOONER_MS, 0),
@@ -221,7 +221,7 @@
 	const char *owner = owner_of(entry, key);
 	const struct rt_claim_settle settle = {
 		.key = slice_str(key),
-		.asker = slice_str(asker),
+		.claimant = slice_str(asker),
 		.verdict = outcome->verdict,
 		.status = outcome->status,
 		.type = slice_str(outcome->type),
--- a/programs/entry/claims.c
+++ b/programs/entry/claims.c
@@ -23,7 +23,7 @@
 struct claims {
 	struct entry *entry;
 	struct obj *obj;
-	struct clm_pace pace;
+	struct clm_write_limit pace;
 	struct bucket bucket[CLM_BUCKETS];
 	GHashTable *asks; /* "ENTRY/NUMBER" -> struct ask */
 	unsigned int first; /* bucket that is ticked first, in turns */
@@ -33,7 +33,7 @@
 
 /* An ask that the bucket has not answered. */
 struct ask {
-	struct clm_ask ask; /* first: clm hands back its address */
+	struct clm_request ask; /* first: clm hands back its address */
 	struct claims *claims;
 	char *id;
 	char *key;
@@ -63,7 +63,7 @@
 {
 	struct ask *ask = data;
 
-	clm_forget(&ask->ask);
+	clm_cancel(&ask->ask);
 	g_free(ask->id);
 	g_free(ask->key);
 	g_free(ask->asker);
@@ -82,10 +82,10 @@
 };
 
 static void
-on_answer(struct clm_ask *clm_ask, enum clm_result result,
+on_answer(struct clm_request *clm_request, enum clm_result result,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
-	struct ask *ask = (struct ask *)clm_ask;
+	struct ask *ask = (struct ask *)clm_request;
 	struct entry *entry = ask->claims->entry;
 	struct rt_claim_answer answer = {
 		.number = ask->number,
@@ -147,12 +147,12 @@
     const struct err *err, void *ctx)
 {
 	struct bucket *b = ctx;
-	enum clm_write_end end = CLM_WRITE_UNKNOWN;
+	enum clm_write_result end = CLM_WRITE_UNKNOWN;
 
 	if (err == NULL)
-		end = CLM_WRITE_IN;
+		end = CLM_WRITE_APPLIED;
 	else if (err->code == ERR_CONFLICT)
-		end = CLM_WRITE_LOST;
+		end = CLM_WRITE_CONFLICT;
 	clm_write_done(b->clm, end, version, now_us());
 }
 
@@ -196,7 +196,7 @@
 	struct entry *entry = ((struct bucket *)ctx)->claims->entry;
 	const struct rt_claim_settle settle = {
 		.key = slice_str(key),
-		.asker = slice_str(asker),
+		.claimant = slice_str(asker),
 		.verdict = outcome->verdict,
 		.status = outcome->status,
 		.type = slice_str(outcome->type),
@@ -215,7 +215,7 @@
 	.write = on_write,
 	.answer = on_answer,
 	.is_live = on_is_live,
-	.pass_on = on_pass_on,
+	.forward = on_pass_on,
 };
 
 static struct bucket *
@@ -249,23 +249,23 @@
 	ask->claims = claims;
 	ask->id = id;
 	ask->key = slice_dup(claim->key);
-	ask->asker = slice_dup(claim->asker);
+	ask->asker = slice_dup(claim->claimant);
 	g_strlcpy(ask->from, from, sizeof(ask->from));
 	ask->number = claim->number;
 	ask->ask.key = ask->key;
-	ask->ask.asker = ask->asker;
+	ask->ask.claimant = ask->asker;
 	ask->ask.body = claim->body;
 	ask->ask.keep_ms = (unsigned int)claim->keep_ms;
 	ask->ask.until_us = now_us() + (int64_t)claim->wait_ms * 1000;
 	g_hash_table_insert(claims->asks, ask->id, ask);
-	clm_ask(bucket_of(claims, ask->key)->clm, &ask->ask, now_us());
+	clm_request(bucket_of(claims, ask->key)->clm, &ask->ask, now_us());
 }
 
 void
 claims_settle(struct entry *entry, const struct rt_claim_settle *settle)
 {
 	char *key = slice_dup(settle->key);
-	char *asker = slice_dup(settle->asker);
+	char *asker = slice_dup(settle->claimant);
 	char *type = slice_dup(settle->type);
 	char *answer = slice_dup(settle->answer);
 	const struct clm_outcome outcome = {
@@ -343,7 +343,7 @@
 			continue;
 		if (all ||
 		    strcmp(claims_owner(entry, i), entry->proc.node.id) != 0)
-			clm_give_up(claims->bucket[i].clm, now_us());
+			clm_release(claims->bucket[i].clm, now_us());
 	}
 }
 
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -66,7 +66,7 @@
 	unsigned int live_entries; /* this one included */
 	struct rt_targets targets;
 	struct rt_fleet *fleet; /* the same targets, to choose from */
-	GHashTable *teams; /* branch name -> struct rt_team */
+	GHashTable *teams; /* branch name -> struct rt_workspace */
 	struct cfg *root; /* the root branch; NULL before it is in force */
 	struct rng rng;
 	uint64_t next_stream;
@@ -83,7 +83,8 @@
 /* serve.c */
 int serve_main(const char *settings);
 bool entry_takes_work(const struct entry *entry);
-const struct rt_team *entry_team(const struct entry *entry, const char *name);
+const struct rt_workspace *entry_team(
+    const struct entry *entry, const char *name);
 
 /* sides.c: connections to the sides and what they say. */
 void sides_member(struct entry *entry, const struct mem_member *member);
@@ -94,7 +95,7 @@
 /* request.c: one caller's request over its attempts. */
 struct request_ask { /* borrowed; copied by request_start */
 	SoupServerMessage *message;
-	const struct rt_team *team;
+	const struct rt_workspace *team;
 	const struct rt_model *model; /* or */
 	const struct rt_service *service;
 	const char *method;
@@ -166,7 +167,7 @@
 
 /* gatekeeper.c: limits, queues and the retry budget. */
 void gatekeeper_open(struct entry *entry);
-void gatekeeper_team(struct entry *entry, const struct rt_team *team);
+void gatekeeper_team(struct entry *entry, const struct rt_workspace *team);
 void gatekeeper_members(struct entry *entry);
 void gatekeeper_entry_gone(struct entry *entry, const char *id);
 void gatekeeper_told(
--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -9,7 +9,7 @@
 #include "entry/entry.h"
 
 /* Requests one entry passes on at a time, whatever the targets could take:
- * bounds its memory (a held answer is up to RT_WINDOW). */
+ * bounds its memory (a held answer is up to RT_WINDOW_BYTES). */
 #define OPEN_MAX 4096
 #define VERSIONS_MAX 256 /* of a model; the settings allow no more */
 #define LOAD_TICK_MS 100
@@ -74,7 +74,7 @@
 }
 
 static void
-load_model(struct entry *entry, const struct rt_team *team,
+load_model(struct entry *entry, const struct rt_workspace *team,
     const struct rt_model *model)
 {
 	struct digest roots[VERSIONS_MAX];
@@ -92,7 +92,7 @@
 }
 
 static void
-load_service(struct entry *entry, const struct rt_team *team,
+load_service(struct entry *entry, const struct rt_workspace *team,
     const struct rt_service *service)
 {
 	const struct rt_criteria wish = {
@@ -108,7 +108,7 @@
 void
 gatekeeper_spoke(struct entry *entry, const struct rt_target *target)
 {
-	const struct rt_team *team = entry_team(entry, target->workspace);
+	const struct rt_workspace *team = entry_team(entry, target->workspace);
 	size_t i;
 
 	if (team == NULL)
@@ -130,7 +130,7 @@
 on_load_tick(gpointer data)
 {
 	struct entry *entry = ((struct gatekeeper *)data)->entry;
-	const struct rt_team *team;
+	const struct rt_workspace *team;
 	GHashTableIter iter;
 	gpointer value;
 	size_t i;
@@ -158,7 +158,8 @@
 }
 
 static void
-set_team(struct gatekeeper *g, struct gate_team *t, const struct rt_team *team)
+set_team(
+    struct gatekeeper *g, struct gate_team *t, const struct rt_workspace *team)
 {
 	unsigned int entries = live_entries(g->entry);
 
@@ -169,7 +170,7 @@
 }
 
 void
-gatekeeper_team(struct entry *entry, const struct rt_team *team)
+gatekeeper_team(struct entry *entry, const struct rt_workspace *team)
 {
 	struct gatekeeper *g = entry->gatekeeper;
 	struct gate_team *t = find_team(g, team->name);
@@ -190,7 +191,7 @@
 	struct gatekeeper *g = entry->gatekeeper;
 	GHashTableIter iter;
 	gpointer value;
-	const struct rt_team *team;
+	const struct rt_workspace *team;
 
 	g_hash_table_iter_init(&iter, g->teams);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -220,7 +221,7 @@
 
 	if (!msg_read(m, &rt_demand_desc, &demand, NULL))
 		return;
-	name = slice_dup(demand.team);
+	name = slice_dup(demand.workspace);
 	t = find_team(entry->gatekeeper, name);
 	if (t != NULL)
 		lim_reported(t->limit, from, demand.demand_milli_s, now_us());
@@ -285,7 +286,7 @@
 	g_hash_table_iter_init(&iter, g->teams);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct gate_team *t = value;
-		struct rt_demand demand = { .team = slice_str(t->name) };
+		struct rt_demand demand = { .workspace = slice_str(t->name) };
 
 		if (!lim_report_due(t->limit, now_us()))
 			continue;
--- a/programs/entry/lead.c
+++ b/programs/entry/lead.c
@@ -274,7 +274,7 @@
 	const struct mem_node *node = &member->node;
 
 	if (node->kind == MEM_SIDE && member->state != MEM_LEAVING)
-		rt_place_offer(offering->place, node->id, node->address,
+		rt_place_add_host(offering->place, node->id, node->address,
 		    node->domain, node->info);
 }
 
@@ -284,7 +284,7 @@
 	struct offering offering = { rt_place_new(lead->team, model) };
 
 	agr_each_member(lead->entry->proc.agr, offer, &offering);
-	return rt_place_end(offering.place);
+	return rt_place_finish(offering.place);
 }
 
 static unsigned int
@@ -330,7 +330,7 @@
 static void
 tick(struct lead *lead)
 {
-	const struct rt_team *team = entry_team(lead->entry, lead->team);
+	const struct rt_workspace *team = entry_team(lead->entry, lead->team);
 	size_t i;
 
 	if (team == NULL || lead->role == NULL ||
--- a/programs/entry/ops.c
+++ b/programs/entry/ops.c
@@ -18,7 +18,7 @@
 static bool
 may_operate(struct entry *entry, SoupServerMessage *message, const char *branch)
 {
-	const struct rt_team *team = entry_team(entry, branch);
+	const struct rt_workspace *team = entry_team(entry, branch);
 	struct digest want;
 
 	if (digest_from_hex(cfg_str(entry->proc.cfg, "node.operator"), &want) &&
@@ -351,7 +351,7 @@
 }
 
 static void
-add_places(JsonBuilder *b, struct entry *entry, const struct rt_team *team,
+add_places(JsonBuilder *b, struct entry *entry, const struct rt_workspace *team,
     const struct rt_model *model)
 {
 	const struct rt_version *v = model->rollout;
@@ -380,9 +380,9 @@
 answer_rollout(gpointer data)
 {
 	struct asking *a = data;
-	const struct rt_team *team = entry_team(a->entry, a->team);
+	const struct rt_workspace *team = entry_team(a->entry, a->team);
 	const struct rt_model *model =
-	    team == NULL ? NULL : rt_team_model(team, a->model);
+	    team == NULL ? NULL : rt_workspace_model(team, a->model);
 	JsonBuilder *b = json_builder_new();
 
 	json_builder_begin_object(b);
@@ -413,9 +413,9 @@
 start_asking(struct entry *entry, SoupServerMessage *message,
     const char *team_name, const char *model_name)
 {
-	const struct rt_team *team = entry_team(entry, team_name);
+	const struct rt_workspace *team = entry_team(entry, team_name);
 	const struct rt_model *model =
-	    team == NULL ? NULL : rt_team_model(team, model_name);
+	    team == NULL ? NULL : rt_workspace_model(team, model_name);
 	struct err err = { 0 };
 	struct asking *a;
 
--- a/programs/entry/request.c
+++ b/programs/entry/request.c
@@ -8,7 +8,7 @@
 
 /* An answer that is not streamed is held up to this size until it is whole,
  * so that a broken one can be run again and the caller sees no trace. */
-#define HOLD_MAX RT_WINDOW
+#define HOLD_MAX RT_WINDOW_BYTES
 #define VERSIONS_MAX 256 /* of a model; the settings allow no more */
 #define MIN_TRY_MS 20 /* less time left than this is not worth a try */
 /* The users' measure: the first token of an admitted request. */
@@ -58,7 +58,7 @@
 	r->att.facts.time_left = request_left_ms(r) >= MIN_TRY_MS;
 	r->att.facts.nothing_sent = r->side == NULL;
 	r->att.facts.budget = gatekeeper_may_retry(r->entry, r->team);
-	att_take(&r->att, event);
+	att_step(&r->att, event);
 	if (att_is_over(&r->att))
 		free_request(r);
 }
@@ -95,11 +95,11 @@
 static struct rt_target *
 choose(struct request *r, int64_t *rest_ends_us)
 {
-	const struct rt_team *team = entry_team(r->entry, r->team);
+	const struct rt_workspace *team = entry_team(r->entry, r->team);
 	const struct rt_model *model =
-	    team == NULL ? NULL : rt_team_model(team, r->model);
+	    team == NULL ? NULL : rt_workspace_model(team, r->model);
 	const struct rt_service *service =
-	    team == NULL ? NULL : rt_team_service(team, r->service);
+	    team == NULL ? NULL : rt_workspace_service(team, r->service);
 	struct digest roots[VERSIONS_MAX];
 	struct rt_criteria wish = {
 		.kind = r->model[0] != '\0' ? RT_ENGINE : RT_SERVICE,
@@ -277,7 +277,7 @@
 	if (r->side == NULL || !r->side->open)
 		return;
 	for (; len > 0; len -= window.bytes) {
-		window.bytes = MIN(len, RT_WINDOW);
+		window.bytes = MIN(len, RT_WINDOW_BYTES);
 		conn_send(r->side->conn, &rt_window_desc, &window);
 	}
 }
--- a/programs/entry/serve.c
+++ b/programs/entry/serve.c
@@ -22,7 +22,7 @@
 	return agr_is_ready(entry->proc.agr);
 }
 
-const struct rt_team *
+const struct rt_workspace *
 entry_team(const struct entry *entry, const char *name)
 {
 	return g_hash_table_lookup(entry->teams, name);
@@ -150,7 +150,7 @@
 		return;
 	}
 	g_hash_table_replace(entry->teams, g_strdup(branch->name),
-	    rt_team_read(cfg, branch->version));
+	    rt_workspace_read(cfg, branch->version));
 	gatekeeper_team(entry, entry_team(entry, branch->name));
 	lead_teams_changed(entry);
 }
@@ -238,7 +238,7 @@
 	gatekeeper_open(entry);
 	claims_open(entry);
 	entry->teams = g_hash_table_new_full(
-	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)rt_team_free);
+	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)rt_workspace_free);
 	entry->leads = g_hash_table_new(g_str_hash, g_str_equal);
 	random_bytes(&seed, sizeof(seed));
 	rng_seed(&entry->rng, seed);
--- a/programs/entry/sides.c
+++ b/programs/entry/sides.c
@@ -66,14 +66,14 @@
 		TAILQ_INSERT_TAIL(&side->entry->targets, t, link);
 	}
 	t->kind = (enum rt_target_kind)told.kind;
-	copy_slice(t->workspace, sizeof(t->workspace), told.team);
+	copy_slice(t->workspace, sizeof(t->workspace), told.workspace);
 	copy_slice(t->pool, sizeof(t->pool), told.pool);
 	copy_slice(t->service, sizeof(t->service), told.service);
 	t->loaded = told.loaded;
 	t->slots = (unsigned int)told.slots;
 	t->reachable = true;
 	t->reported_accepting = told.accepting != 0;
-	t->drain_ordered = told.ordered_off != 0;
+	t->drain_ordered = told.drain_ordered != 0;
 	t->accepting = t->reported_accepting && !is_leaving(side);
 	rt_fleet_update(side->entry->fleet, t);
 	rt_target_reported(
--- a/programs/side/door.c
+++ b/programs/side/door.c
@@ -282,7 +282,7 @@
 	s->target = target;
 	s->request_id = slice_dup(request.request_id);
 	s->idempotent = request.idempotent != 0;
-	s->credit = RT_WINDOW;
+	s->credit = RT_WINDOW_BYTES;
 	target->running++;
 	g_hash_table_insert(peer->streams, &s->number, s);
 	start_call(s, &request);
--- a/programs/side/main.c
+++ b/programs/side/main.c
@@ -45,7 +45,7 @@
 	case RT_CANCEL:
 		door_cancel(peer, m);
 		return;
-	case RT_WINDOW_MORE:
+	case RT_WINDOW_UPDATE:
 		door_window(peer, m);
 		return;
 	case RT_WATCH:
@@ -199,7 +199,7 @@
 	TAILQ_INIT(&side->targets);
 	TAILQ_INIT(&side->peers);
 	side->teams = g_hash_table_new_full(
-	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)rt_team_free);
+	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)rt_workspace_free);
 	side->held =
 	    g_hash_table_new_full(digest_hash, digest_equal_ptr, g_free, NULL);
 	if (!targets_read(side, err) || !loopback_open(side, err))
--- a/programs/side/place.c
+++ b/programs/side/place.c
@@ -28,7 +28,7 @@
 	const struct mem_node *node = &member->node;
 
 	if (node->kind == MEM_SIDE && member->state != MEM_LEAVING)
-		rt_place_offer(pass->place, node->id, node->address,
+		rt_place_add_host(pass->place, node->id, node->address,
 		    node->domain, node->info);
 }
 
@@ -80,8 +80,8 @@
 }
 
 static void
-look_at_model(
-    struct pass *pass, const struct rt_team *team, const struct rt_model *model)
+look_at_model(struct pass *pass, const struct rt_workspace *team,
+    const struct rt_model *model)
 {
 	GArray *hosts;
 
@@ -89,7 +89,7 @@
 		return;
 	pass->place = rt_place_new(team->name, model);
 	agr_each_member(pass->side->proc.agr, offer, pass);
-	hosts = rt_place_end(pass->place);
+	hosts = rt_place_finish(pass->place);
 	if (rt_place_has(hosts, pass->side->proc.node.id))
 		want(pass, model, hosts);
 	g_array_unref(hosts);
@@ -153,7 +153,7 @@
 	side->place_timer = 0;
 	g_hash_table_iter_init(&iter, side->teams);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rt_team *team = value;
+		const struct rt_workspace *team = value;
 
 		for (i = 0; i < team->nmodels; i++)
 			look_at_model(&pass, team, &team->models[i]);
@@ -202,7 +202,7 @@
 		return;
 	}
 	g_hash_table_replace(side->teams, g_strdup(branch->name),
-	    rt_team_read(cfg, branch->version));
+	    rt_workspace_read(cfg, branch->version));
 	place_schedule(side);
 }
 
--- a/programs/side/side.h
+++ b/programs/side/side.h
@@ -49,7 +49,7 @@
 	unsigned int loopback_port;
 	struct side_targets targets;
 	TAILQ_HEAD(side_peers, side_peer) peers;
-	GHashTable *teams; /* branch name -> struct rt_team */
+	GHashTable *teams; /* branch name -> struct rt_workspace */
 	GHashTable *held; /* roots asked of wts: struct digest -> itself */
 	bool leaving; /* told to stop */
 	bool draining; /* the settings drain this host or its domain */
--- a/programs/side/targets.c
+++ b/programs/side/targets.c
@@ -42,7 +42,8 @@
 		t = g_new0(struct side_target, 1);
 		t->side = side;
 		read_text(t->info.name, sizeof(t->info.name), cfg, i, "name");
-		read_text(t->info.team, sizeof(t->info.team), cfg, i, "team");
+		read_text(t->info.workspace, sizeof(t->info.workspace), cfg, i,
+		    "team");
 		read_text(t->info.pool, sizeof(t->info.pool), cfg, i, "pool");
 		read_text(t->info.service, sizeof(t->info.service), cfg, i,
 		    "service");
@@ -112,7 +113,7 @@
 	struct rt_target_msg message = {
 		.name = slice_str(t->info.name),
 		.kind = t->info.kind,
-		.team = slice_str(t->info.team),
+		.workspace = slice_str(t->info.workspace),
 		.pool = slice_str(t->info.pool),
 		.service = slice_str(t->info.service),
 		.loaded = t->loaded,
@@ -120,7 +121,7 @@
 		.running = t->running,
 		.slots = t->slots,
 		.count = count_targets(peer->side),
-		.ordered_off = t->ordered_off,
+		.drain_ordered = t->ordered_off,
 	};
 
 	conn_send(peer->conn, &rt_target_desc, &message);
--- a/tests/replay/attempt.c
+++ b/tests/replay/attempt.c
@@ -132,7 +132,7 @@
 	}
 	s->step = step;
 	take_facts(s, step);
-	att_take(&s->att, event);
+	att_step(&s->att, event);
 	if (att_is_over(&s->att) && !s->was_over)
 		did(step, "over %s", verdict_name(verdict_of(s)));
 	s->was_over = att_is_over(&s->att);
--- a/tests/replay/claim.c
+++ b/tests/replay/claim.c
@@ -26,13 +26,13 @@
 	char id[8];
 	bool live;
 	struct clm *clm;
-	struct clm_pace pace;
+	struct clm_write_limit pace;
 	char *write; /* under way, or given up and still on its way */
 	uint64_t if_version;
 };
 
 struct one_try {
-	struct clm_ask ask; /* first: the callback gets its address */
+	struct clm_request ask; /* first: the callback gets its address */
 	char name[32];
 };
 
@@ -66,7 +66,7 @@
 }
 
 static void
-on_answer(struct clm_ask *ask, enum clm_result result,
+on_answer(struct clm_request *ask, enum clm_result result,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
 	struct owner *o = ctx;
@@ -102,7 +102,7 @@
 	.write = on_write,
 	.answer = on_answer,
 	.is_live = on_is_live,
-	.pass_on = on_pass_on,
+	.forward = on_pass_on,
 };
 
 static void *
@@ -152,11 +152,11 @@
 	t = &s->tries[s->ntries++];
 	g_strlcpy(t->name, word(step, 2), sizeof(t->name));
 	t->ask.key = "t/s/k";
-	t->ask.asker = t->name;
+	t->ask.claimant = t->name;
 	t->ask.keep_ms = 1000;
 	t->ask.until_us = step->now_us + WAIT_US;
 	digest_of(body, strlen(body), &t->ask.body);
-	clm_ask(o->clm, &t->ask, step->now_us);
+	clm_request(o->clm, &t->ask, step->now_us);
 }
 
 static void
@@ -203,8 +203,9 @@
 		clm_read_done(o->clm, true, 0, NULL, step->now_us);
 	} else if (is_word(step, 1, "write")) {
 		in = land(s, o, step);
-		clm_write_done(o->clm, in ? CLM_WRITE_IN : CLM_WRITE_LOST,
-		    s->version, step->now_us);
+		clm_write_done(o->clm,
+		    in ? CLM_WRITE_APPLIED : CLM_WRITE_CONFLICT, s->version,
+		    step->now_us);
 	} else if (is_word(step, 1, "write_answer_lost")) {
 		land(s, o, step);
 		clm_write_done(o->clm, CLM_WRITE_UNKNOWN, 0, step->now_us);
--- a/tests/route/claim_world.h
+++ b/tests/route/claim_world.h
@@ -26,7 +26,7 @@
 		struct sim *sim;
 		char id[4];
 		struct clm *clm;
-		struct clm_pace pace;
+		struct clm_write_limit pace;
 		bool live;
 		bool reading;
 		char *write_value; /* value of the write in progress, or NULL */
@@ -36,7 +36,7 @@
 };
 
 struct request {
-	struct clm_ask ask; /* first: the callback casts its address */
+	struct clm_request ask; /* first: the callback casts its address */
 	int result;
 	struct clm_outcome outcome;
 	char answer[64];
@@ -64,7 +64,7 @@
 }
 
 static void
-on_answer(struct clm_ask *ask, enum clm_result result,
+on_answer(struct clm_request *ask, enum clm_result result,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
 	struct request *t = (struct request *)ask;
@@ -106,7 +106,7 @@
 	.write = on_write,
 	.answer = on_answer,
 	.is_live = on_is_live,
-	.pass_on = on_pass_on,
+	.forward = on_pass_on,
 };
 
 G_GNUC_UNUSED static void
@@ -189,8 +189,8 @@
 	applied = !sim->down && apply_write(sim, value, o->if_version);
 	clm_write_done(o->clm,
 	    sim->down     ? CLM_WRITE_UNKNOWN
-		: applied ? CLM_WRITE_IN
-			  : CLM_WRITE_LOST,
+		: applied ? CLM_WRITE_APPLIED
+			  : CLM_WRITE_CONFLICT,
 	    sim->version, sim->now_us);
 	g_free(value);
 }
@@ -242,11 +242,11 @@
 	memset(t, 0, sizeof(*t));
 	t->result = PENDING;
 	t->ask.key = key;
-	t->ask.asker = asker;
+	t->ask.claimant = asker;
 	t->ask.keep_ms = 30000;
 	t->ask.until_us = sim->now_us + 5000 * MS;
 	digest_of(body, strlen(body), &t->ask.body);
-	clm_ask(sim->owner[at].clm, &t->ask, sim->now_us);
+	clm_request(sim->owner[at].clm, &t->ask, sim->now_us);
 }
 
 G_GNUC_UNUSED static void
--- a/tests/route/test_attempt.c
+++ b/tests/route/test_attempt.c
@@ -160,7 +160,7 @@
 
 	begin(&trail, &facts);
 	for (n = 0; cases[i].events[n] != END; n++)
-		att_take(&trail.att, cases[i].events[n]);
+		att_step(&trail.att, cases[i].events[n]);
 	assert_string_equal(trail.actions, cases[i].actions);
 	assert_int_equal(att_is_over(&trail.att), cases[i].over);
 	assert_int_equal(trail.att.may_have_run, cases[i].may_have_run);
@@ -205,8 +205,8 @@
 		if (event == ATT_LOST)
 			again = again && facts.idempotent;
 		begin(&trail, &facts);
-		att_take(&trail.att, ATT_START);
-		att_take(&trail.att, event);
+		att_step(&trail.att, ATT_START);
+		att_step(&trail.att, event);
 		assert_string_equal(trail.actions,
 		    again ? "dispatch dispatch" : "dispatch fail");
 		assert_int_equal(att_is_over(&trail.att), !again);
@@ -225,9 +225,9 @@
 	struct trail trail;
 
 	begin(&trail, &facts);
-	att_take(&trail.att, ATT_START);
+	att_step(&trail.att, ATT_START);
 	trail.att.facts.nothing_sent = true;
-	att_take(&trail.att, ATT_DEADLINE);
+	att_step(&trail.att, ATT_DEADLINE);
 	assert_string_equal(trail.actions, "dispatch fail");
 	assert_true(att_is_over(&trail.att));
 	assert_false(trail.att.may_have_run);
@@ -245,8 +245,8 @@
 	struct trail trail;
 
 	begin(&trail, &facts);
-	att_take(&trail.att, ATT_START);
-	att_take(&trail.att, ATT_CLAIMED);
+	att_step(&trail.att, ATT_START);
+	att_step(&trail.att, ATT_CLAIMED);
 	assert_string_equal(trail.actions, "claim fail settle");
 	assert_true(att_is_over(&trail.att));
 	assert_false(trail.att.may_have_run);
--- a/tests/route/test_catalogue.c
+++ b/tests/route/test_catalogue.c
@@ -8,7 +8,7 @@
 
 #include "route/route.h"
 
-static struct rt_team *
+static struct rt_workspace *
 read_team(const char *path, const char *value)
 {
 	struct err err = { 0 };
@@ -27,15 +27,15 @@
 		g_free(text);
 		cfg_free(cfg);
 	}
-	return rt_team_read(changed, 5);
+	return rt_workspace_read(changed, 5);
 }
 
 static void
 test_branch(void **state)
 {
-	struct rt_team *team = read_team(NULL, NULL);
-	const struct rt_model *model = rt_team_model(team, "inspect");
-	const struct rt_service *service = rt_team_service(team, "notes");
+	struct rt_workspace *team = read_team(NULL, NULL);
+	const struct rt_model *model = rt_workspace_model(team, "inspect");
+	const struct rt_service *service = rt_workspace_service(team, "notes");
 	struct digest other;
 
 	assert_string_equal(team->name, "konya");
@@ -48,7 +48,7 @@
 	assert_int_equal(team->retry_budget_permille, 100);
 	assert_false(digest_is_none(&team->caller_token));
 	assert_false(digest_is_none(&team->operator_token));
-	assert_null(rt_team_model(team, "absent"));
+	assert_null(rt_workspace_model(team, "absent"));
 	assert_non_null(model);
 	assert_int_equal(model->nversions, 2);
 	assert_ptr_equal(model->rollout, &model->versions[1]);
@@ -66,23 +66,23 @@
 	assert_true(rt_model_placed(model, "large", "hall-b"));
 	assert_false(rt_model_placed(model, "large", "hall-d"));
 	assert_false(rt_model_placed(model, "small", "hall-b"));
-	assert_null(rt_team_service(team, "absent"));
+	assert_null(rt_workspace_service(team, "absent"));
 	assert_string_equal(service->pool, "default");
 	assert_int_equal(service->stall_ms, 5000);
 	assert_true(rt_service_is_idempotent(service, "GET"));
 	assert_false(rt_service_is_idempotent(service, "POST"));
-	rt_team_free(team);
+	rt_workspace_free(team);
 }
 
 static void
 test_minimal_branch(void **state)
 {
-	struct rt_team *team = read_team("models",
+	struct rt_workspace *team = read_team("models",
 	    "{m: {versions: {v1: {bytes: 1, chunk_bytes: 65536, weights: w, "
 	    "chunks: c, root: "
 	    "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 	    "}}}}");
-	const struct rt_model *model = rt_team_model(team, "m");
+	const struct rt_model *model = rt_workspace_model(team, "m");
 	struct digest roots[1];
 	bool ranked;
 
@@ -90,8 +90,8 @@
 	assert_null(model->rollout);
 	assert_true(rt_model_placed(model, "default", "anywhere"));
 	assert_int_equal(rt_model_roots(model, 3, roots, &ranked), 1);
-	rt_team_free(team);
-	rt_team_free(NULL);
+	rt_workspace_free(team);
+	rt_workspace_free(NULL);
 }
 
 #define DRAWS 10000
@@ -99,8 +99,8 @@
 static void
 test_split_by_weight(void **state)
 {
-	struct rt_team *team = read_team(NULL, NULL);
-	const struct rt_model *model = rt_team_model(team, "inspect");
+	struct rt_workspace *team = read_team(NULL, NULL);
+	const struct rt_model *model = rt_workspace_model(team, "inspect");
 	struct digest roots[2];
 	unsigned int old = 0, i;
 	bool ranked;
@@ -116,15 +116,15 @@
 	}
 	/* 900 of 1000; the standard deviation at 10,000 draws is 0.3%. */
 	assert_in_range(old, DRAWS * 88 / 100, DRAWS * 92 / 100);
-	rt_team_free(team);
+	rt_workspace_free(team);
 }
 
 static void
 test_zero_weight(void **state)
 {
-	struct rt_team *team = read_team("models.inspect.rules",
+	struct rt_workspace *team = read_team("models.inspect.rules",
 	    "[{version: v2, weight: 0}, {version: v1, weight: 1}]");
-	const struct rt_model *model = rt_team_model(team, "inspect");
+	const struct rt_model *model = rt_workspace_model(team, "inspect");
 	struct digest roots[2];
 	uint64_t draw;
 	bool ranked;
@@ -134,15 +134,15 @@
 		    rt_model_roots(model, draw, roots, &ranked), 1);
 		assert_true(digest_equal(&roots[0], &model->versions[0].root));
 	}
-	rt_team_free(team);
+	rt_workspace_free(team);
 }
 
 /* The version of the rollout comes first, and the old one is a fallback. */
 static void
 test_no_rules(void **state)
 {
-	struct rt_team *team = read_team("models.inspect.rules", NULL);
-	const struct rt_model *model = rt_team_model(team, "inspect");
+	struct rt_workspace *team = read_team("models.inspect.rules", NULL);
+	const struct rt_model *model = rt_workspace_model(team, "inspect");
 	struct digest roots[2];
 	bool ranked;
 
@@ -150,14 +150,14 @@
 	assert_false(ranked);
 	assert_true(digest_equal(&roots[0], &model->versions[1].root));
 	assert_true(digest_equal(&roots[1], &model->versions[0].root));
-	rt_team_free(team);
+	rt_workspace_free(team);
 }
 
 static void
 print_target(const struct rt_target_info *t, void *ctx)
 {
 	g_string_append_printf(ctx, "[%s %d %s %s %s]", t->name, t->kind,
-	    t->team, t->pool, t->service);
+	    t->workspace, t->pool, t->service);
 }
 
 static void
@@ -174,11 +174,11 @@
 test_target_text(void **state)
 {
 	const struct rt_target_info engine = {
-		.name = "e1", .kind = RT_ENGINE, .team = "t", .pool = "p"
+		.name = "e1", .kind = RT_ENGINE, .workspace = "t", .pool = "p"
 	};
 	const struct rt_target_info service = { .name = "s1",
 		.kind = RT_SERVICE,
-		.team = "t",
+		.workspace = "t",
 		.pool = "q",
 		.service = "notes" };
 	GString *text = g_string_new(NULL);
--- a/tests/route/test_claim.c
+++ b/tests/route/test_claim.c
@@ -19,7 +19,7 @@
 		complete_read(&sim.owner[0]);
 		sim.now_us += 100;
 	}
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	assert_non_null(sim.owner[0].write_value);
 	for (i = 0; i < 50; i++)
 		assert_int_equal(t[i].result, PENDING);
@@ -55,7 +55,7 @@
 	assert_int_equal(second.result, CLM_RECORDED);
 	assert_int_equal(second.outcome.status, 200);
 	assert_string_equal(second.answer, "booked \"run\" 7\n");
-	run_for(&sim, CLM_OUTCOME_MS + 300);
+	run_for(&sim, CLM_OUTCOME_DELAY_MS + 300);
 	/* Another owner reads the outcome from the object. */
 	stop_owner(&sim, 0);
 	request_claim(&sim, 2, &third, "k", "e2/3", "b");
@@ -116,7 +116,7 @@
 	assert_int_equal(third.result, PENDING);
 	/* NOT_RUN is reported while the claim is being written. */
 	request_claim(&sim, 0, &first, "k2", "e1/1", "b");
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	settle(&sim, 0, "k2", "e1/1", VERDICT_NOT_RUN);
 	run_for(&sim, 100);
 	assert_int_equal(first.result, CLM_DOWN);
@@ -137,8 +137,8 @@
 	sim_init(&sim);
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	run_for(&sim, 10);
-	advance(&sim, CLM_GROUP_MS);
-	clm_forget(&t.ask);
+	advance(&sim, CLM_BATCH_MS);
+	clm_cancel(&t.ask);
 	run_for(&sim, 100);
 	assert_int_equal(t.result, PENDING);
 	/* Without a valid lease, only after a write. */
@@ -154,8 +154,8 @@
 	assert_int_equal(other.result, PENDING);
 	/* Not before the write, although the lease is valid. */
 	request_claim(&sim, 0, &t, "k2", "e1/2", "b");
-	advance(&sim, CLM_GROUP_MS);
-	clm_forget(&t.ask);
+	advance(&sim, CLM_BATCH_MS);
+	clm_cancel(&t.ask);
 	request_claim(&sim, 0, &t, "k2", "e1/2", "b");
 	assert_int_equal(t.result, PENDING);
 	/* The next owner grants it too. */
@@ -181,7 +181,7 @@
 		sim_init(&sim);
 		request_claim(&sim, 0, &t, "k", "e1/1", "b");
 		complete_read(&sim.owner[0]);
-		advance(&sim, CLM_GROUP_MS);
+		advance(&sim, CLM_BATCH_MS);
 		lose_answer(&sim.owner[0], applied != 0);
 		assert_int_equal(t.result, PENDING);
 		assert_true(sim.owner[0].reading);
@@ -209,12 +209,12 @@
 	sim_init(&sim);
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	complete_read(&sim.owner[0]);
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	late = g_strdup(sim.owner[0].write_value);
 	if_version = sim.owner[0].if_version;
 	lose_answer(&sim.owner[0], false);
 	complete_read(&sim.owner[0]);
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	assert_true(apply_write(&sim, late, if_version));
 	complete_write(&sim.owner[0]);
 	assert_int_equal(t.result, PENDING);
@@ -240,12 +240,12 @@
 	sim_init(&sim);
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	complete_read(&sim.owner[0]);
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	assert_non_null(sim.owner[0].write_value);
 	sim.owner[0].live = false; /* according to the others */
 	request_claim(&sim, 1, &next, "k", "e2/2", "b");
 	complete_read(&sim.owner[1]);
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	complete_write(&sim.owner[1]);
 	assert_int_equal(next.result, CLM_GRANTED);
 	sim.owner[0].live = true;
@@ -271,7 +271,7 @@
 	sim_init(&sim);
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	complete_read(&sim.owner[0]);
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	assert_true(apply_write(
 	    &sim, sim.owner[0].write_value, sim.owner[0].if_version));
 	sim.owner[0].live = false;
@@ -283,9 +283,9 @@
 	sim.now_us += 3000 * MS;
 	sim.owner[0].live = true;
 	g_clear_pointer(&sim.owner[0].write_value, g_free);
-	clm_write_done(sim.owner[0].clm, CLM_WRITE_IN, 1, sim.now_us);
+	clm_write_done(sim.owner[0].clm, CLM_WRITE_APPLIED, 1, sim.now_us);
 	assert_int_not_equal(t.result, CLM_GRANTED);
-	clm_forget(&t.ask);
+	clm_cancel(&t.ask);
 	request_claim(&sim, 1, &t, "k", "e1/1", "b");
 	run_for(&sim, 100);
 	assert_int_equal(t.result, CLM_GRANTED);
@@ -314,7 +314,7 @@
 	sim.down = false;
 	request_claim(&sim, 0, &t, "k", "e1/2", "b");
 	complete_read(&sim.owner[0]);
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	lose_answer(&sim.owner[0], true);
 	sim.down = true;
 	run_for(&sim, 100);
@@ -337,7 +337,7 @@
 	sim_init(&sim);
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	complete_read(&sim.owner[0]);
-	advance(&sim, CLM_GROUP_MS);
+	advance(&sim, CLM_BATCH_MS);
 	advance(&sim, 5000);
 	assert_int_equal(t.result, CLM_DOWN);
 	/* The write succeeds later; the key is freed again. */
@@ -432,7 +432,7 @@
 	sim_free(&sim);
 }
 
-/* Outcomes are retained until CLM_KEEP_MS after the deadline at least, also
+/* Outcomes are retained until CLM_RETENTION_MS after the deadline at least, also
  * across changes of owner, and are removed later. */
 static void
 test_prune(void **state)
@@ -446,9 +446,9 @@
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	run_for(&sim, 100);
 	settle(&sim, 0, "k", "e1/1", VERDICT_RAN);
-	run_for(&sim, CLM_OUTCOME_MS + 300);
+	run_for(&sim, CLM_OUTCOME_DELAY_MS + 300);
 	for (i = 0; i < 6; i++) {
-		sim.now_us += (CLM_KEEP_MS + 24000LL) / 6 * MS;
+		sim.now_us += (CLM_RETENTION_MS + 24000LL) / 6 * MS;
 		request_claim(&sim, i % 2, &t, fill[i], "e2/5", "b");
 		run_for(&sim, 100);
 		stop_owner(&sim, i % 2);
@@ -476,7 +476,7 @@
 	sim_init(&sim);
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	run_for(&sim, 100);
-	clm_give_up(sim.owner[0].clm, sim.now_us);
+	clm_release(sim.owner[0].clm, sim.now_us);
 	run_for(&sim, 50);
 	/* The next owner does not wait for the lease to expire. */
 	request_claim(&sim, 1, &t, "k2", "e1/2", "b");
--- a/tests/route/test_claim_mix.c
+++ b/tests/route/test_claim_mix.c
@@ -66,7 +66,7 @@
 	if (m->sim.owner[m->at[i]].clm == NULL)
 		return;
 	if (again) { /* the answer was lost: retried, at any owner */
-		clm_forget(&m->t[i].ask);
+		clm_cancel(&m->t[i].ask);
 	} else {
 		m->key[i] = (int)rng_below(&m->rng, KEYS);
 		m->by[i] = (unsigned int)rng_below(&m->rng, OWNERS);
@@ -107,7 +107,7 @@
 	stop_owner(&m->sim, o);
 	for (i = 0; i < REQUESTS; i++) {
 		if (m->key[i] >= 0 && (m->at[i] == o || m->by[i] == o)) {
-			clm_forget(&m->t[i].ask);
+			clm_cancel(&m->t[i].ask);
 			m->key[i] = -1;
 		}
 		m->t[i].result = PENDING;
@@ -140,7 +140,7 @@
 		m->sim.now_us += (int64_t)rng_below(&m->rng, 3000) * MS;
 		break;
 	case 5:
-		clm_give_up(o->clm, m->sim.now_us);
+		clm_release(o->clm, m->sim.now_us);
 		break;
 	case 6:
 	case 7:
--- a/tests/route/test_place.c
+++ b/tests/route/test_place.c
@@ -37,10 +37,10 @@
 			continue;
 		g_snprintf(id, sizeof(id), "h%u", n);
 		g_snprintf(address, sizeof(address), "127.0.0.1:%u", 1000 + n);
-		rt_place_offer(p, id, address, n % 2 == 0 ? "a" : "b",
+		rt_place_add_host(p, id, address, n % 2 == 0 ? "a" : "b",
 		    "s,service,t,large,notes;e,engine,t,large,");
 	}
-	return rt_place_end(p);
+	return rt_place_finish(p);
 }
 
 static const struct rt_place_host *
@@ -116,9 +116,9 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(offers); i++)
-		rt_place_offer(
+		rt_place_add_host(
 		    p, "h", "127.0.0.1:1", offers[i].domain, offers[i].info);
-	hosts = rt_place_end(p);
+	hosts = rt_place_finish(p);
 	assert_int_equal(hosts->len, 0);
 	g_array_unref(hosts);
 }
