--- a/tests/route/claim_world.h
+++ b/tests/route/claim_world.h
@@ -26,7 +26,7 @@
 		struct sim *sim;
 		char id[4];
 		struct clm *clm;
-		struct clm_write_limit pace;
+		struct clm_write_limit write_limit;
 		bool live;
 		bool reading;
 		char *write_value; /* value of the write in progress, or NULL */
@@ -36,7 +36,7 @@
 };
 
 struct request {
-	struct clm_request ask; /* first: the callback casts its address */
+	struct clm_request base; /* first: the callback casts its address */
 	int result;
 	struct clm_outcome outcome;
 	char answer[64];
@@ -64,10 +64,10 @@
 }
 
 static void
-on_answer(struct clm_request *ask, enum clm_result result,
+on_answer(struct clm_request *request, enum clm_result result,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
-	struct request *t = (struct request *)ask;
+	struct request *t = (struct request *)request;
 
 	assert_int_equal(t->result, PENDING);
 	t->result = (int)result;
@@ -80,20 +80,20 @@
 }
 
 static bool
-on_is_live(const char *entry, void *ctx)
+on_is_live(const char *gateway, void *ctx)
 {
 	struct owner *o = ctx;
 	size_t i;
 
 	for (i = 0; i < OWNERS; i++) {
-		if (strcmp(o->sim->owner[i].id, entry) == 0)
+		if (strcmp(o->sim->owner[i].id, gateway) == 0)
 			return o->sim->owner[i].live;
 	}
 	return false;
 }
 
 static void
-on_pass_on(const char *key, const char *asker,
+on_forward(const char *key, const char *claimant,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
 	struct owner *o = ctx;
@@ -106,7 +106,7 @@
 	.write = on_write,
 	.answer = on_answer,
 	.is_live = on_is_live,
-	.forward = on_pass_on,
+	.forward = on_forward,
 };
 
 G_GNUC_UNUSED static void
@@ -116,9 +116,9 @@
 
 	o->sim = sim;
 	o->live = true;
-	o->pace.writes_s = 1000;
+	o->write_limit.writes_s = 1000;
 	g_snprintf(o->id, sizeof(o->id), "e%u", i);
-	o->clm = clm_new(o->id, &o->pace, &ops, o);
+	o->clm = clm_new(o->id, &o->write_limit, &ops, o);
 }
 
 G_GNUC_UNUSED static void
@@ -237,20 +237,20 @@
 
 G_GNUC_UNUSED static void
 request_claim(struct sim *sim, unsigned int at, struct request *t,
-    const char *key, const char *asker, const char *body)
+    const char *key, const char *claimant, const char *body)
 {
 	memset(t, 0, sizeof(*t));
 	t->result = PENDING;
-	t->ask.key = key;
-	t->ask.claimant = asker;
-	t->ask.keep_ms = 30000;
-	t->ask.until_us = sim->now_us + 5000 * MS;
-	digest_of(body, strlen(body), &t->ask.body);
-	clm_request(sim->owner[at].clm, &t->ask, sim->now_us);
+	t->base.key = key;
+	t->base.claimant = claimant;
+	t->base.keep_ms = 30000;
+	t->base.until_us = sim->now_us + 5000 * MS;
+	digest_of(body, strlen(body), &t->base.body);
+	clm_request(sim->owner[at].clm, &t->base, sim->now_us);
 }
 
 G_GNUC_UNUSED static void
-settle(struct sim *sim, unsigned int at, const char *key, const char *asker,
+settle(struct sim *sim, unsigned int at, const char *key, const char *claimant,
     enum verdict verdict)
 {
 	const struct clm_outcome outcome = {
@@ -260,7 +260,7 @@
 		.answer = "booked \"run\" 7\n",
 	};
 
-	clm_settle(sim->owner[at].clm, key, asker, &outcome, sim->now_us);
+	clm_settle(sim->owner[at].clm, key, claimant, &outcome, sim->now_us);
 }
 
 G_GNUC_UNUSED static unsigned int
--- a/tests/route/test_catalogue.c
+++ b/tests/route/test_catalogue.c
@@ -9,7 +9,7 @@
 #include "route/route.h"
 
 static struct rt_workspace *
-read_team(const char *path, const char *value)
+read_workspace(const char *path, const char *value)
 {
 	struct err err = { 0 };
 	struct cfg *cfg = cfg_load(
@@ -33,22 +33,23 @@
 static void
 test_branch(void **state)
 {
-	struct rt_workspace *team = read_team(NULL, NULL);
-	const struct rt_model *model = rt_workspace_model(team, "inspect");
-	const struct rt_service *service = rt_workspace_service(team, "notes");
+	struct rt_workspace *workspace = read_workspace(NULL, NULL);
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
+	const struct rt_service *service =
+	    rt_workspace_service(workspace, "notes");
 	struct digest other;
 
-	assert_string_equal(team->name, "konya");
-	assert_int_equal(team->version, 5);
-	assert_int_equal(team->requests_s, 1500);
-	assert_int_equal(team->queue, 3000);
-	assert_int_equal(team->weight, 200);
-	assert_int_equal(team->default_deadline_ms, 30000);
-	assert_int_equal(team->max_deadline_ms, 300000);
-	assert_int_equal(team->retry_budget_permille, 100);
-	assert_false(digest_is_none(&team->caller_token));
-	assert_false(digest_is_none(&team->operator_token));
-	assert_null(rt_workspace_model(team, "absent"));
+	assert_string_equal(workspace->name, "konya");
+	assert_int_equal(workspace->version, 5);
+	assert_int_equal(workspace->requests_s, 1500);
+	assert_int_equal(workspace->queue, 3000);
+	assert_int_equal(workspace->weight, 200);
+	assert_int_equal(workspace->default_deadline_ms, 30000);
+	assert_int_equal(workspace->max_deadline_ms, 300000);
+	assert_int_equal(workspace->retry_budget_permille, 100);
+	assert_false(digest_is_none(&workspace->caller_token));
+	assert_false(digest_is_none(&workspace->operator_token));
+	assert_null(rt_workspace_model(workspace, "absent"));
 	assert_non_null(model);
 	assert_int_equal(model->nversions, 2);
 	assert_ptr_equal(model->rollout, &model->versions[1]);
@@ -66,23 +67,23 @@
 	assert_true(rt_model_placed(model, "large", "hall-b"));
 	assert_false(rt_model_placed(model, "large", "hall-d"));
 	assert_false(rt_model_placed(model, "small", "hall-b"));
-	assert_null(rt_workspace_service(team, "absent"));
+	assert_null(rt_workspace_service(workspace, "absent"));
 	assert_string_equal(service->pool, "default");
 	assert_int_equal(service->stall_ms, 5000);
 	assert_true(rt_service_is_idempotent(service, "GET"));
 	assert_false(rt_service_is_idempotent(service, "POST"));
-	rt_workspace_free(team);
+	rt_workspace_free(workspace);
 }
 
 static void
 test_minimal_branch(void **state)
 {
-	struct rt_workspace *team = read_team("models",
+	struct rt_workspace *workspace = read_workspace("models",
 	    "{m: {versions: {v1: {bytes: 1, chunk_bytes: 65536, weights: w, "
 	    "chunks: c, root: "
 	    "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 	    "}}}}");
-	const struct rt_model *model = rt_workspace_model(team, "m");
+	const struct rt_model *model = rt_workspace_model(workspace, "m");
 	struct digest roots[1];
 	bool ranked;
 
@@ -90,7 +91,7 @@
 	assert_null(model->rollout);
 	assert_true(rt_model_placed(model, "default", "anywhere"));
 	assert_int_equal(rt_model_roots(model, 3, roots, &ranked), 1);
-	rt_workspace_free(team);
+	rt_workspace_free(workspace);
 	rt_workspace_free(NULL);
 }
 
@@ -99,8 +100,8 @@
 static void
 test_split_by_weight(void **state)
 {
-	struct rt_workspace *team = read_team(NULL, NULL);
-	const struct rt_model *model = rt_workspace_model(team, "inspect");
+	struct rt_workspace *workspace = read_workspace(NULL, NULL);
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
 	struct digest roots[2];
 	unsigned int old = 0, i;
 	bool ranked;
@@ -116,15 +117,15 @@
 	}
 	/* 900 of 1000; the standard deviation at 10,000 draws is 0.3%. */
 	assert_in_range(old, DRAWS * 88 / 100, DRAWS * 92 / 100);
-	rt_workspace_free(team);
+	rt_workspace_free(workspace);
 }
 
 static void
 test_zero_weight(void **state)
 {
-	struct rt_workspace *team = read_team("models.inspect.rules",
+	struct rt_workspace *workspace = read_workspace("models.inspect.rules",
 	    "[{version: v2, weight: 0}, {version: v1, weight: 1}]");
-	const struct rt_model *model = rt_workspace_model(team, "inspect");
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
 	struct digest roots[2];
 	uint64_t draw;
 	bool ranked;
@@ -134,15 +135,16 @@
 		    rt_model_roots(model, draw, roots, &ranked), 1);
 		assert_true(digest_equal(&roots[0], &model->versions[0].root));
 	}
-	rt_workspace_free(team);
+	rt_workspace_free(workspace);
 }
 
 /* The version of the rollout comes first, and the old one is a fallback. */
 static void
 test_no_rules(void **state)
 {
-	struct rt_workspace *team = read_team("models.inspect.rules", NULL);
-	const struct rt_model *model = rt_workspace_model(team, "inspect");
+	struct rt_workspace *workspace =
+	    read_workspace("models.inspect.rules", NULL);
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
 	struct digest roots[2];
 	bool ranked;
 
@@ -150,7 +152,7 @@
 	assert_false(ranked);
 	assert_true(digest_equal(&roots[0], &model->versions[1].root));
 	assert_true(digest_equal(&roots[1], &model->versions[0].root));
-	rt_workspace_free(team);
+	rt_workspace_free(workspace);
 }
 
 static void
--- a/tests/route/test_claim.c
+++ b/tests/route/test_claim.c
@@ -8,14 +8,14 @@
 {
 	struct sim sim;
 	struct request t[50];
-	char key[50][16], asker[50][16];
+	char key[50][16], claimant[50][16];
 	unsigned int i;
 
 	sim_init(&sim);
 	for (i = 0; i < 50; i++) {
 		g_snprintf(key[i], 16, "t/s/%u", i);
-		g_snprintf(asker[i], 16, "e1/%u", i);
-		request_claim(&sim, 0, &t[i], key[i], asker[i], "b");
+		g_snprintf(claimant[i], 16, "e1/%u", i);
+		request_claim(&sim, 0, &t[i], key[i], claimant[i], "b");
 		complete_read(&sim.owner[0]);
 		sim.now_us += 100;
 	}
@@ -29,7 +29,7 @@
 	assert_int_equal(write_count(&sim, 0), 1);
 	/* Outcomes are batched likewise. */
 	for (i = 0; i < 50; i++)
-		settle(&sim, 0, key[i], asker[i], VERDICT_RAN);
+		settle(&sim, 0, key[i], claimant[i], VERDICT_RAN);
 	run_for(&sim, 1000);
 	assert_int_equal(write_count(&sim, 0), 2);
 	sim_free(&sim);
@@ -138,7 +138,7 @@
 	request_claim(&sim, 0, &t, "k", "e1/1", "b");
 	run_for(&sim, 10);
 	advance(&sim, CLM_BATCH_MS);
-	clm_cancel(&t.ask);
+	clm_cancel(&t.base);
 	run_for(&sim, 100);
 	assert_int_equal(t.result, PENDING);
 	/* Without a valid lease, only after a write. */
@@ -155,7 +155,7 @@
 	/* Not before the write, although the lease is valid. */
 	request_claim(&sim, 0, &t, "k2", "e1/2", "b");
 	advance(&sim, CLM_BATCH_MS);
-	clm_cancel(&t.ask);
+	clm_cancel(&t.base);
 	request_claim(&sim, 0, &t, "k2", "e1/2", "b");
 	assert_int_equal(t.result, PENDING);
 	/* The next owner grants it too. */
@@ -285,7 +285,7 @@
 	g_clear_pointer(&sim.owner[0].write_value, g_free);
 	clm_write_done(sim.owner[0].clm, CLM_WRITE_APPLIED, 1, sim.now_us);
 	assert_int_not_equal(t.result, CLM_GRANTED);
-	clm_cancel(&t.ask);
+	clm_cancel(&t.base);
 	request_claim(&sim, 1, &t, "k", "e1/1", "b");
 	run_for(&sim, 100);
 	assert_int_equal(t.result, CLM_GRANTED);
@@ -432,8 +432,8 @@
 	sim_free(&sim);
 }
 
-/* Outcomes are retained until CLM_RETENTION_MS after the deadline at least, also
- * across changes of owner, and are removed later. */
+/* Outcomes are retained until CLM_RETENTION_MS after the deadline at least,
+ * also across changes of owner, and are removed later. */
 static void
 test_prune(void **state)
 {
@@ -557,7 +557,7 @@
 	unsigned int i;
 
 	sim_init(&sim);
-	sim.owner[0].pace.writes_s = 20;
+	sim.owner[0].write_limit.writes_s = 20;
 	for (i = 0; i < 1000; i++) {
 		g_snprintf(key[i], 8, "%u", i);
 		request_claim(&sim, 0, &t[i], key[i], "e1/1", "b");
--- a/tests/route/test_claim_mix.c
+++ b/tests/route/test_claim_mix.c
@@ -12,7 +12,7 @@
 	struct rng rng;
 	unsigned int runs[KEYS]; /* actual runs of each key */
 	struct request t[REQUESTS];
-	char asker[REQUESTS][16];
+	char claimant[REQUESTS][16];
 	int key[REQUESTS];
 	unsigned int at[REQUESTS]; /* owner that received the request */
 	unsigned int by[REQUESTS]; /* gateway that sent it */
@@ -31,14 +31,14 @@
 	unsigned int report = (unsigned int)rng_below(&m->rng, 4);
 
 	if (report == 0) { /* refused by the target */
-		settle(&m->sim, m->at[i], mix_keys[m->key[i]], m->asker[i],
+		settle(&m->sim, m->at[i], mix_keys[m->key[i]], m->claimant[i],
 		    VERDICT_NOT_RUN);
 		return;
 	}
 	(*runs)++;
 	assert_int_equal(*runs, 1);
 	if (report != 1)
-		settle(&m->sim, m->at[i], mix_keys[m->key[i]], m->asker[i],
+		settle(&m->sim, m->at[i], mix_keys[m->key[i]], m->claimant[i],
 		    report == 2 ? VERDICT_RAN : VERDICT_MAY_HAVE_RUN);
 }
 
@@ -66,14 +66,14 @@
 	if (m->sim.owner[m->at[i]].clm == NULL)
 		return;
 	if (again) { /* the answer was lost: retried, at any owner */
-		clm_cancel(&m->t[i].ask);
+		clm_cancel(&m->t[i].base);
 	} else {
 		m->key[i] = (int)rng_below(&m->rng, KEYS);
 		m->by[i] = (unsigned int)rng_below(&m->rng, OWNERS);
-		g_snprintf(m->asker[i], 16, "e%u/%u", m->by[i], m->names++);
+		g_snprintf(m->claimant[i], 16, "e%u/%u", m->by[i], m->names++);
 	}
-	request_claim(
-	    &m->sim, m->at[i], &m->t[i], mix_keys[m->key[i]], m->asker[i], "b");
+	request_claim(&m->sim, m->at[i], &m->t[i], mix_keys[m->key[i]],
+	    m->claimant[i], "b");
 }
 
 static void
@@ -107,7 +107,7 @@
 	stop_owner(&m->sim, o);
 	for (i = 0; i < REQUESTS; i++) {
 		if (m->key[i] >= 0 && (m->at[i] == o || m->by[i] == o)) {
-			clm_cancel(&m->t[i].ask);
+			clm_cancel(&m->t[i].base);
 			m->key[i] = -1;
 		}
 		m->t[i].result = PENDING;
