--- a/lib/route/catalogue.c
+++ b/lib/route/catalogue.c
@@ -125,45 +125,48 @@
 struct rt_workspace *
 rt_workspace_read(struct cfg *cfg, uint64_t version)
 {
-	struct rt_workspace *team = g_new0(struct rt_workspace, 1);
+	struct rt_workspace *workspace = g_new0(struct rt_workspace, 1);
 	size_t i;
 
-	team->cfg = cfg;
-	team->version = version;
-	copy_name(team->name, cfg_str(cfg, "team"));
-	read_limits(cfg, team);
-	digest_from_hex(cfg_str(cfg, "tokens.caller"), &team->caller_token);
-	digest_from_hex(cfg_str(cfg, "tokens.operator"), &team->operator_token);
-	team->nmodels = cfg_count(cfg, "models");
-	team->models = g_new0(struct rt_model, team->nmodels);
-	for (i = 0; i < team->nmodels; i++)
-		read_model(cfg, cfg_key(cfg, i, "models"), &team->models[i]);
-	team->nservices = cfg_count(cfg, "services");
-	team->services = g_new0(struct rt_service, team->nservices);
-	for (i = 0; i < team->nservices; i++) {
+	workspace->cfg = cfg;
+	workspace->version = version;
+	copy_name(workspace->name, cfg_str(cfg, "team"));
+	read_limits(cfg, workspace);
+	digest_from_hex(
+	    cfg_str(cfg, "tokens.caller"), &workspace->caller_token);
+	digest_from_hex(
+	    cfg_str(cfg, "tokens.operator"), &workspace->operator_token);
+	workspace->nmodels = cfg_count(cfg, "models");
+	workspace->models = g_new0(struct rt_model, workspace->nmodels);
+	for (i = 0; i < workspace->nmodels; i++)
+		read_model(
+		    cfg, cfg_key(cfg, i, "models"), &workspace->models[i]);
+	workspace->nservices = cfg_count(cfg, "services");
+	workspace->services = g_new0(struct rt_service, workspace->nservices);
+	for (i = 0; i < workspace->nservices; i++) {
 		read_service(
-		    cfg, cfg_key(cfg, i, "services"), &team->services[i]);
+		    cfg, cfg_key(cfg, i, "services"), &workspace->services[i]);
 	}
-	return team;
+	return workspace;
 }
 
 void
-rt_workspace_free(struct rt_workspace *team)
+rt_workspace_free(struct rt_workspace *workspace)
 {
 	size_t i;
 
-	if (team == NULL)
+	if (workspace == NULL)
 		return;
-	for (i = 0; i < team->nmodels; i++) {
-		g_free(team->models[i].domains);
-		g_free(team->models[i].versions);
+	for (i = 0; i < workspace->nmodels; i++) {
+		g_free(workspace->models[i].domains);
+		g_free(workspace->models[i].versions);
 	}
-	for (i = 0; i < team->nservices; i++)
-		g_free(team->services[i].idempotent_methods);
-	g_free(team->models);
-	g_free(team->services);
-	cfg_free(team->cfg);
-	g_free(team);
+	for (i = 0; i < workspace->nservices; i++)
+		g_free(workspace->services[i].idempotent_methods);
+	g_free(workspace->models);
+	g_free(workspace->services);
+	cfg_free(workspace->cfg);
+	g_free(workspace);
 }
 
 /* ------------------------------------------------------------------ */
@@ -171,25 +174,25 @@
 /* ------------------------------------------------------------------ */
 
 const struct rt_model *
-rt_workspace_model(const struct rt_workspace *team, const char *name)
+rt_workspace_model(const struct rt_workspace *workspace, const char *name)
 {
 	size_t i;
 
-	for (i = 0; i < team->nmodels; i++) {
-		if (strcmp(team->models[i].name, name) == 0)
-			return &team->models[i];
+	for (i = 0; i < workspace->nmodels; i++) {
+		if (strcmp(workspace->models[i].name, name) == 0)
+			return &workspace->models[i];
 	}
 	return NULL;
 }
 
 const struct rt_service *
-rt_workspace_service(const struct rt_workspace *team, const char *name)
+rt_workspace_service(const struct rt_workspace *workspace, const char *name)
 {
 	size_t i;
 
-	for (i = 0; i < team->nservices; i++) {
-		if (strcmp(team->services[i].name, name) == 0)
-			return &team->services[i];
+	for (i = 0; i < workspace->nservices; i++) {
+		if (strcmp(workspace->services[i].name, name) == 0)
+			return &workspace->services[i];
 	}
 	return NULL;
 }
--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -282,11 +282,11 @@
 
 /* Reads a validated branch; takes ownership of `cfg`. */
 struct rt_workspace *rt_workspace_read(struct cfg *cfg, uint64_t version);
-void rt_workspace_free(struct rt_workspace *team);
+void rt_workspace_free(struct rt_workspace *workspace);
 const struct rt_model *rt_workspace_model(
-    const struct rt_workspace *team, const char *name);
+    const struct rt_workspace *workspace, const char *name);
 const struct rt_service *rt_workspace_service(
-    const struct rt_workspace *team, const char *name);
+    const struct rt_workspace *workspace, const char *name);
 bool rt_service_is_idempotent(
     const struct rt_service *service, const char *method);
 /* Whether the model may be placed on a target of this pool and domain. */
@@ -336,7 +336,8 @@
 };
 
 struct rt_place; /* a placement that is being computed */
-struct rt_place *rt_place_new(const char *team, const struct rt_model *model);
+struct rt_place *rt_place_new(
+    const char *workspace, const struct rt_model *model);
 /* Adds a live host with its target text; ignores it if none is eligible. */
 void rt_place_add_host(struct rt_place *place, const char *id,
     const char *address, const char *domain, const char *info);
