--- a/lib/route/claim.c
+++ b/lib/route/claim.c
@@ -4,7 +4,7 @@
 
 #include "route/claim_internal.h"
 
-#define SETTLES_MAX 4096 /* queued while the API is down; drops the oldest */
+#define REPORTS_MAX 4096 /* queued while the API is down; drops the oldest */
 #define DOWN_RETRY_MS 1000
 #define DOUBT_RETRY_MS 1000
 
@@ -19,55 +19,55 @@
 }
 
 void
-clm_enqueue(struct clm_requests *list, struct clm_request *ask)
+clm_enqueue(struct clm_requests *list, struct clm_request *request)
 {
-	g_assert(ask->list == NULL);
-	TAILQ_INSERT_TAIL(list, ask, link);
-	ask->list = list;
+	g_assert(request->list == NULL);
+	TAILQ_INSERT_TAIL(list, request, link);
+	request->list = list;
 }
 
 void
-clm_cancel(struct clm_request *ask)
+clm_cancel(struct clm_request *request)
 {
-	if (ask->list == NULL)
+	if (request->list == NULL)
 		return;
-	TAILQ_REMOVE(ask->list, ask, link);
-	ask->list = NULL;
+	TAILQ_REMOVE(request->list, request, link);
+	request->list = NULL;
 }
 
 void
 clm_move_all(struct clm_requests *from, struct clm_requests *to)
 {
-	struct clm_request *ask;
+	struct clm_request *request;
 
-	while ((ask = TAILQ_FIRST(from)) != NULL) {
-		clm_cancel(ask);
-		clm_enqueue(to, ask);
+	while ((request = TAILQ_FIRST(from)) != NULL) {
+		clm_cancel(request);
+		clm_enqueue(to, request);
 	}
 }
 
 void
-clm_answer(struct clm *clm, struct clm_request *ask, enum clm_result result)
+clm_answer(struct clm *clm, struct clm_request *request, enum clm_result result)
 {
-	clm_cancel(ask);
+	clm_cancel(request);
 	clm->stats.granted += result == CLM_GRANTED ? 1 : 0;
-	clm->ops->answer(
-	    ask, result, NULL, clm->owner == NULL ? "" : clm->owner, clm->ctx);
+	clm->ops->answer(request, result, NULL,
+	    clm->owner == NULL ? "" : clm->owner, clm->ctx);
 }
 
 void
 clm_answer_all(
     struct clm *clm, struct clm_requests *list, enum clm_result result)
 {
-	struct clm_request *ask;
+	struct clm_request *request;
 
-	while ((ask = TAILQ_FIRST(list)) != NULL)
-		clm_answer(clm, ask, result);
+	while ((request = TAILQ_FIRST(list)) != NULL)
+		clm_answer(clm, request, result);
 }
 
 static void
-answer_with_outcome(
-    struct clm *clm, struct clm_request *ask, const struct clm_record *record)
+answer_with_outcome(struct clm *clm, struct clm_request *request,
+    const struct clm_record *record)
 {
 	const struct clm_outcome outcome = {
 		.verdict = VERDICT_RAN,
@@ -77,8 +77,8 @@
 		.digest = record->digest,
 	};
 
-	clm_cancel(ask);
-	clm->ops->answer(ask, CLM_RECORDED, &outcome, "", clm->ctx);
+	clm_cancel(request);
+	clm->ops->answer(request, CLM_RECORDED, &outcome, "", clm->ctx);
 }
 
 void
@@ -92,81 +92,84 @@
 /* ------------------------------------------------------------------ */
 
 void
-clm_free_settle(struct clm *clm, struct settle *s)
+clm_free_report(struct clm *clm, struct report *report)
 {
-	TAILQ_REMOVE(&clm->settles, s, link);
-	clm->nsettles--;
-	g_free(s->key);
-	g_free(s->asker);
-	g_free(s->type);
-	g_free(s->answer);
-	g_free(s);
+	TAILQ_REMOVE(&clm->reports, report, link);
+	clm->nreports--;
+	g_free(report->key);
+	g_free(report->claimant);
+	g_free(report->type);
+	g_free(report->answer);
+	g_free(report);
 }
 
 static void
-add_settle(struct clm *clm, const char *key, const char *asker,
+add_report(struct clm *clm, const char *key, const char *claimant,
     const struct clm_outcome *outcome)
 {
-	struct settle *s = g_new0(struct settle, 1);
-
-	if (clm->nsettles >= SETTLES_MAX)
-		clm_free_settle(clm, TAILQ_FIRST(&clm->settles));
-	s->key = g_strdup(key);
-	s->asker = g_strdup(asker);
-	s->type = g_strdup(outcome->type);
-	s->answer = g_strdup(outcome->answer);
-	s->outcome = *outcome;
-	s->outcome.type = s->type;
-	s->outcome.answer = s->answer;
-	TAILQ_INSERT_TAIL(&clm->settles, s, link);
-	clm->nsettles++;
+	struct report *report = g_new0(struct report, 1);
+
+	if (clm->nreports >= REPORTS_MAX)
+		clm_free_report(clm, TAILQ_FIRST(&clm->reports));
+	report->key = g_strdup(key);
+	report->claimant = g_strdup(claimant);
+	report->type = g_strdup(outcome->type);
+	report->answer = g_strdup(outcome->answer);
+	report->outcome = *outcome;
+	report->outcome.type = report->type;
+	report->outcome.answer = report->answer;
+	TAILQ_INSERT_TAIL(&clm->reports, report, link);
+	clm->nreports++;
 }
 
 /* A record in state CLM_RAN is final. Only its claimant changes a record. */
 static void
-apply(struct clm *clm, const struct settle *s)
+apply(struct clm *clm, const struct report *report)
 {
-	struct clm_record *record = g_hash_table_lookup(clm->records, s->key);
+	struct clm_record *record =
+	    g_hash_table_lookup(clm->records, report->key);
 
 	if (record == NULL || record->state == CLM_RAN ||
-	    strcmp(record->asker, s->asker) != 0)
+	    strcmp(record->claimant, report->claimant) != 0)
 		return;
-	if (s->outcome.verdict == VERDICT_NOT_RUN)
-		g_hash_table_remove(clm->records, s->key);
+	if (report->outcome.verdict == VERDICT_NOT_RUN)
+		g_hash_table_remove(clm->records, report->key);
 	else
-		clm_record_settle(record, &s->outcome);
+		clm_record_settle(record, &report->outcome);
 }
 
 static void
-add_outcome(struct clm *clm, const char *key, const char *asker,
+report_outcome(struct clm *clm, const char *key, const char *claimant,
     const struct clm_outcome *outcome, int64_t now_us)
 {
-	add_settle(clm, key, asker, outcome);
+	add_report(clm, key, claimant, outcome);
 	if (clm->phase != PHASE_OWNED)
 		return;
-	apply(clm, TAILQ_LAST(&clm->settles, settles));
+	apply(clm, TAILQ_LAST(&clm->reports, reports));
 	clm_schedule_write(clm, now_us + CLM_OUTCOME_DELAY_MS * 1000);
 }
 
 /* Answers CLM_DOWN, hence NOT_RUN, although the claim may be stored, or be
  * stored later: queues its removal. */
 void
-clm_refuse_unavailable(struct clm *clm, struct clm_request *ask, int64_t now_us)
+clm_refuse_unavailable(
+    struct clm *clm, struct clm_request *request, int64_t now_us)
 {
 	const struct clm_outcome nothing = { .verdict = VERDICT_NOT_RUN };
 
-	if (ask->maybe_written)
-		add_outcome(clm, ask->key, ask->claimant, &nothing, now_us);
-	clm_answer(clm, ask, CLM_DOWN);
+	if (request->maybe_written)
+		report_outcome(
+		    clm, request->key, request->claimant, &nothing, now_us);
+	clm_answer(clm, request, CLM_DOWN);
 }
 
 void
 clm_apply_all(struct clm *clm)
 {
-	const struct settle *s;
+	const struct report *report;
 
-	TAILQ_FOREACH (s, &clm->settles, link)
-		apply(clm, s);
+	TAILQ_FOREACH (report, &clm->reports, link)
+		apply(clm, report);
 }
 
 /* ------------------------------------------------------------------ */
@@ -174,32 +177,33 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-asker_is_live(const struct clm *clm, const char *asker)
+claimant_is_live(const struct clm *clm, const char *claimant)
 {
-	char entry[CLM_CLAIMANT_MAX + 1];
-	size_t n = strcspn(asker, "/");
+	char gateway[CLM_CLAIMANT_MAX + 1];
+	size_t n = strcspn(claimant, "/");
 
-	g_strlcpy(entry, asker, MIN(n + 1, sizeof(entry)));
-	return clm->ops->is_live(entry, clm->ctx);
+	g_strlcpy(gateway, claimant, MIN(n + 1, sizeof(gateway)));
+	return clm->ops->is_live(gateway, clm->ctx);
 }
 
 /* The record is of another claimant and has no outcome. */
 static void
-evaluate_other(struct clm *clm, struct clm_request *ask,
+evaluate_other(struct clm *clm, struct clm_request *request,
     const struct clm_record *record, int64_t now_us)
 {
 	/* Without the lease another owner may have changed the object. */
-	if (now_us >= clm->lease_until_us && !clm->writing && !ask->reread) {
-		ask->reread = true;
-		clm_enqueue(&clm->pending, ask);
+	if (now_us >= clm->lease_until_us && !clm->writing &&
+	    !request->reread) {
+		request->reread = true;
+		clm_enqueue(&clm->pending, request);
 		clm_step_down(clm, now_us);
 		return;
 	}
-	if (record->state == CLM_RUNNING && ask->until_us > now_us &&
-	    asker_is_live(clm, record->asker))
-		clm_enqueue(&clm->waiting, ask);
+	if (record->state == CLM_RUNNING && request->until_us > now_us &&
+	    claimant_is_live(clm, record->claimant))
+		clm_enqueue(&clm->waiting, request);
 	else
-		clm_answer(clm, ask, CLM_IN_DOUBT);
+		clm_answer(clm, request, CLM_IN_DOUBT);
 }
 
 /*
@@ -209,54 +213,54 @@
  * refused.
  */
 static void
-evaluate_own(struct clm *clm, struct clm_request *ask,
+evaluate_own(struct clm *clm, struct clm_request *request,
     const struct clm_record *record, int64_t now_us)
 {
 	if (record->state == CLM_UNSURE) {
-		clm_answer(clm, ask, CLM_IN_DOUBT);
+		clm_answer(clm, request, CLM_IN_DOUBT);
 	} else if (record->written && now_us < clm->lease_until_us) {
-		clm_answer(clm, ask, CLM_GRANTED);
+		clm_answer(clm, request, CLM_GRANTED);
 	} else if (clm->writing && !record->written) {
-		clm_enqueue(&clm->inflight, ask);
+		clm_enqueue(&clm->inflight, request);
 	} else {
-		clm_enqueue(&clm->pending, ask);
+		clm_enqueue(&clm->pending, request);
 		clm_schedule_write(clm, now_us);
 	}
 }
 
 void
-clm_evaluate(struct clm *clm, struct clm_request *ask, int64_t now_us)
+clm_evaluate(struct clm *clm, struct clm_request *request, int64_t now_us)
 {
 	const struct clm_record *record =
-	    g_hash_table_lookup(clm->records, ask->key);
+	    g_hash_table_lookup(clm->records, request->key);
 
 	if (record == NULL) {
-		clm_enqueue(&clm->pending, ask);
+		clm_enqueue(&clm->pending, request);
 		clm_schedule_write(clm, now_us + CLM_BATCH_MS * 1000);
-	} else if (!digest_equal(&record->body, &ask->body)) {
-		clm_answer(clm, ask, CLM_OTHER_BODY);
+	} else if (!digest_equal(&record->body, &request->body)) {
+		clm_answer(clm, request, CLM_OTHER_BODY);
 	} else if (record->state == CLM_RAN) {
-		answer_with_outcome(clm, ask, record);
-	} else if (strcmp(record->asker, ask->claimant) == 0) {
-		evaluate_own(clm, ask, record, now_us);
+		answer_with_outcome(clm, request, record);
+	} else if (strcmp(record->claimant, request->claimant) == 0) {
+		evaluate_own(clm, request, record, now_us);
 	} else {
-		evaluate_other(clm, ask, record, now_us);
+		evaluate_other(clm, request, record, now_us);
 	}
 }
 
 void
 clm_evaluate_all(struct clm *clm, struct clm_requests *list, int64_t now_us)
 {
-	struct clm_requests asks = TAILQ_HEAD_INITIALIZER(asks);
-	struct clm_request *ask;
+	struct clm_requests requests = TAILQ_HEAD_INITIALIZER(requests);
+	struct clm_request *request;
 
-	clm_move_all(list, &asks);
-	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
-		clm_cancel(ask);
+	clm_move_all(list, &requests);
+	while ((request = TAILQ_FIRST(&requests)) != NULL) {
+		clm_cancel(request);
 		if (clm->phase == PHASE_OWNED)
-			clm_evaluate(clm, ask, now_us);
+			clm_evaluate(clm, request, now_us);
 		else
-			clm_enqueue(&clm->pending, ask);
+			clm_enqueue(&clm->pending, request);
 	}
 }
 
@@ -265,13 +269,13 @@
 /* ------------------------------------------------------------------ */
 
 struct clm *
-clm_new(const char *self, struct clm_write_limit *pace,
+clm_new(const char *self, struct clm_write_limit *limit,
     const struct clm_ops *ops, void *ctx)
 {
 	struct clm *clm = g_new0(struct clm, 1);
 
 	clm->self = g_strdup(self);
-	clm->pace = pace;
+	clm->write_limit = limit;
 	clm->ops = ops;
 	clm->ctx = ctx;
 	clm->records = clm_records_new();
@@ -279,7 +283,7 @@
 	TAILQ_INIT(&clm->pending);
 	TAILQ_INIT(&clm->inflight);
 	TAILQ_INIT(&clm->waiting);
-	TAILQ_INIT(&clm->settles);
+	TAILQ_INIT(&clm->reports);
 	return clm;
 }
 
@@ -295,8 +299,8 @@
 	clm_move_all(&clm->waiting, &dropped);
 	while (!TAILQ_EMPTY(&dropped))
 		clm_cancel(TAILQ_FIRST(&dropped));
-	while (!TAILQ_EMPTY(&clm->settles))
-		clm_free_settle(clm, TAILQ_FIRST(&clm->settles));
+	while (!TAILQ_EMPTY(&clm->reports))
+		clm_free_report(clm, TAILQ_FIRST(&clm->reports));
 	g_hash_table_unref(clm->records);
 	g_free(clm->owner);
 	g_free(clm->self);
@@ -310,41 +314,41 @@
 }
 
 void
-clm_request(struct clm *clm, struct clm_request *ask, int64_t now_us)
+clm_request(struct clm *clm, struct clm_request *request, int64_t now_us)
 {
-	ask->maybe_written = false;
-	ask->reread = false;
-	if (!is_valid_text(ask->key, CLM_KEY_MAX) ||
-	    !is_valid_text(ask->claimant, CLM_CLAIMANT_MAX)) {
-		clm_answer(clm, ask, CLM_BAD_KEY);
+	request->maybe_written = false;
+	request->reread = false;
+	if (!is_valid_text(request->key, CLM_KEY_MAX) ||
+	    !is_valid_text(request->claimant, CLM_CLAIMANT_MAX)) {
+		clm_answer(clm, request, CLM_BAD_KEY);
 		return;
 	}
 	switch (clm->phase) {
 	case PHASE_OWNED:
-		clm_evaluate(clm, ask, now_us);
+		clm_evaluate(clm, request, now_us);
 		return;
 	case PHASE_READING:
-		clm_enqueue(&clm->pending, ask);
+		clm_enqueue(&clm->pending, request);
 		return;
 	case PHASE_NOT_OWNED:
 		if (now_us < clm->seen_us + TAKE_OVER_US &&
 		    clm->ops->is_live(clm->owner, clm->ctx)) {
-			clm_answer(clm, ask, CLM_MOVED);
+			clm_answer(clm, request, CLM_MOVED);
 			return;
 		}
 		break;
 	case PHASE_IDLE:
 		break;
 	}
-	clm_enqueue(&clm->pending, ask);
+	clm_enqueue(&clm->pending, request);
 	clm_start_read(clm, now_us);
 }
 
 void
-clm_settle(struct clm *clm, const char *key, const char *asker,
+clm_settle(struct clm *clm, const char *key, const char *claimant,
     const struct clm_outcome *outcome, int64_t now_us)
 {
-	add_outcome(clm, key, asker, outcome, now_us);
+	report_outcome(clm, key, claimant, outcome, now_us);
 	switch (clm->phase) {
 	case PHASE_OWNED:
 		clm_evaluate_all(clm, &clm->waiting, now_us);
@@ -352,7 +356,7 @@
 	case PHASE_READING:
 		return;
 	case PHASE_NOT_OWNED:
-		clm_forward_settles(clm);
+		clm_forward_reports(clm);
 		return;
 	case PHASE_IDLE:
 		if (now_us >= clm->retry_us)
@@ -375,16 +379,16 @@
 expire_waits(
     struct clm *clm, struct clm_requests *list, bool claimed, int64_t now_us)
 {
-	struct clm_request *ask, *next;
+	struct clm_request *request, *next;
 
-	for (ask = TAILQ_FIRST(list); ask != NULL; ask = next) {
-		next = TAILQ_NEXT(ask, link);
-		if (ask->until_us > now_us)
+	for (request = TAILQ_FIRST(list); request != NULL; request = next) {
+		next = TAILQ_NEXT(request, link);
+		if (request->until_us > now_us)
 			continue;
 		if (claimed)
-			clm_answer(clm, ask, CLM_IN_DOUBT);
+			clm_answer(clm, request, CLM_IN_DOUBT);
 		else
-			clm_refuse_unavailable(clm, ask, now_us);
+			clm_refuse_unavailable(clm, request, now_us);
 	}
 }
 
@@ -396,7 +400,7 @@
 	expire_waits(clm, &clm->inflight, false, now_us);
 	if (clm->phase == PHASE_OWNED)
 		clm_evaluate_all(clm, &clm->waiting, now_us);
-	if (clm->phase == PHASE_IDLE && !TAILQ_EMPTY(&clm->settles) &&
+	if (clm->phase == PHASE_IDLE && !TAILQ_EMPTY(&clm->reports) &&
 	    now_us >= clm->retry_us)
 		clm_start_read(clm, now_us);
 	clm_write_if_due(clm, now_us);
@@ -440,6 +444,6 @@
 {
 	*out = clm->stats;
 	out->records = g_hash_table_size(clm->records);
-	out->unwritten = clm->nsettles;
+	out->unwritten = clm->nreports;
 	out->owned = clm->phase == PHASE_OWNED;
 }
--- a/lib/route/claim.h
+++ b/lib/route/claim.h
@@ -25,9 +25,9 @@
  *   have been lost; any other claimant receives the outcome, waits for it, or
  *   is answered CLM_IN_DOUBT.
  * - A record is removed only when its claimant reports NOT_RUN, or by age:
- *   CLM_RETENTION_MS after the deadline of the request. The age is measured by the
- *   owners' monotonic clocks and written with the record; a change of owner
- *   can make it lag but never run ahead.
+ *   CLM_RETENTION_MS after the deadline of the request. The age is measured
+ *   by the owners' monotonic clocks and written with the record; a change of
+ *   owner can make it lag but never run ahead.
  * - Without the object API no claim is granted: the request is refused as
  *   NOT_RUN.
  */
@@ -104,13 +104,13 @@
 	 * clm_write_done. */
 	void (*write)(
 	    struct clm *clm, const char *value, uint64_t if_version, void *ctx);
-	/* Answers and releases `ask`. `outcome` is set with CLM_RECORDED,
+	/* Answers and releases `request`. `outcome` is set with CLM_RECORDED,
 	 * `owner` with CLM_MOVED ("": no owner yet). */
-	void (*answer)(struct clm_request *ask, enum clm_result result,
+	void (*answer)(struct clm_request *request, enum clm_result result,
 	    const struct clm_outcome *outcome, const char *owner, void *ctx);
-	bool (*is_live)(const char *entry, void *ctx);
+	bool (*is_live)(const char *gateway, void *ctx);
 	/* Forwards an outcome to clm_settle at `owner`. */
-	void (*forward)(const char *key, const char *asker,
+	void (*forward)(const char *key, const char *claimant,
 	    const struct clm_outcome *outcome, const char *owner, void *ctx);
 };
 
@@ -122,17 +122,17 @@
 	int64_t next_us;
 };
 
-/* `self` is this gateway's id; `pace` is shared and must outlive the bucket. */
-struct clm *clm_new(const char *self, struct clm_write_limit *pace,
+/* `self` is this gateway's id; `limit` is shared and outlives the bucket. */
+struct clm *clm_new(const char *self, struct clm_write_limit *limit,
     const struct clm_ops *ops, void *ctx);
 void clm_free(struct clm *clm); /* drops pending requests unanswered */
 
-void clm_request(struct clm *clm, struct clm_request *ask, int64_t now_us);
+void clm_request(struct clm *clm, struct clm_request *request, int64_t now_us);
 /* Drops a pending request without an answer. A stored claim remains. */
-void clm_cancel(struct clm_request *ask);
+void clm_cancel(struct clm_request *request);
 /* Records the outcome that the claimant reports. NOT_RUN frees the key, also
  * before the claim was granted. */
-void clm_settle(struct clm *clm, const char *key, const char *asker,
+void clm_settle(struct clm *clm, const char *key, const char *claimant,
     const struct clm_outcome *outcome, int64_t now_us);
 
 /* `value` NULL with version 0: the object is absent; `failed`: not read. */
@@ -143,7 +143,7 @@
 	CLM_WRITE_CONFLICT, /* refused: the version differs */
 	CLM_WRITE_UNKNOWN, /* may have been applied, or may be applied later */
 };
-void clm_write_done(struct clm *clm, enum clm_write_result end,
+void clm_write_done(struct clm *clm, enum clm_write_result result,
     uint64_t version, int64_t now_us);
 /* Releases the bucket to another gateway with the next write. */
 void clm_release(struct clm *clm, int64_t now_us);
--- a/lib/route/claim_internal.h
+++ b/lib/route/claim_internal.h
@@ -14,7 +14,7 @@
 
 struct clm_record {
 	char *key;
-	char *asker;
+	char *claimant;
 	struct digest body;
 	enum clm_state state;
 	int64_t claimed_us; /* by the local clock; may precede its start */
@@ -29,7 +29,7 @@
 /* Maps a key to its struct clm_record; owns both. */
 GHashTable *clm_records_new(void);
 struct clm_record *clm_record_add(
-    GHashTable *records, const struct clm_request *ask, int64_t now_us);
+    GHashTable *records, const struct clm_request *request, int64_t now_us);
 void clm_record_settle(
     struct clm_record *record, const struct clm_outcome *outcome);
 /* Removes expired records. */
@@ -58,21 +58,21 @@
 };
 
 /* A reported outcome that is not yet in the object. */
-struct settle {
-	TAILQ_ENTRY(settle) link;
+struct report {
+	TAILQ_ENTRY(report) link;
 	char *key;
-	char *asker;
+	char *claimant;
 	char *type;
 	char *answer;
 	struct clm_outcome outcome;
 	bool in_write;
 };
 
-TAILQ_HEAD(settles, settle);
+TAILQ_HEAD(reports, report);
 
 struct clm {
 	char *self;
-	struct clm_write_limit *pace;
+	struct clm_write_limit *write_limit;
 	const struct clm_ops *ops;
 	void *ctx;
 	enum phase phase;
@@ -91,30 +91,30 @@
 	struct clm_requests pending; /* wait for a read or for the next write */
 	struct clm_requests inflight; /* in the current write */
 	struct clm_requests waiting; /* for the outcome of another claimant */
-	struct settles settles; /* oldest first */
-	unsigned int nsettles;
+	struct reports reports; /* oldest first */
+	unsigned int nreports;
 	struct clm_stats stats;
 };
 
 /* claim.c */
-void clm_enqueue(struct clm_requests *list, struct clm_request *ask);
+void clm_enqueue(struct clm_requests *list, struct clm_request *request);
 void clm_move_all(struct clm_requests *from, struct clm_requests *to);
 void clm_answer(
-    struct clm *clm, struct clm_request *ask, enum clm_result result);
+    struct clm *clm, struct clm_request *request, enum clm_result result);
 void clm_answer_all(
     struct clm *clm, struct clm_requests *list, enum clm_result result);
 void clm_schedule_write(struct clm *clm, int64_t at_us);
-void clm_free_settle(struct clm *clm, struct settle *s);
+void clm_free_report(struct clm *clm, struct report *report);
 void clm_apply_all(struct clm *clm);
 void clm_refuse_unavailable(
-    struct clm *clm, struct clm_request *ask, int64_t now_us);
-void clm_evaluate(struct clm *clm, struct clm_request *ask, int64_t now_us);
+    struct clm *clm, struct clm_request *request, int64_t now_us);
+void clm_evaluate(struct clm *clm, struct clm_request *request, int64_t now_us);
 void clm_evaluate_all(
     struct clm *clm, struct clm_requests *list, int64_t now_us);
 /* claim_io.c */
 void clm_start_read(struct clm *clm, int64_t now_us);
 void clm_step_down(struct clm *clm, int64_t now_us);
 void clm_write_if_due(struct clm *clm, int64_t now_us);
-void clm_forward_settles(struct clm *clm);
+void clm_forward_reports(struct clm *clm);
 
 #endif
--- a/lib/route/claim_io.c
+++ b/lib/route/claim_io.c
@@ -34,19 +34,19 @@
 	clm->lease_until_us = 0;
 	clm->due_us = NEVER;
 	if (!TAILQ_EMPTY(&clm->pending) || !TAILQ_EMPTY(&clm->waiting) ||
-	    !TAILQ_EMPTY(&clm->settles))
+	    !TAILQ_EMPTY(&clm->reports))
 		clm_start_read(clm, now_us);
 }
 
 void
-clm_forward_settles(struct clm *clm)
+clm_forward_reports(struct clm *clm)
 {
-	struct settle *s;
+	struct report *report;
 
-	while ((s = TAILQ_FIRST(&clm->settles)) != NULL) {
-		clm->ops->forward(
-		    s->key, s->asker, &s->outcome, clm->owner, clm->ctx);
-		clm_free_settle(clm, s);
+	while ((report = TAILQ_FIRST(&clm->reports)) != NULL) {
+		clm->ops->forward(report->key, report->claimant,
+		    &report->outcome, clm->owner, clm->ctx);
+		clm_free_report(clm, report);
 	}
 }
 
@@ -55,7 +55,7 @@
 {
 	clm->phase = PHASE_NOT_OWNED;
 	g_hash_table_remove_all(clm->records);
-	clm_forward_settles(clm);
+	clm_forward_reports(clm);
 	clm_answer_all(clm, &clm->pending, CLM_MOVED);
 	clm_answer_all(clm, &clm->waiting, CLM_MOVED);
 }
@@ -63,10 +63,10 @@
 static void
 mark_reread(struct clm_requests *list)
 {
-	struct clm_request *ask;
+	struct clm_request *request;
 
-	TAILQ_FOREACH (ask, list, link)
-		ask->reread = true;
+	TAILQ_FOREACH (request, list, link)
+		request->reread = true;
 }
 
 static void
@@ -85,20 +85,20 @@
 	clm_evaluate_all(clm, &clm->pending, now_us);
 	if (!TAILQ_EMPTY(&clm->pending))
 		clm_schedule_write(clm, now_us);
-	if (!TAILQ_EMPTY(&clm->settles))
+	if (!TAILQ_EMPTY(&clm->reports))
 		clm_schedule_write(clm, now_us + CLM_OUTCOME_DELAY_MS * 1000);
 }
 
 static void
 read_failed(struct clm *clm, int64_t now_us)
 {
-	struct clm_request *ask;
+	struct clm_request *request;
 
 	clm->phase = PHASE_IDLE;
 	clm->retry_us = now_us + RETRY_US;
 	g_hash_table_remove_all(clm->records);
-	while ((ask = TAILQ_FIRST(&clm->pending)) != NULL)
-		clm_refuse_unavailable(clm, ask, now_us);
+	while ((request = TAILQ_FIRST(&clm->pending)) != NULL)
+		clm_refuse_unavailable(clm, request, now_us);
 	/* The keys of these requests are claimed by other claimants. */
 	clm_answer_all(clm, &clm->waiting, CLM_IN_DOUBT);
 }
@@ -160,24 +160,25 @@
 static void
 claim_pending(struct clm *clm, int64_t now_us)
 {
-	struct clm_requests asks = TAILQ_HEAD_INITIALIZER(asks);
+	struct clm_requests requests = TAILQ_HEAD_INITIALIZER(requests);
 	const struct clm_record *record;
-	struct clm_request *ask;
-
-	clm_move_all(&clm->pending, &asks);
-	mark_reread(&asks); /* the write verifies the version as a read would */
-	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
-		clm_cancel(ask);
-		record = g_hash_table_lookup(clm->records, ask->key);
+	struct clm_request *request;
+
+	clm_move_all(&clm->pending, &requests);
+	mark_reread(
+	    &requests); /* the write verifies the version as a read would */
+	while ((request = TAILQ_FIRST(&requests)) != NULL) {
+		clm_cancel(request);
+		record = g_hash_table_lookup(clm->records, request->key);
 		if (record != NULL &&
-		    strcmp(record->asker, ask->claimant) != 0) {
-			clm_evaluate(clm, ask, now_us);
+		    strcmp(record->claimant, request->claimant) != 0) {
+			clm_evaluate(clm, request, now_us);
 			continue;
 		}
 		if (record == NULL)
-			clm_record_add(clm->records, ask, now_us);
-		ask->maybe_written = true;
-		clm_enqueue(&clm->inflight, ask);
+			clm_record_add(clm->records, request, now_us);
+		request->maybe_written = true;
+		clm_enqueue(&clm->inflight, request);
 	}
 }
 
@@ -186,15 +187,16 @@
 refuse_full(struct clm *clm)
 {
 	const struct clm_record *record;
-	struct clm_request *ask, *next;
+	struct clm_request *request, *next;
 
-	for (ask = TAILQ_FIRST(&clm->inflight); ask != NULL; ask = next) {
-		next = TAILQ_NEXT(ask, link);
-		record = g_hash_table_lookup(clm->records, ask->key);
+	for (request = TAILQ_FIRST(&clm->inflight); request != NULL;
+	     request = next) {
+		next = TAILQ_NEXT(request, link);
+		record = g_hash_table_lookup(clm->records, request->key);
 		if (record != NULL && record->written)
 			continue;
-		g_hash_table_remove(clm->records, ask->key);
-		clm_answer(clm, ask, CLM_FULL);
+		g_hash_table_remove(clm->records, request->key);
+		clm_answer(clm, request, CLM_FULL);
 	}
 }
 
@@ -221,32 +223,32 @@
 }
 
 static bool
-write_allowed(struct clm_write_limit *pace, int64_t now_us)
+write_allowed(struct clm_write_limit *limit, int64_t now_us)
 {
-	int64_t each_us = G_USEC_PER_SEC / MAX(pace->writes_s, 1);
+	int64_t each_us = G_USEC_PER_SEC / MAX(limit->writes_s, 1);
 
-	if (pace->next_us > now_us)
+	if (limit->next_us > now_us)
 		return false;
-	pace->next_us =
-	    MAX(pace->next_us, now_us - WRITE_BURST * each_us) + each_us;
+	limit->next_us =
+	    MAX(limit->next_us, now_us - WRITE_BURST * each_us) + each_us;
 	return true;
 }
 
 static void
 start_write(struct clm *clm, int64_t now_us)
 {
-	struct settle *s;
+	struct report *report;
 	char *text;
 
 	clm->due_us = NEVER;
 	clm_records_prune(clm->records, now_us);
 	claim_pending(clm, now_us);
-	if (TAILQ_EMPTY(&clm->inflight) && TAILQ_EMPTY(&clm->settles) &&
+	if (TAILQ_EMPTY(&clm->inflight) && TAILQ_EMPTY(&clm->reports) &&
 	    !clm->releasing)
 		return; /* the reason for the write was cancelled */
 	text = print_bounded(clm, clm->releasing ? "" : clm->self, now_us);
-	TAILQ_FOREACH (s, &clm->settles, link)
-		s->in_write = true;
+	TAILQ_FOREACH (report, &clm->reports, link)
+		report->in_write = true;
 	clm->writing = true;
 	clm->sent_us = now_us;
 	clm->stats.writes++;
@@ -258,45 +260,46 @@
 clm_write_if_due(struct clm *clm, int64_t now_us)
 {
 	if (clm->phase == PHASE_OWNED && !clm->writing &&
-	    now_us >= clm->due_us && write_allowed(clm->pace, now_us))
+	    now_us >= clm->due_us && write_allowed(clm->write_limit, now_us))
 		start_write(clm, now_us);
 }
 
 static void
 mark_written(struct clm *clm)
 {
-	struct settle *s, *next;
+	struct report *report, *next;
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, clm->records);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		((struct clm_record *)value)->written = true;
-	for (s = TAILQ_FIRST(&clm->settles); s != NULL; s = next) {
-		next = TAILQ_NEXT(s, link);
-		if (s->in_write)
-			clm_free_settle(clm, s);
+	for (report = TAILQ_FIRST(&clm->reports); report != NULL;
+	     report = next) {
+		next = TAILQ_NEXT(report, link);
+		if (report->in_write)
+			clm_free_report(clm, report);
 	}
 }
 
 static void
 grant_written(struct clm *clm, int64_t now_us)
 {
-	struct clm_requests asks = TAILQ_HEAD_INITIALIZER(asks);
-	struct clm_request *ask;
+	struct clm_requests requests = TAILQ_HEAD_INITIALIZER(requests);
+	struct clm_request *request;
 
-	clm_move_all(&clm->inflight, &asks);
-	while ((ask = TAILQ_FIRST(&asks)) != NULL) {
-		clm_cancel(ask);
+	clm_move_all(&clm->inflight, &requests);
+	while ((request = TAILQ_FIRST(&requests)) != NULL) {
+		clm_cancel(request);
 		if (clm->phase != PHASE_OWNED) {
-			clm_enqueue(&clm->pending, ask);
+			clm_enqueue(&clm->pending, request);
 			continue;
 		}
 		/* No record: the claimant has reported NOT_RUN meanwhile. */
-		if (g_hash_table_contains(clm->records, ask->key))
-			clm_evaluate(clm, ask, now_us);
+		if (g_hash_table_contains(clm->records, request->key))
+			clm_evaluate(clm, request, now_us);
 		else
-			clm_answer(clm, ask, CLM_DOWN);
+			clm_answer(clm, request, CLM_DOWN);
 	}
 }
 
@@ -318,11 +321,11 @@
 }
 
 void
-clm_write_done(struct clm *clm, enum clm_write_result end, uint64_t version,
+clm_write_done(struct clm *clm, enum clm_write_result result, uint64_t version,
     int64_t now_us)
 {
 	clm->writing = false;
-	if (end == CLM_WRITE_APPLIED)
+	if (result == CLM_WRITE_APPLIED)
 		write_applied(clm, version, now_us);
 	else
 		clm_step_down(clm, now_us);
--- a/lib/route/claim_record.c
+++ b/lib/route/claim_record.c
@@ -17,7 +17,7 @@
 	struct clm_record *record = data;
 
 	g_free(record->key);
-	g_free(record->asker);
+	g_free(record->claimant);
 	g_free(record->type);
 	g_free(record->answer);
 	g_free(record);
@@ -32,15 +32,15 @@
 
 struct clm_record *
 clm_record_add(
-    GHashTable *records, const struct clm_request *ask, int64_t now_us)
+    GHashTable *records, const struct clm_request *request, int64_t now_us)
 {
 	struct clm_record *record = g_new0(struct clm_record, 1);
 
-	record->key = g_strdup(ask->key);
-	record->asker = g_strdup(ask->claimant);
-	record->body = ask->body;
+	record->key = g_strdup(request->key);
+	record->claimant = g_strdup(request->claimant);
+	record->body = request->body;
 	record->claimed_us = now_us;
-	record->keep_s = (ask->keep_ms + CLM_RETENTION_MS) / 1000;
+	record->keep_s = (request->keep_ms + CLM_RETENTION_MS) / 1000;
 	g_hash_table_replace(records, record->key, record);
 	return record;
 }
@@ -133,7 +133,7 @@
 	    "{\"age_s\":%" G_GINT64_FORMAT ",\"keep_s\":%" G_GUINT64_FORMAT,
 	    age_s(record, now_us), record->keep_s);
 	print_string(out, "key", record->key);
-	print_string(out, "asker", record->asker);
+	print_string(out, "asker", record->claimant);
 	print_string(out, "state", state_names[record->state]);
 	digest_to_hex(&record->body, hex);
 	print_string(out, "body", hex);
@@ -205,7 +205,7 @@
 static bool
 read_record(GHashTable *records, JsonObject *o, int64_t now_us)
 {
-	struct clm_request ask = {
+	struct clm_request request = {
 		.key = read_text(o, "key"),
 		.claimant = read_text(o, "asker"),
 	};
@@ -214,12 +214,12 @@
 	struct clm_record *record;
 	enum clm_state state;
 
-	if (ask.key == NULL || ask.claimant == NULL || body == NULL ||
-	    !digest_from_hex(body, &ask.body) ||
+	if (request.key == NULL || request.claimant == NULL || body == NULL ||
+	    !digest_from_hex(body, &request.body) ||
 	    !read_state(read_text(o, "state"), &state))
 		return false;
 	record = clm_record_add(
-	    records, &ask, now_us - read_int(o, "age_s") * G_USEC_PER_SEC);
+	    records, &request, now_us - read_int(o, "age_s") * G_USEC_PER_SEC);
 	record->keep_s = (uint64_t)read_int(o, "keep_s");
 	record->state = state;
 	record->status = (unsigned int)read_int(o, "status");
