--- a/tests/replay/attempt.c
+++ b/tests/replay/attempt.c
@@ -1,4 +1,4 @@
-/* Attempts: an input is an event, with the facts that hold from then on. */
+/* Attempts: an input is an event, with the facts that hold from it on. */
 
 #include <string.h>
 
@@ -19,17 +19,17 @@
 struct state {
 	struct att_chart *chart;
 	struct att att;
-	struct step *step; /* the present one */
+	struct step *step; /* current step */
 	bool finished;
 	bool was_over;
 };
 
-#define ACTION(name)                       \
-	static void on_##name(void *ctx)   \
-	{                                  \
-		struct state *s = ctx;     \
-                                           \
-		did(s->step, "%s", #name); \
+#define ACTION(name)                              \
+	static void on_##name(void *ctx)          \
+	{                                         \
+		struct state *s = ctx;            \
+                                                  \
+		add_action(s->step, "%s", #name); \
 	}
 
 ACTION(pass_head)
@@ -46,7 +46,7 @@
 	struct state *s = ctx;
 
 	s->att.facts.attempts++;
-	did(s->step, "dispatch");
+	add_action(s->step, "dispatch");
 }
 
 static void
@@ -55,7 +55,7 @@
 	struct state *s = ctx;
 
 	s->finished = true;
-	did(s->step, "finish");
+	add_action(s->step, "finish");
 }
 
 static const struct att_ops ops = {
@@ -92,13 +92,13 @@
 	g_free(s);
 }
 
-/* On a start: what holds for the request; later only what may change. */
+/* Sets all facts at the start of a request, and only variable ones later. */
 static void
-take_facts(struct state *s, const struct step *step)
+set_facts(struct state *s, const struct step *step)
 {
 	struct att_facts *f = &s->att.facts;
 
-	if (is_word(step, 0, "start")) {
+	if (is_token(step, 0, "start")) {
 		f->idempotent = has_flag(step, "idempotent");
 		f->keyed = has_flag(step, "keyed");
 		f->max_attempts = number_of(step, "attempts", 3);
@@ -117,25 +117,25 @@
 }
 
 static void
-take(void *state, struct step *step)
+apply(void *state, struct step *step)
 {
 	struct state *s = state;
 	int event;
 
 	for (event = 0; event < ATT_EVENTS; event++) {
-		if (is_word(step, 0, event_names[event]))
+		if (is_token(step, 0, event_names[event]))
 			break;
 	}
 	if (event == ATT_EVENTS) {
-		bad_input(step, "no such event");
+		bad_input(step, "unknown event");
 		return;
 	}
 	s->step = step;
-	take_facts(s, step);
+	set_facts(s, step);
 	att_step(&s->att, event);
 	if (att_is_over(&s->att) && !s->was_over)
-		did(step, "over %s", verdict_name(verdict_of(s)));
+		add_action(step, "over %s", verdict_name(verdict_of(s)));
 	s->was_over = att_is_over(&s->att);
 }
 
-const struct player attempt_player = { "attempt", begin, take, end };
+const struct player attempt_player = { "attempt", begin, apply, end };
--- a/tests/replay/choice.c
+++ b/tests/replay/choice.c
@@ -1,4 +1,4 @@
-/* Choices among targets, and which order a target gets next. */
+/* Choices among targets, and the next rollout order of a target. */
 
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "route/route.h"
 
 #define TARGETS 8
-#define DRAWS 50 /* each choice is drawn so often; all that came are told */
+#define DRAWS 50 /* draws per choice; all chosen targets are listed */
 
 struct state {
 	struct rt_fleet *fleet;
@@ -34,13 +34,13 @@
 }
 
 static void
-take_target(struct state *s, const struct step *step)
+apply_target(struct state *s, const struct step *step)
 {
-	struct rt_target *t = find(s, word(step, 1));
+	struct rt_target *t = find(s, token(step, 1));
 
 	if (t == NULL && s->n < TARGETS) {
 		t = &s->targets[s->n++];
-		g_strlcpy(t->name, word(step, 1), sizeof(t->name));
+		g_strlcpy(t->name, token(step, 1), sizeof(t->name));
 	}
 	g_assert(t != NULL);
 	g_strlcpy(t->domain, "a", sizeof(t->domain));
@@ -57,11 +57,11 @@
 choose(struct state *s, struct step *step)
 {
 	struct rt_target *tried = find(s, value_of(step, "tried", ""));
-	const struct rt_target *const none[] = { tried };
+	const struct rt_target *const excluded[] = { tried };
 	char **names = g_strsplit(value_of(step, "versions", "v1"), ",", 4);
-	bool came[TARGETS] = { false }, nobody = false;
+	bool chosen[TARGETS] = { false }, none_eligible = false;
 	struct digest roots[4];
-	struct rt_criteria wish = {
+	struct rt_criteria criteria = {
 		.kind = RT_ENGINE,
 		.workspace = "t",
 		.pool = "p",
@@ -70,56 +70,56 @@
 		.nroots = g_strv_length(names),
 		.ranked = has_flag(step, "ranked"),
 		.domain = "a",
-		.tried = none,
+		.tried = excluded,
 		.ntried = tried == NULL ? 0 : 1,
 	};
 	struct rt_target *t;
 	struct rng rng;
 	size_t i;
 
-	for (i = 0; i < wish.nroots; i++)
+	for (i = 0; i < criteria.nroots; i++)
 		version_digest(names[i], &roots[i]);
 	rng_seed(&rng, 1);
 	for (i = 0; i < DRAWS; i++) {
-		t = rt_choose(s->fleet, &wish, step->now_us, &rng);
+		t = rt_choose(s->fleet, &criteria, step->now_us, &rng);
 		if (t == NULL)
-			nobody = true;
+			none_eligible = true;
 		else
-			came[t - s->targets] = true;
+			chosen[t - s->targets] = true;
 	}
 	for (i = 0; i < s->n; i++) {
-		if (came[i])
-			did(step, "%s", s->targets[i].name);
+		if (chosen[i])
+			add_action(step, "%s", s->targets[i].name);
 	}
-	if (nobody)
-		did(step, "none");
+	if (none_eligible)
+		add_action(step, "none");
 	g_strfreev(names);
 }
 
 static void
-take_choice(void *state, struct step *step)
+apply_choice(void *state, struct step *step)
 {
 	const struct err refused = { .code = ERR_UNAVAILABLE };
 	struct state *s = state;
-	struct rt_target *t = find(s, word(step, 1));
+	struct rt_target *t = find(s, token(step, 1));
 
-	if (is_word(step, 0, "target")) {
-		take_target(s, step);
-	} else if (is_word(step, 0, "choose")) {
+	if (is_token(step, 0, "target")) {
+		apply_target(s, step);
+	} else if (is_token(step, 0, "choose")) {
 		choose(s, step);
 	} else if (t == NULL) {
-		bad_input(step, "no such input or target");
-	} else if (is_word(step, 0, "told")) {
+		bad_input(step, "unknown input or target");
+	} else if (is_token(step, 0, "told")) {
 		rt_target_reported(
 		    t, number_of(step, "running", 0), step->now_us);
-	} else if (is_word(step, 0, "sent")) {
+	} else if (is_token(step, 0, "sent")) {
 		rt_target_sent(t, step->now_us);
-	} else if (is_word(step, 0, "refused")) {
+	} else if (is_token(step, 0, "refused")) {
 		rt_target_ended(t, &refused, step->now_us);
-	} else if (is_word(step, 0, "lost")) {
+	} else if (is_token(step, 0, "lost")) {
 		rt_target_disconnected(s->fleet, t);
 	} else {
-		bad_input(step, "no such input");
+		bad_input(step, "unknown input");
 	}
 }
 
@@ -141,7 +141,7 @@
 	g_free(s);
 }
 
-const struct player choice_player = { "choice", begin, take_choice, end };
+const struct player choice_player = { "choice", begin, apply_choice, end };
 
 /* ------------------------------------------------------------------ */
 /* Orders of a rollout                                                 */
@@ -156,7 +156,7 @@
 };
 
 static void
-take_order(void *state, struct step *step)
+apply_order(void *state, struct step *step)
 {
 	struct act_rules rules = {
 		.room_for_two = has_flag(step, "room_for_two"),
@@ -174,10 +174,10 @@
 		.running = number_of(step, "running", 0),
 	};
 
-	if (!is_word(step, 0, "target"))
-		bad_input(step, "no such input");
+	if (!is_token(step, 0, "target"))
+		bad_input(step, "unknown input");
 	else
-		did(step, "%s", step_names[act_next(&rules, &target)]);
+		add_action(step, "%s", step_names[act_next(&rules, &target)]);
 }
 
 static void *
@@ -191,5 +191,5 @@
 {
 }
 
-const struct player activate_player = { "activate", begin_nothing, take_order,
+const struct player activate_player = { "activate", begin_nothing, apply_order,
 	end_nothing };
--- a/tests/replay/claim.c
+++ b/tests/replay/claim.c
@@ -1,5 +1,5 @@
-/* Owners of one bucket of claims and its object. An input begins with the
- * owner that it comes to. */
+/* Owners of one bucket of claims, and its object. The first token of an input
+ * is the owner that receives it. */
 
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "route/claim.h"
 
 #define OWNERS 2
-#define TRIES 8
+#define REQUESTS 8
 #define WAIT_US (60 * G_USEC_PER_SEC)
 
 static const char *const result_names[CLM_RESULTS] = {
@@ -26,13 +26,13 @@
 	char id[8];
 	bool live;
 	struct clm *clm;
-	struct clm_write_limit pace;
-	char *write; /* under way, or given up and still on its way */
+	struct clm_write_limit write_limit;
+	char *write; /* in progress, or abandoned and possibly applied later */
 	uint64_t if_version;
 };
 
-struct one_try {
-	struct clm_request ask; /* first: the callback gets its address */
+struct request {
+	struct clm_request ask; /* first: the callback casts its address */
 	char name[32];
 };
 
@@ -41,8 +41,8 @@
 	uint64_t version;
 	char *value;
 	struct owner owners[OWNERS];
-	struct one_try tries[TRIES];
-	size_t ntries;
+	struct request requests[REQUESTS];
+	size_t nrequests;
 };
 
 static void
@@ -50,7 +50,7 @@
 {
 	struct owner *o = ctx;
 
-	did(o->state->step, "%s reads", o->id);
+	add_action(o->state->step, "%s reads", o->id);
 }
 
 static void
@@ -61,7 +61,7 @@
 	g_free(o->write);
 	o->write = g_strdup(value);
 	o->if_version = if_version;
-	did(o->state->step, "%s writes if=%" G_GUINT64_FORMAT, o->id,
+	add_action(o->state->step, "%s writes if=%" G_GUINT64_FORMAT, o->id,
 	    if_version);
 }
 
@@ -71,30 +71,30 @@
 {
 	struct owner *o = ctx;
 
-	did(o->state->step, "%s %s", ((struct one_try *)ask)->name,
+	add_action(o->state->step, "%s %s", ((struct request *)ask)->name,
 	    result_names[result]);
 }
 
 static bool
-on_is_live(const char *entry, void *ctx)
+on_is_live(const char *gateway, void *ctx)
 {
 	struct owner *o = ctx;
 	size_t i;
 
 	for (i = 0; i < OWNERS; i++) {
-		if (strcmp(o->state->owners[i].id, entry) == 0)
+		if (strcmp(o->state->owners[i].id, gateway) == 0)
 			return o->state->owners[i].live;
 	}
 	return false;
 }
 
 static void
-on_pass_on(const char *key, const char *asker,
+on_forward(const char *key, const char *claimant,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
 	struct owner *o = ctx;
 
-	did(o->state->step, "passes on %s", asker);
+	add_action(o->state->step, "passes on %s", claimant);
 }
 
 static const struct clm_ops ops = {
@@ -102,7 +102,7 @@
 	.write = on_write,
 	.answer = on_answer,
 	.is_live = on_is_live,
-	.forward = on_pass_on,
+	.forward = on_forward,
 };
 
 static void *
@@ -116,9 +116,9 @@
 		o = &s->owners[i];
 		o->state = s;
 		o->live = true;
-		o->pace.writes_s = CLM_WRITES_S;
+		o->write_limit.writes_s = CLM_WRITES_S;
 		g_snprintf(o->id, sizeof(o->id), "e%zu", i);
-		o->clm = clm_new(o->id, &o->pace, &ops, o);
+		o->clm = clm_new(o->id, &o->write_limit, &ops, o);
 	}
 	return s;
 }
@@ -141,16 +141,16 @@
 /* Inputs                                                              */
 /* ------------------------------------------------------------------ */
 
-/* `ask NAME`: NAME, "e0/1" say, is its asker too. */
+/* `ask NAME`: NAME, such as "e0/1", is also the claimant. */
 static void
 ask(struct state *s, struct owner *o, struct step *step)
 {
-	struct one_try *t;
+	struct request *t;
 	const char *body = value_of(step, "body", "book");
 
-	g_assert(s->ntries < TRIES);
-	t = &s->tries[s->ntries++];
-	g_strlcpy(t->name, word(step, 2), sizeof(t->name));
+	g_assert(s->nrequests < REQUESTS);
+	t = &s->requests[s->nrequests++];
+	g_strlcpy(t->name, token(step, 2), sizeof(t->name));
 	t->ask.key = "t/s/k";
 	t->ask.claimant = t->name;
 	t->ask.keep_ms = 1000;
@@ -164,21 +164,21 @@
 {
 	struct clm_outcome outcome = { .status = 200, .answer = "booked" };
 
-	if (is_word(step, 3, "RAN"))
+	if (is_token(step, 3, "RAN"))
 		outcome.verdict = VERDICT_RAN;
-	else if (is_word(step, 3, "NOT_RUN"))
+	else if (is_token(step, 3, "NOT_RUN"))
 		outcome.verdict = VERDICT_NOT_RUN;
 	else
 		outcome.verdict = VERDICT_MAY_HAVE_RUN;
-	clm_settle(o->clm, "t/s/k", word(step, 2), &outcome, step->now_us);
+	clm_settle(o->clm, "t/s/k", token(step, 2), &outcome, step->now_us);
 }
 
-/* The write takes effect if its version is the object's. */
+/* Applies the write if its version matches; returns whether it did. */
 static bool
-land(struct state *s, struct owner *o, struct step *step)
+apply_write(struct state *s, struct owner *o, struct step *step)
 {
 	if (o->write == NULL) {
-		bad_input(step, "no write is under way");
+		bad_input(step, "no write in progress");
 		return false;
 	}
 	if (o->if_version != s->version) {
@@ -192,27 +192,28 @@
 }
 
 static bool
-take_io(struct state *s, struct owner *o, struct step *step)
+apply_io(struct state *s, struct owner *o, struct step *step)
 {
-	bool in;
+	bool applied;
 
-	if (is_word(step, 1, "read")) {
+	if (is_token(step, 1, "read")) {
 		clm_read_done(
 		    o->clm, false, s->version, s->value, step->now_us);
-	} else if (is_word(step, 1, "read_fails")) {
+	} else if (is_token(step, 1, "read_fails")) {
 		clm_read_done(o->clm, true, 0, NULL, step->now_us);
-	} else if (is_word(step, 1, "write")) {
-		in = land(s, o, step);
+	} else if (is_token(step, 1, "write")) {
+		applied = apply_write(s, o, step);
 		clm_write_done(o->clm,
-		    in ? CLM_WRITE_APPLIED : CLM_WRITE_CONFLICT, s->version,
-		    step->now_us);
-	} else if (is_word(step, 1, "write_answer_lost")) {
-		land(s, o, step);
+		    applied ? CLM_WRITE_APPLIED : CLM_WRITE_CONFLICT,
+		    s->version, step->now_us);
+	} else if (is_token(step, 1, "write_answer_lost")) {
+		apply_write(s, o, step);
 		clm_write_done(o->clm, CLM_WRITE_UNKNOWN, 0, step->now_us);
-	} else if (is_word(step, 1, "write_given_up")) {
+	} else if (is_token(step, 1, "write_given_up")) {
 		clm_write_done(o->clm, CLM_WRITE_UNKNOWN, 0, step->now_us);
-	} else if (is_word(step, 1, "write_lands_late")) {
-		did(step, "%s", land(s, o, step) ? "in" : "refused");
+	} else if (is_token(step, 1, "write_lands_late")) {
+		add_action(
+		    step, "%s", apply_write(s, o, step) ? "in" : "refused");
 	} else {
 		return false;
 	}
@@ -220,28 +221,28 @@
 }
 
 static void
-take(void *state, struct step *step)
+apply(void *state, struct step *step)
 {
 	struct state *s = state;
-	struct owner *o = is_word(step, 0, "e1") ? &s->owners[1] : s->owners;
+	struct owner *o = is_token(step, 0, "e1") ? &s->owners[1] : s->owners;
 
 	s->step = step;
-	if (!is_word(step, 0, o->id)) {
-		bad_input(step, "no such owner");
+	if (!is_token(step, 0, o->id)) {
+		bad_input(step, "unknown owner");
 		return;
 	}
-	if (take_io(s, o, step))
+	if (apply_io(s, o, step))
 		return;
-	if (is_word(step, 1, "ask"))
+	if (is_token(step, 1, "ask"))
 		ask(s, o, step);
-	else if (is_word(step, 1, "settle"))
+	else if (is_token(step, 1, "settle"))
 		settle(o, step);
-	else if (is_word(step, 1, "tick"))
+	else if (is_token(step, 1, "tick"))
 		clm_tick(o->clm, step->now_us);
-	else if (is_word(step, 1, "is_dead"))
+	else if (is_token(step, 1, "is_dead"))
 		o->live = false;
 	else
-		bad_input(step, "no such input");
+		bad_input(step, "unknown input");
 }
 
-const struct player claim_player = { "claim", begin, take, end };
+const struct player claim_player = { "claim", begin, apply, end };
--- a/tests/replay/lease.c
+++ b/tests/replay/lease.c
@@ -1,4 +1,4 @@
-/* One candidate for a role. */
+/* One candidate of a leased role. */
 
 #include <string.h>
 
@@ -18,7 +18,7 @@
 {
 	struct state *s = ctx;
 
-	did(s->step, "read");
+	add_action(s->step, "read");
 }
 
 static void
@@ -29,8 +29,8 @@
 	struct lse_value v;
 
 	if (!lse_value_read(value, &v))
-		bad_input(s->step, "wrote what is no lease");
-	did(s->step,
+		bad_input(s->step, "the value written is not a lease");
+	add_action(s->step,
 	    "write %s fence=%" G_GUINT64_FORMAT " if=%" G_GUINT64_FORMAT,
 	    v.handed_over ? "handed_over" : v.holder, v.fence, if_version);
 }
@@ -40,7 +40,7 @@
 {
 	struct state *s = ctx;
 
-	did(s->step, "gained %" G_GUINT64_FORMAT, fence);
+	add_action(s->step, "gained %" G_GUINT64_FORMAT, fence);
 }
 
 static void
@@ -48,15 +48,15 @@
 {
 	struct state *s = ctx;
 
-	did(s->step, "lost");
+	add_action(s->step, "lost");
 }
 
 static void
-on_tell(uint64_t fence, const char *holder, void *ctx)
+on_publish(uint64_t fence, const char *holder, void *ctx)
 {
 	struct state *s = ctx;
 
-	did(s->step, "tell %" G_GUINT64_FORMAT " %s", fence,
+	add_action(s->step, "tell %" G_GUINT64_FORMAT " %s", fence,
 	    holder[0] == '\0' ? "free" : holder);
 }
 
@@ -65,7 +65,7 @@
 {
 	struct state *s = ctx;
 
-	did(s->step, "left");
+	add_action(s->step, "left");
 }
 
 static const struct lse_ops ops = {
@@ -73,7 +73,7 @@
 	.write = on_write,
 	.gained = on_gained,
 	.lost = on_lost,
-	.tell = on_tell,
+	.tell = on_publish,
 	.left = on_left,
 };
 
@@ -105,7 +105,7 @@
 	g_free(s);
 }
 
-/* The object as the input gives it: version=N holder=ID fence=N. */
+/* Builds the object's text from the input: holder=ID fence=N life=N. */
 static char *
 object_of(const struct step *step)
 {
@@ -121,24 +121,24 @@
 }
 
 static bool
-take_answer(struct state *s, const struct step *step)
+apply_answer(struct state *s, const struct step *step)
 {
 	uint64_t version = number_of(step, "version", 0);
 	int64_t now_us = step->now_us;
 	char *value = object_of(step);
 	bool known = true;
 
-	if (is_word(step, 0, "found"))
+	if (is_token(step, 0, "found"))
 		lse_read_done(s->lse, now_us, true, version, value);
-	else if (is_word(step, 0, "absent"))
+	else if (is_token(step, 0, "absent"))
 		lse_read_done(s->lse, now_us, true, 0, NULL);
-	else if (is_word(step, 0, "unread"))
+	else if (is_token(step, 0, "unread"))
 		lse_read_done(s->lse, now_us, false, 0, NULL);
-	else if (is_word(step, 0, "written"))
+	else if (is_token(step, 0, "written"))
 		lse_write_done(s->lse, now_us, LSE_WRITTEN, version, NULL);
-	else if (is_word(step, 0, "refused"))
+	else if (is_token(step, 0, "refused"))
 		lse_write_done(s->lse, now_us, LSE_REFUSED, version, value);
-	else if (is_word(step, 0, "failed"))
+	else if (is_token(step, 0, "failed"))
 		lse_write_done(s->lse, now_us, LSE_FAILED, 0, NULL);
 	else
 		known = false;
@@ -147,26 +147,26 @@
 }
 
 static void
-take(void *state, struct step *step)
+apply(void *state, struct step *step)
 {
 	struct state *s = state;
 
 	s->step = step;
-	if (take_answer(s, step))
+	if (apply_answer(s, step))
 		return;
-	if (is_word(step, 0, "tick"))
+	if (is_token(step, 0, "tick"))
 		lse_tick(s->lse, step->now_us);
-	else if (is_word(step, 0, "rank"))
+	else if (is_token(step, 0, "rank"))
 		lse_set_rank(s->lse, step->now_us, number_of(step, "place", 0));
-	else if (is_word(step, 0, "hint"))
+	else if (is_token(step, 0, "hint"))
 		lse_hint(s->lse, step->now_us, number_of(step, "fence", 0));
-	else if (is_word(step, 0, "leave"))
+	else if (is_token(step, 0, "leave"))
 		lse_leave(s->lse, step->now_us);
-	else if (is_word(step, 0, "order"))
-		did(step, "fence %" G_GUINT64_FORMAT,
+	else if (is_token(step, 0, "order"))
+		add_action(step, "fence %" G_GUINT64_FORMAT,
 		    lse_fence(s->lse, step->now_us));
 	else
-		bad_input(step, "no such input");
+		bad_input(step, "unknown input");
 }
 
-const struct player lease_player = { "lease", begin, take, end };
+const struct player lease_player = { "lease", begin, apply, end };
--- a/tests/replay/main.c
+++ b/tests/replay/main.c
@@ -1,4 +1,4 @@
-/* replay TRACE: exit 0 when every step did what the trace says. */
+/* replay TRACE: exits with 0 if every step acts as the trace expects. */
 
 #include <stdarg.h>
 #include <stdio.h>
@@ -50,11 +50,11 @@
 };
 
 /* ------------------------------------------------------------------ */
-/* For the players                                                     */
+/* Helpers for the players                                             */
 /* ------------------------------------------------------------------ */
 
 void
-did(struct step *step, const char *format, ...)
+add_action(struct step *step, const char *format, ...)
 {
 	va_list args;
 
@@ -72,21 +72,21 @@
 }
 
 const char *
-word(const struct step *step, unsigned int i)
+token(const struct step *step, unsigned int i)
 {
-	return i < g_strv_length(step->words) ? step->words[i] : "";
+	return i < g_strv_length(step->tokens) ? step->tokens[i] : "";
 }
 
 bool
-is_word(const struct step *step, unsigned int i, const char *text)
+is_token(const struct step *step, unsigned int i, const char *text)
 {
-	return strcmp(word(step, i), text) == 0;
+	return strcmp(token(step, i), text) == 0;
 }
 
 bool
 has_flag(const struct step *step, const char *name)
 {
-	return g_strv_contains((const char *const *)step->words, name);
+	return g_strv_contains((const char *const *)step->tokens, name);
 }
 
 const char *
@@ -95,7 +95,7 @@
 	size_t n = strlen(name);
 	char **w;
 
-	for (w = step->words; *w != NULL; w++) {
+	for (w = step->tokens; *w != NULL; w++) {
 		if (strncmp(*w, name, n) == 0 && (*w)[n] == '=')
 			return *w + n + 1;
 	}
@@ -111,37 +111,37 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The run                                                             */
+/* Replay                                                              */
 /* ------------------------------------------------------------------ */
 
 static bool
-play_step(const struct cfg *cfg, const struct player *player, void *state,
+replay_step(const struct cfg *cfg, const struct player *player, void *state,
     size_t i, struct clk_fake *clock)
 {
 	const char *in = cfg_str(cfg, "steps.%zu.in", i);
 	const char *want = cfg_str(cfg, "steps.%zu.out", i);
 	int64_t at_us = cfg_int(cfg, "steps.%zu.at", i) * 1000;
 	struct step step = { .out = g_string_new(NULL) };
-	bool good;
+	bool matches;
 
 	if (at_us < clock->now_us)
-		bad_input(&step, "the time goes back");
+		bad_input(&step, "time of the step precedes the previous step");
 	else
 		clk_fake_advance_ms(clock, (at_us - clock->now_us) / 1000);
 	step.now_us = clk_now_us(&clock->clock);
-	step.words = g_strsplit(in, " ", -1);
+	step.tokens = g_strsplit(in, " ", -1);
 	if (step.err.code == ERR_NONE)
-		player->take(state, &step);
+		player->apply(state, &step);
 	if (step.err.code != ERR_NONE)
-		did(&step, "BAD INPUT: %s", step.err.message);
-	good = strcmp(step.out->str, want) == 0;
-	if (!good) {
+		add_action(&step, "BAD INPUT: %s", step.err.message);
+	matches = strcmp(step.out->str, want) == 0;
+	if (!matches) {
 		printf("line %d: %s\n  expected: %s\n  did:      %s\n",
 		    cfg_line(cfg, "steps.%zu", i), in, want, step.out->str);
 	}
-	g_strfreev(step.words);
+	g_strfreev(step.tokens);
 	g_string_free(step.out, TRUE);
-	return good;
+	return matches;
 }
 
 static bool
@@ -154,7 +154,7 @@
 
 	clk_fake_init(&clock, 0);
 	for (i = 0; i < n && good; i++)
-		good = play_step(cfg, player, state, i, &clock);
+		good = replay_step(cfg, player, state, i, &clock);
 	player->end(state);
 	printf("%s: %zu of %zu steps as recorded\n", cfg_str(cfg, "trace"),
 	    good ? n : i - 1, n);
@@ -162,7 +162,7 @@
 }
 
 static bool
-is_named_so(const struct cfg *cfg, const char *path)
+name_matches_file(const struct cfg *cfg, const char *path)
 {
 	char *base = g_path_get_basename(path);
 	char *want = g_strconcat(cfg_str(cfg, "trace"), ".yaml", NULL);
@@ -190,8 +190,9 @@
 		fprintf(stderr, "%s\n", err.message);
 		return 2;
 	}
-	if (!is_named_so(cfg, argv[1])) {
-		fprintf(stderr, "%s: its name is another\n", argv[1]);
+	if (!name_matches_file(cfg, argv[1])) {
+		fprintf(stderr, "%s: file name differs from the trace's name\n",
+		    argv[1]);
 		cfg_free(cfg);
 		return 2;
 	}
--- a/tests/replay/replay.h
+++ b/tests/replay/replay.h
@@ -2,46 +2,45 @@
 #define REPLAY_H
 
 /*
- * Drives shipped decision functions with a recorded trace:
+ * Replays a recorded trace through the decision functions of the product:
  *
- *   trace: late-claim           the file's name
+ *   trace: late-claim           the name of the file
  *   kind: attempt               one of the players below
- *   promise: what must always hold, that it shows
+ *   promise: the invariant that the trace demonstrates
  *   steps:
  *     - {at: 0, in: start keyed, out: claim}
  *
- * `at` is the time in ms and never goes back. `in` is one input, `out` all that the
- * code did on it, in order, joined by "; "; none given means that it must do
- * nothing.
+ * `at` is the time in ms and never decreases. `in` is one input. `out` lists
+ * all expected actions in order, joined by "; "; without it none is expected.
  */
 
 #include "common/common.h"
 
 struct step {
 	int64_t now_us;
-	char **words; /* of `in`, NULL-terminated */
+	char **tokens; /* of `in`, NULL-terminated */
 	GString *out;
-	struct err err; /* set by who cannot make sense of the input */
+	struct err err; /* set if the input is invalid */
 };
 
 struct player {
 	const char *kind;
 	void *(*begin)(void);
-	void (*take)(void *state, struct step *step);
+	void (*apply)(void *state, struct step *step);
 	void (*end)(void *state);
 };
 
 extern const struct player attempt_player, choice_player, activate_player,
     lease_player, settings_player, claim_player;
 
-/* Appends to what was done. */
-void did(struct step *step, const char *format, ...) G_GNUC_PRINTF(2, 3);
-/* The input makes no sense; the trace fails. */
+/* Appends an action to step->out. */
+void add_action(struct step *step, const char *format, ...) G_GNUC_PRINTF(2, 3);
+/* Marks the input as invalid, which fails the trace. */
 void bad_input(struct step *step, const char *why);
-/* Word i, "" past the end. */
-const char *word(const struct step *step, unsigned int i);
-bool is_word(const struct step *step, unsigned int i, const char *text);
-/* Whether a word NAME is there, and the value of a word NAME=VALUE. */
+/* Returns token `i` of the input, or "" past the end. */
+const char *token(const struct step *step, unsigned int i);
+bool is_token(const struct step *step, unsigned int i, const char *text);
+/* Whether the input has a token NAME; the value of its token NAME=VALUE. */
 bool has_flag(const struct step *step, const char *name);
 const char *value_of(
     const struct step *step, const char *name, const char *fallback);
--- a/tests/replay/settings.c
+++ b/tests/replay/settings.c
@@ -1,4 +1,4 @@
-/* Settings in force on one node, and when it may begin. */
+/* Active settings of one node, and when the node may start. */
 
 #include <string.h>
 
@@ -27,29 +27,30 @@
 offer(struct inf *inf, struct step *step)
 {
 	char *yaml = g_strdup_printf("team: %s\nlimits: {requests_s: %s}\n",
-	    word(step, 1), value_of(step, "requests_s", "1"));
+	    token(step, 1), value_of(step, "requests_s", "1"));
 	uint64_t version = number_of(step, "version", 0);
 
-	did(step, "%s",
-	    outcome_names[inf_offer(inf, word(step, 1), version, yaml, NULL)]);
+	add_action(step, "%s",
+	    outcome_names[inf_offer(inf, token(step, 1), version, yaml, NULL)]);
 	g_free(yaml);
 }
 
 static void
-look(struct inf *inf, struct step *step)
+print_branch(struct inf *inf, struct step *step)
 {
-	const struct inf_branch *b = inf_find(inf, word(step, 1));
+	const struct inf_branch *b = inf_find(inf, token(step, 1));
 
 	if (b == NULL) {
-		did(step, "none");
+		add_action(step, "none");
 		return;
 	}
-	did(step, "version=%" G_GUINT64_FORMAT " requests_s=%" G_GINT64_FORMAT,
+	add_action(step,
+	    "version=%" G_GUINT64_FORMAT " requests_s=%" G_GINT64_FORMAT,
 	    b->version, cfg_int(b->cfg, "limits.requests_s"));
 }
 
 static void
-may_begin(struct step *step)
+print_may_start(struct step *step)
 {
 	const struct inf_start start = {
 		.api_read = has_flag(step, "api_read"),
@@ -59,20 +60,20 @@
 		.waited_us = step->now_us,
 	};
 
-	did(step, "%s", inf_may_begin(&start) ? "yes" : "no");
+	add_action(step, "%s", inf_may_begin(&start) ? "yes" : "no");
 }
 
 static void
-take(void *state, struct step *step)
+apply(void *state, struct step *step)
 {
-	if (is_word(step, 0, "offer"))
+	if (is_token(step, 0, "offer"))
 		offer(state, step);
-	else if (is_word(step, 0, "in_force"))
-		look(state, step);
-	else if (is_word(step, 0, "may_begin"))
-		may_begin(step);
+	else if (is_token(step, 0, "in_force"))
+		print_branch(state, step);
+	else if (is_token(step, 0, "may_begin"))
+		print_may_start(step);
 	else
-		bad_input(step, "no such input");
+		bad_input(step, "unknown input");
 }
 
-const struct player settings_player = { "settings", begin, take, end };
+const struct player settings_player = { "settings", begin, apply, end };
