--- a/tests/replay/attempt.c
+++ b/tests/replay/attempt.c
@@ -1,4 +1,4 @@
-/* Attempts: an input is an event, with the facts that hold from it on. */
+/* Attempts: an input is an event and the facts that hold from then on. */
 
 #include <string.h>
 
--- a/tests/replay/claim.c
+++ b/tests/replay/claim.c
@@ -32,7 +32,7 @@
 };
 
 struct request {
-	struct clm_request ask; /* first: the callback casts its address */
+	struct clm_request base; /* first: the callback casts its address */
 	char name[32];
 };
 
@@ -66,12 +66,12 @@
 }
 
 static void
-on_answer(struct clm_request *ask, enum clm_result result,
+on_answer(struct clm_request *request, enum clm_result result,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
 	struct owner *o = ctx;
 
-	add_action(o->state->step, "%s %s", ((struct request *)ask)->name,
+	add_action(o->state->step, "%s %s", ((struct request *)request)->name,
 	    result_names[result]);
 }
 
@@ -143,7 +143,7 @@
 
 /* `ask NAME`: NAME, such as "e0/1", is also the claimant. */
 static void
-ask(struct state *s, struct owner *o, struct step *step)
+request_claim(struct state *s, struct owner *o, struct step *step)
 {
 	struct request *t;
 	const char *body = value_of(step, "body", "book");
@@ -151,12 +151,12 @@
 	g_assert(s->nrequests < REQUESTS);
 	t = &s->requests[s->nrequests++];
 	g_strlcpy(t->name, token(step, 2), sizeof(t->name));
-	t->ask.key = "t/s/k";
-	t->ask.claimant = t->name;
-	t->ask.keep_ms = 1000;
-	t->ask.until_us = step->now_us + WAIT_US;
-	digest_of(body, strlen(body), &t->ask.body);
-	clm_request(o->clm, &t->ask, step->now_us);
+	t->base.key = "t/s/k";
+	t->base.claimant = t->name;
+	t->base.keep_ms = 1000;
+	t->base.until_us = step->now_us + WAIT_US;
+	digest_of(body, strlen(body), &t->base.body);
+	clm_request(o->clm, &t->base, step->now_us);
 }
 
 static void
@@ -234,7 +234,7 @@
 	if (apply_io(s, o, step))
 		return;
 	if (is_token(step, 1, "ask"))
-		ask(s, o, step);
+		request_claim(s, o, step);
 	else if (is_token(step, 1, "settle"))
 		settle(o, step);
 	else if (is_token(step, 1, "tick"))
--- a/tests/replay/main.c
+++ b/tests/replay/main.c
@@ -150,15 +150,15 @@
 	size_t n = cfg_count(cfg, "steps"), i;
 	void *state = player->begin();
 	struct clk_fake clock;
-	bool good = true;
+	bool passed = true;
 
 	clk_fake_init(&clock, 0);
-	for (i = 0; i < n && good; i++)
-		good = replay_step(cfg, player, state, i, &clock);
+	for (i = 0; i < n && passed; i++)
+		passed = replay_step(cfg, player, state, i, &clock);
 	player->end(state);
 	printf("%s: %zu of %zu steps as recorded\n", cfg_str(cfg, "trace"),
-	    good ? n : i - 1, n);
-	return good;
+	    passed ? n : i - 1, n);
+	return passed;
 }
 
 static bool
@@ -178,7 +178,7 @@
 {
 	struct err err = { 0 };
 	struct cfg *cfg;
-	bool good = false;
+	bool passed = false;
 	size_t i;
 
 	if (argc != 2) {
@@ -198,8 +198,8 @@
 	}
 	for (i = 0; i < G_N_ELEMENTS(players); i++) {
 		if (strcmp(players[i]->kind, cfg_str(cfg, "kind")) == 0)
-			good = play(cfg, players[i]);
+			passed = play(cfg, players[i]);
 	}
 	cfg_free(cfg);
-	return good ? 0 : 1;
+	return passed ? 0 : 1;
 }
