--- a/lib/route/route.h
+++ b/lib/route/route.h
@@ -27,8 +27,7 @@
 #define RT_HEADERS_MAX (16u << 10)
 #define RT_BODY_MAX (1u << 20)
 #define RT_DATA_MAX (64u << 10) /* bounded so that streams share the link */
-#define RT_WINDOW_BYTES \
-	(256u << 10) /* flow-control window of one stream, bytes */
+#define RT_WINDOW_BYTES (256u << 10) /* flow-control window of one stream */
 
 enum rt_type {
 	RT_REQUEST = 20,
@@ -250,11 +249,11 @@
 	unsigned int hosts; /* 0: all hosts of the pool */
 	struct rt_version *versions;
 	size_t nversions;
-	const struct rt_version *rollout; /* target of the rollout, or NULL */
+	const struct rt_version *rollout; /* version to roll out, or NULL */
 	bool time_first;
 	unsigned int origin_copies;
 	unsigned int max_unavailable;
-	bool room_for_two; /* the engine can store two versions while loading */
+	bool room_for_two; /* two versions fit in the engine during a load */
 };
 
 struct rt_service {
