--- a/lib/route/claim_io.c
+++ b/lib/route/claim_io.c
@@ -72,12 +72,12 @@
 static void
 take_over(struct clm *clm, int64_t now_us)
 {
-	bool ours = strcmp(clm->owner, clm->self) == 0;
+	bool was_owner = strcmp(clm->owner, clm->self) == 0;
 
 	clm->phase = PHASE_OWNED;
 	clm->releasing = false;
-	clm->stats.takeovers += ours ? 0 : 1;
-	clm->fence += ours ? 0 : 1;
+	clm->stats.takeovers += was_owner ? 0 : 1;
+	clm->fence += was_owner ? 0 : 1;
 	clm->due_us = NEVER;
 	clm_apply_all(clm);
 	mark_reread(&clm->pending);
@@ -165,8 +165,8 @@
 	struct clm_request *request;
 
 	clm_move_all(&clm->pending, &requests);
-	mark_reread(
-	    &requests); /* the write verifies the version as a read would */
+	/* The conditional write verifies the records as a read would. */
+	mark_reread(&requests);
 	while ((request = TAILQ_FIRST(&requests)) != NULL) {
 		clm_cancel(request);
 		record = g_hash_table_lookup(clm->records, request->key);
@@ -225,12 +225,13 @@
 static bool
 write_allowed(struct clm_write_limit *limit, int64_t now_us)
 {
-	int64_t each_us = G_USEC_PER_SEC / MAX(limit->writes_s, 1);
+	int64_t interval_us = G_USEC_PER_SEC / MAX(limit->writes_s, 1);
 
 	if (limit->next_us > now_us)
 		return false;
 	limit->next_us =
-	    MAX(limit->next_us, now_us - WRITE_BURST * each_us) + each_us;
+	    MAX(limit->next_us, now_us - WRITE_BURST * interval_us) +
+	    interval_us;
 	return true;
 }
 
