--- a/lib/route/claim.h
+++ b/lib/route/claim.h
@@ -58,7 +58,7 @@
 enum clm_result {
 	CLM_GRANTED, /* run the request */
 	CLM_RECORDED, /* the request ran; its outcome is passed */
-	CLM_IN_DOUBT, /* it may have run and no outcome is expected */
+	CLM_IN_DOUBT, /* it may have run; its outcome is not known */
 	CLM_OTHER_BODY, /* the key was used with a different request */
 	CLM_FULL, /* the bucket is full */
 	CLM_DOWN, /* the object API is unavailable */
