--- a/lib/route/catalogue.c
+++ b/lib/route/catalogue.c
@@ -1,4 +1,4 @@
-/* A team's branch of the settings in typed form. */
+/* A workspace's settings branch in typed form. */
 
 #include <string.h>
 
@@ -10,7 +10,7 @@
 	g_strlcpy(out, from == NULL ? "" : from, RT_NAME_MAX + 1);
 }
 
-/* A NULL-terminated array of the strings of a list; strings are borrowed. */
+/* Returns a NULL-terminated array of a list's strings, which are borrowed. */
 static const char **
 read_strings(const struct cfg *cfg, const char *path)
 {
@@ -41,23 +41,23 @@
 read_version(const struct cfg *cfg, const char *model, const char *name,
     struct rt_version *out)
 {
-	char *at = g_strdup_printf("models.%s.versions.%s", model, name);
+	char *path = g_strdup_printf("models.%s.versions.%s", model, name);
 
 	copy_name(out->name, name);
-	digest_from_hex(cfg_str(cfg, "%s.root", at), &out->root);
-	out->bytes = (uint64_t)cfg_int(cfg, "%s.bytes", at);
-	out->chunk_bytes = (uint64_t)cfg_int(cfg, "%s.chunk_bytes", at);
-	out->weights = cfg_str(cfg, "%s.weights", at);
-	out->chunks = cfg_str(cfg, "%s.chunks", at);
+	digest_from_hex(cfg_str(cfg, "%s.root", path), &out->root);
+	out->bytes = (uint64_t)cfg_int(cfg, "%s.bytes", path);
+	out->chunk_bytes = (uint64_t)cfg_int(cfg, "%s.chunk_bytes", path);
+	out->weights = cfg_str(cfg, "%s.weights", path);
+	out->chunks = cfg_str(cfg, "%s.chunks", path);
 	out->weight = rule_weight(cfg, model, name);
-	g_free(at);
+	g_free(path);
 }
 
 static void
 read_rollout(const struct cfg *cfg, struct rt_model *out)
 {
-	char *at = g_strdup_printf("models.%s.rollout", out->name);
-	const char *wanted = cfg_str(cfg, "%s.version", at);
+	char *path = g_strdup_printf("models.%s.rollout", out->name);
+	const char *wanted = cfg_str(cfg, "%s.version", path);
 	size_t i;
 
 	for (i = 0; i < out->nversions; i++) {
@@ -65,12 +65,13 @@
 			out->rollout = &out->versions[i];
 	}
 	out->time_first =
-	    strcmp(cfg_str(cfg, "%s.policy", at), "time_first") == 0;
-	out->origin_copies = (unsigned int)cfg_int(cfg, "%s.origin_copies", at);
+	    strcmp(cfg_str(cfg, "%s.policy", path), "time_first") == 0;
+	out->origin_copies =
+	    (unsigned int)cfg_int(cfg, "%s.origin_copies", path);
 	out->max_unavailable =
-	    (unsigned int)cfg_int(cfg, "%s.max_unavailable", at);
-	out->room_for_two = cfg_bool(cfg, "%s.room_for_two", at);
-	g_free(at);
+	    (unsigned int)cfg_int(cfg, "%s.max_unavailable", path);
+	out->room_for_two = cfg_bool(cfg, "%s.room_for_two", path);
+	g_free(path);
 }
 
 static void
@@ -108,7 +109,7 @@
 }
 
 static void
-read_limits(const struct cfg *cfg, struct rt_team *out)
+read_limits(const struct cfg *cfg, struct rt_workspace *out)
 {
 	out->requests_s = (unsigned int)cfg_int(cfg, "limits.requests_s");
 	out->queue = (unsigned int)cfg_int(cfg, "limits.queue");
@@ -121,48 +122,51 @@
 	    (unsigned int)cfg_int(cfg, "limits.retry_budget_permille");
 }
 
-struct rt_team *
-rt_team_read(struct cfg *cfg, uint64_t version)
+struct rt_workspace *
+rt_workspace_read(struct cfg *cfg, uint64_t version)
 {
-	struct rt_team *team = g_new0(struct rt_team, 1);
+	struct rt_workspace *workspace = g_new0(struct rt_workspace, 1);
 	size_t i;
 
-	team->cfg = cfg;
-	team->version = version;
-	copy_name(team->name, cfg_str(cfg, "team"));
-	read_limits(cfg, team);
-	digest_from_hex(cfg_str(cfg, "tokens.caller"), &team->caller_token);
-	digest_from_hex(cfg_str(cfg, "tokens.operator"), &team->operator_token);
-	team->nmodels = cfg_count(cfg, "models");
-	team->models = g_new0(struct rt_model, team->nmodels);
-	for (i = 0; i < team->nmodels; i++)
-		read_model(cfg, cfg_key(cfg, i, "models"), &team->models[i]);
-	team->nservices = cfg_count(cfg, "services");
-	team->services = g_new0(struct rt_service, team->nservices);
-	for (i = 0; i < team->nservices; i++) {
+	workspace->cfg = cfg;
+	workspace->version = version;
+	copy_name(workspace->name, cfg_str(cfg, "team"));
+	read_limits(cfg, workspace);
+	digest_from_hex(
+	    cfg_str(cfg, "tokens.caller"), &workspace->caller_token);
+	digest_from_hex(
+	    cfg_str(cfg, "tokens.operator"), &workspace->operator_token);
+	workspace->nmodels = cfg_count(cfg, "models");
+	workspace->models = g_new0(struct rt_model, workspace->nmodels);
+	for (i = 0; i < workspace->nmodels; i++)
+		read_model(
+		    cfg, cfg_key(cfg, i, "models"), &workspace->models[i]);
+	workspace->nservices = cfg_count(cfg, "services");
+	workspace->services = g_new0(struct rt_service, workspace->nservices);
+	for (i = 0; i < workspace->nservices; i++) {
 		read_service(
-		    cfg, cfg_key(cfg, i, "services"), &team->services[i]);
+		    cfg, cfg_key(cfg, i, "services"), &workspace->services[i]);
 	}
-	return team;
+	return workspace;
 }
 
 void
-rt_team_free(struct rt_team *team)
+rt_workspace_free(struct rt_workspace *workspace)
 {
 	size_t i;
 
-	if (team == NULL)
+	if (workspace == NULL)
 		return;
-	for (i = 0; i < team->nmodels; i++) {
-		g_free(team->models[i].domains);
-		g_free(team->models[i].versions);
+	for (i = 0; i < workspace->nmodels; i++) {
+		g_free(workspace->models[i].domains);
+		g_free(workspace->models[i].versions);
 	}
-	for (i = 0; i < team->nservices; i++)
-		g_free(team->services[i].idempotent_methods);
-	g_free(team->models);
-	g_free(team->services);
-	cfg_free(team->cfg);
-	g_free(team);
+	for (i = 0; i < workspace->nservices; i++)
+		g_free(workspace->services[i].idempotent_methods);
+	g_free(workspace->models);
+	g_free(workspace->services);
+	cfg_free(workspace->cfg);
+	g_free(workspace);
 }
 
 /* ------------------------------------------------------------------ */
@@ -170,25 +174,25 @@
 /* ------------------------------------------------------------------ */
 
 const struct rt_model *
-rt_team_model(const struct rt_team *team, const char *name)
+rt_workspace_model(const struct rt_workspace *workspace, const char *name)
 {
 	size_t i;
 
-	for (i = 0; i < team->nmodels; i++) {
-		if (strcmp(team->models[i].name, name) == 0)
-			return &team->models[i];
+	for (i = 0; i < workspace->nmodels; i++) {
+		if (strcmp(workspace->models[i].name, name) == 0)
+			return &workspace->models[i];
 	}
 	return NULL;
 }
 
 const struct rt_service *
-rt_team_service(const struct rt_team *team, const char *name)
+rt_workspace_service(const struct rt_workspace *workspace, const char *name)
 {
 	size_t i;
 
-	for (i = 0; i < team->nservices; i++) {
-		if (strcmp(team->services[i].name, name) == 0)
-			return &team->services[i];
+	for (i = 0; i < workspace->nservices; i++) {
+		if (strcmp(workspace->services[i].name, name) == 0)
+			return &workspace->services[i];
 	}
 	return NULL;
 }
@@ -244,17 +248,17 @@
 	return n;
 }
 
-/* The version whose share of the weights holds `draw`. */
+/* The version whose range of the cumulative weights contains `draw`. */
 static size_t
 drawn_version(const struct rt_model *model, uint64_t draw, uint64_t total)
 {
-	uint64_t at = 0;
+	uint64_t end = 0;
 	size_t i;
 
 	draw %= total;
 	for (i = 0; i + 1 < model->nversions; i++) {
-		at += model->versions[i].weight;
-		if (draw < at)
+		end += model->versions[i].weight;
+		if (draw < end)
 			break;
 	}
 	return i;
@@ -282,37 +286,37 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* A side's targets as text                                            */
+/* A sidecar's targets as text                                         */
 /* ------------------------------------------------------------------ */
 
-#define INFO_PARTS 5
+#define INFO_FIELDS 5
 
 void
 rt_info_append(GString *out, const struct rt_target_info *target)
 {
 	g_string_append_printf(out, "%s%s,%s,%s,%s,%s",
 	    out->len == 0 ? "" : ";", target->name,
-	    target->kind == RT_ENGINE ? "engine" : "service", target->team,
+	    target->kind == RT_ENGINE ? "engine" : "service", target->workspace,
 	    target->pool, target->service);
 }
 
 static bool
 read_info(const char *text, struct rt_target_info *out)
 {
-	char **part = g_strsplit(text, ",", INFO_PARTS);
-	bool good = g_strv_length(part) == INFO_PARTS;
-	bool service = good && strcmp(part[1], "service") == 0;
+	char **field = g_strsplit(text, ",", INFO_FIELDS);
+	bool valid = g_strv_length(field) == INFO_FIELDS;
+	bool service = valid && strcmp(field[1], "service") == 0;
 
-	good = good && (service || strcmp(part[1], "engine") == 0);
-	if (good) {
-		copy_name(out->name, part[0]);
+	valid = valid && (service || strcmp(field[1], "engine") == 0);
+	if (valid) {
+		copy_name(out->name, field[0]);
 		out->kind = service ? RT_SERVICE : RT_ENGINE;
-		copy_name(out->team, part[2]);
-		copy_name(out->pool, part[3]);
-		copy_name(out->service, part[4]);
+		copy_name(out->workspace, field[2]);
+		copy_name(out->pool, field[3]);
+		copy_name(out->service, field[4]);
 	}
-	g_strfreev(part);
-	return good;
+	g_strfreev(field);
+	return valid;
 }
 
 void
--- a/lib/route/claim_record.c
+++ b/lib/route/claim_record.c
@@ -1,4 +1,4 @@
-/* Records of a bucket, and the object's text. */
+/* Records of a bucket and their JSON text. */
 
 #include <json-glib/json-glib.h>
 #include <string.h>
@@ -17,7 +17,7 @@
 	struct clm_record *record = data;
 
 	g_free(record->key);
-	g_free(record->asker);
+	g_free(record->claimant);
 	g_free(record->type);
 	g_free(record->answer);
 	g_free(record);
@@ -31,21 +31,22 @@
 }
 
 struct clm_record *
-clm_record_add(GHashTable *records, const struct clm_ask *ask, int64_t now_us)
+clm_record_add(
+    GHashTable *records, const struct clm_request *request, int64_t now_us)
 {
 	struct clm_record *record = g_new0(struct clm_record, 1);
 
-	record->key = g_strdup(ask->key);
-	record->asker = g_strdup(ask->asker);
-	record->body = ask->body;
+	record->key = g_strdup(request->key);
+	record->claimant = g_strdup(request->claimant);
+	record->body = request->body;
 	record->claimed_us = now_us;
-	record->keep_s = (ask->keep_ms + CLM_KEEP_MS) / 1000;
+	record->keep_s = (request->keep_ms + CLM_RETENTION_MS) / 1000;
 	g_hash_table_replace(records, record->key, record);
 	return record;
 }
 
 static char *
-kept_text(const char *text, size_t max)
+copy_bounded(const char *text, size_t max)
 {
 	if (text == NULL || strlen(text) > max ||
 	    !g_utf8_validate(text, -1, NULL))
@@ -60,13 +61,13 @@
 	g_free(record->answer);
 	record->state = outcome->verdict == VERDICT_RAN ? CLM_RAN : CLM_UNSURE;
 	record->status = outcome->status;
-	record->type = kept_text(outcome->type, CLM_TYPE_MAX);
-	record->answer = kept_text(outcome->answer, CLM_ANSWER_MAX);
+	record->type = copy_bounded(outcome->type, CLM_TYPE_MAX);
+	record->answer = copy_bounded(outcome->answer, CLM_ANSWER_MAX);
 	record->digest = outcome->digest;
 }
 
 /* ------------------------------------------------------------------ */
-/* Keeping within bounds                                               */
+/* Expiry and size                                                     */
 /* ------------------------------------------------------------------ */
 
 static int64_t
@@ -76,7 +77,7 @@
 }
 
 static gboolean
-is_over(gpointer key, gpointer value, gpointer data)
+is_expired(gpointer key, gpointer value, gpointer data)
 {
 	const struct clm_record *record = value;
 	const int64_t *now_us = data;
@@ -87,7 +88,7 @@
 void
 clm_records_prune(GHashTable *records, int64_t now_us)
 {
-	g_hash_table_foreach_remove(records, is_over, &now_us);
+	g_hash_table_foreach_remove(records, is_expired, &now_us);
 }
 
 void
@@ -132,7 +133,7 @@
 	    "{\"age_s\":%" G_GINT64_FORMAT ",\"keep_s\":%" G_GUINT64_FORMAT,
 	    age_s(record, now_us), record->keep_s);
 	print_string(out, "key", record->key);
-	print_string(out, "asker", record->asker);
+	print_string(out, "asker", record->claimant);
 	print_string(out, "state", state_names[record->state]);
 	digest_to_hex(&record->body, hex);
 	print_string(out, "body", hex);
@@ -204,21 +205,21 @@
 static bool
 read_record(GHashTable *records, JsonObject *o, int64_t now_us)
 {
-	struct clm_ask ask = {
+	struct clm_request request = {
 		.key = read_text(o, "key"),
-		.asker = read_text(o, "asker"),
+		.claimant = read_text(o, "asker"),
 	};
 	const char *body = read_text(o, "body");
 	const char *digest = read_text(o, "digest");
 	struct clm_record *record;
 	enum clm_state state;
 
-	if (ask.key == NULL || ask.asker == NULL || body == NULL ||
-	    !digest_from_hex(body, &ask.body) ||
+	if (request.key == NULL || request.claimant == NULL || body == NULL ||
+	    !digest_from_hex(body, &request.body) ||
 	    !read_state(read_text(o, "state"), &state))
 		return false;
 	record = clm_record_add(
-	    records, &ask, now_us - read_int(o, "age_s") * G_USEC_PER_SEC);
+	    records, &request, now_us - read_int(o, "age_s") * G_USEC_PER_SEC);
 	record->keep_s = (uint64_t)read_int(o, "keep_s");
 	record->state = state;
 	record->status = (unsigned int)read_int(o, "status");
@@ -229,7 +230,7 @@
 }
 
 static bool
-read_root(GHashTable *records, JsonObject *o, int64_t now_us)
+read_claims(GHashTable *records, JsonObject *o, int64_t now_us)
 {
 	JsonNode *node = json_object_get_member(o, "claims");
 	JsonArray *claims;
@@ -254,18 +255,18 @@
 {
 	JsonParser *parser = json_parser_new();
 	JsonObject *o = NULL;
-	bool good = false;
+	bool valid = false;
 
 	if (json_parser_load_from_data(parser, text, -1, NULL) &&
 	    json_parser_get_root(parser) != NULL &&
 	    JSON_NODE_HOLDS_OBJECT(json_parser_get_root(parser)))
 		o = json_node_get_object(json_parser_get_root(parser));
 	if (o != NULL && read_text(o, "owner") != NULL &&
-	    read_root(records, o, now_us)) {
+	    read_claims(records, o, now_us)) {
 		*owner = g_strdup(read_text(o, "owner"));
 		*fence = (uint64_t)read_int(o, "fence");
-		good = true;
+		valid = true;
 	}
 	g_object_unref(parser);
-	return good;
+	return valid;
 }
--- a/tests/route/test_catalogue.c
+++ b/tests/route/test_catalogue.c
@@ -1,4 +1,4 @@
-/* Catalogue: the example branch in typed form, splits, target text. */
+/* Catalogue: the example branch, traffic splits and target text. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -8,8 +8,8 @@
 
 #include "route/route.h"
 
-static struct rt_team *
-read_team(const char *path, const char *value)
+static struct rt_workspace *
+read_workspace(const char *path, const char *value)
 {
 	struct err err = { 0 };
 	struct cfg *cfg = cfg_load(
@@ -27,28 +27,29 @@
 		g_free(text);
 		cfg_free(cfg);
 	}
-	return rt_team_read(changed, 5);
+	return rt_workspace_read(changed, 5);
 }
 
 static void
 test_branch(void **state)
 {
-	struct rt_team *team = read_team(NULL, NULL);
-	const struct rt_model *model = rt_team_model(team, "inspect");
-	const struct rt_service *service = rt_team_service(team, "notes");
+	struct rt_workspace *workspace = read_workspace(NULL, NULL);
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
+	const struct rt_service *service =
+	    rt_workspace_service(workspace, "notes");
 	struct digest other;
 
-	assert_string_equal(team->name, "konya");
-	assert_int_equal(team->version, 5);
-	assert_int_equal(team->requests_s, 1500);
-	assert_int_equal(team->queue, 3000);
-	assert_int_equal(team->weight, 200);
-	assert_int_equal(team->default_deadline_ms, 30000);
-	assert_int_equal(team->max_deadline_ms, 300000);
-	assert_int_equal(team->retry_budget_permille, 100);
-	assert_false(digest_is_none(&team->caller_token));
-	assert_false(digest_is_none(&team->operator_token));
-	assert_null(rt_team_model(team, "absent"));
+	assert_string_equal(workspace->name, "konya");
+	assert_int_equal(workspace->version, 5);
+	assert_int_equal(workspace->requests_s, 1500);
+	assert_int_equal(workspace->queue, 3000);
+	assert_int_equal(workspace->weight, 200);
+	assert_int_equal(workspace->default_deadline_ms, 30000);
+	assert_int_equal(workspace->max_deadline_ms, 300000);
+	assert_int_equal(workspace->retry_budget_permille, 100);
+	assert_false(digest_is_none(&workspace->caller_token));
+	assert_false(digest_is_none(&workspace->operator_token));
+	assert_null(rt_workspace_model(workspace, "absent"));
 	assert_non_null(model);
 	assert_int_equal(model->nversions, 2);
 	assert_ptr_equal(model->rollout, &model->versions[1]);
@@ -66,23 +67,23 @@
 	assert_true(rt_model_placed(model, "large", "hall-b"));
 	assert_false(rt_model_placed(model, "large", "hall-d"));
 	assert_false(rt_model_placed(model, "small", "hall-b"));
-	assert_null(rt_team_service(team, "absent"));
+	assert_null(rt_workspace_service(workspace, "absent"));
 	assert_string_equal(service->pool, "default");
 	assert_int_equal(service->stall_ms, 5000);
 	assert_true(rt_service_is_idempotent(service, "GET"));
 	assert_false(rt_service_is_idempotent(service, "POST"));
-	rt_team_free(team);
+	rt_workspace_free(workspace);
 }
 
 static void
-test_branch_with_little(void **state)
+test_minimal_branch(void **state)
 {
-	struct rt_team *team = read_team("models",
+	struct rt_workspace *workspace = read_workspace("models",
 	    "{m: {versions: {v1: {bytes: 1, chunk_bytes: 65536, weights: w, "
 	    "chunks: c, root: "
 	    "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 	    "}}}}");
-	const struct rt_model *model = rt_team_model(team, "m");
+	const struct rt_model *model = rt_workspace_model(workspace, "m");
 	struct digest roots[1];
 	bool ranked;
 
@@ -90,8 +91,8 @@
 	assert_null(model->rollout);
 	assert_true(rt_model_placed(model, "default", "anywhere"));
 	assert_int_equal(rt_model_roots(model, 3, roots, &ranked), 1);
-	rt_team_free(team);
-	rt_team_free(NULL);
+	rt_workspace_free(workspace);
+	rt_workspace_free(NULL);
 }
 
 #define DRAWS 10000
@@ -99,14 +100,14 @@
 static void
 test_split_by_weight(void **state)
 {
-	struct rt_team *team = read_team(NULL, NULL);
-	const struct rt_model *model = rt_team_model(team, "inspect");
+	struct rt_workspace *workspace = read_workspace(NULL, NULL);
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
 	struct digest roots[2];
 	unsigned int old = 0, i;
 	bool ranked;
 
 	for (i = 0; i < DRAWS; i++) {
-		/* The other one stands in. */
+		/* The other version is the fallback. */
 		assert_int_equal(rt_model_roots(model, hash64(1, &i, sizeof(i)),
 				     roots, &ranked),
 		    2);
@@ -114,17 +115,17 @@
 		if (digest_equal(&roots[0], &model->versions[0].root))
 			old++;
 	}
-	/* 900 of 1000; the spread at 10,000 draws is 0.3%. */
+	/* 900 of 1000; the standard deviation at 10,000 draws is 0.3%. */
 	assert_in_range(old, DRAWS * 88 / 100, DRAWS * 92 / 100);
-	rt_team_free(team);
+	rt_workspace_free(workspace);
 }
 
 static void
-test_weight_of_nothing(void **state)
+test_zero_weight(void **state)
 {
-	struct rt_team *team = read_team("models.inspect.rules",
+	struct rt_workspace *workspace = read_workspace("models.inspect.rules",
 	    "[{version: v2, weight: 0}, {version: v1, weight: 1}]");
-	const struct rt_model *model = rt_team_model(team, "inspect");
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
 	struct digest roots[2];
 	uint64_t draw;
 	bool ranked;
@@ -134,15 +135,16 @@
 		    rt_model_roots(model, draw, roots, &ranked), 1);
 		assert_true(digest_equal(&roots[0], &model->versions[0].root));
 	}
-	rt_team_free(team);
+	rt_workspace_free(workspace);
 }
 
-/* The version wanted comes first; the old one serves where it is loaded. */
+/* The version of the rollout comes first, and the old one is a fallback. */
 static void
 test_no_rules(void **state)
 {
-	struct rt_team *team = read_team("models.inspect.rules", NULL);
-	const struct rt_model *model = rt_team_model(team, "inspect");
+	struct rt_workspace *workspace =
+	    read_workspace("models.inspect.rules", NULL);
+	const struct rt_model *model = rt_workspace_model(workspace, "inspect");
 	struct digest roots[2];
 	bool ranked;
 
@@ -150,14 +152,14 @@
 	assert_false(ranked);
 	assert_true(digest_equal(&roots[0], &model->versions[1].root));
 	assert_true(digest_equal(&roots[1], &model->versions[0].root));
-	rt_team_free(team);
+	rt_workspace_free(workspace);
 }
 
 static void
 print_target(const struct rt_target_info *t, void *ctx)
 {
 	g_string_append_printf(ctx, "[%s %d %s %s %s]", t->name, t->kind,
-	    t->team, t->pool, t->service);
+	    t->workspace, t->pool, t->service);
 }
 
 static void
@@ -174,11 +176,11 @@
 test_target_text(void **state)
 {
 	const struct rt_target_info engine = {
-		.name = "e1", .kind = RT_ENGINE, .team = "t", .pool = "p"
+		.name = "e1", .kind = RT_ENGINE, .workspace = "t", .pool = "p"
 	};
 	const struct rt_target_info service = { .name = "s1",
 		.kind = RT_SERVICE,
-		.team = "t",
+		.workspace = "t",
 		.pool = "q",
 		.service = "notes" };
 	GString *text = g_string_new(NULL);
@@ -198,9 +200,9 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_branch),
-		cmocka_unit_test(test_branch_with_little),
+		cmocka_unit_test(test_minimal_branch),
 		cmocka_unit_test(test_split_by_weight),
-		cmocka_unit_test(test_weight_of_nothing),
+		cmocka_unit_test(test_zero_weight),
 		cmocka_unit_test(test_no_rules),
 		cmocka_unit_test(test_target_text),
 	};
