--- a/programs/side/keeper.c
+++ b/programs/side/keeper.c
@@ -27,11 +27,11 @@
 {
 	struct keeper *k = CONTAINER_OF(timer, struct keeper, tick);
 
-	keeper_ask_report(k);
+	keeper_poll_engine(k);
 	keeper_step(k);
 	keeper_rate_tick(k);
-	keeper_ends_tick(k);
-	keeper_tell_load(k);
+	keeper_terminations_tick(k);
+	keeper_send_status(k);
 	keeper_log_progress(k);
 	evl_timer_set(k->st.loop, timer, keeper_now(k) + TICK_US);
 }
--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -2,10 +2,11 @@
 #define KEEPER_H
 
 /*
- * keeper: the side process for a deployment whose engines load from a staging
- * place beside them. It brings wanted versions' pieces by the swarm, stages
- * and checks them, gives its engine's orders, and tells gateways how full the
- * engine is. Gateways call the engine directly.
+ * keeper: the sidecar for engines that load weights from a staging area on
+ * their host. It transfers the chunks of the wanted versions from the origin
+ * and other keepers, writes them to the staging area and verifies them there,
+ * orders its engine to load them, and reports the engine's load to gateways.
+ * Gateways send callers' requests to the engine directly.
  */
 
 #include "common/evt.h"
@@ -20,61 +21,64 @@
 
 #define KEEPER_NAME_MAX 64
 #define KEEPER_ADDRESS_MAX 24
-/* Gateways that a keeper tells its load, 200 bytes each; more are counted and
- * know the engine by its answers alone. */
+/* Gateways that get status reports, 200 bytes each. Further ones are counted
+ * and know the engine's state from its answers only. */
 #define KEEPER_GATEWAYS_MAX 4096
 
-/* A gateway that has told its view lately. */
+/* A gateway that has sent its desired state recently. */
 struct keeper_gateway {
 	char address[KEEPER_ADDRESS_MAX];
-	uint64_t start; /* which one of its starts */
-	bool near; /* in this keeper's region */
-	int64_t heard_us;
-	int64_t told_us; /* the last load */
-	bool store_away; /* the store does not answer it */
+	uint64_t start; /* of the gateway process; differs at each start */
+	bool local; /* in this keeper's region */
+	int64_t received_us; /* its last desired state */
+	int64_t reported_us; /* the last status report to it */
+	bool store_down; /* the store does not answer it */
 };
 
-/* Another keeper of the same model. */
+/* A keeper of the same model. */
 struct keeper_peer {
-	char address[KEEPER_ADDRESS_MAX]; /* its id, too */
+	char address[KEEPER_ADDRESS_MAX]; /* also its id */
 	char region[KEEPER_NAME_MAX];
 };
 
 struct keeper;
 
-/* A version that is wanted, and what of it is here. */
+/* A wanted version, and how much of it is on this host. */
 struct keeper_copy {
 	struct keeper *keeper;
 	int64_t version;
-	int64_t heard_us; /* its name, by any gateway */
-	int64_t due_us; /* nothing older serves from then on; 0: no bound */
+	int64_t announced_us; /* first announcement, by any gateway */
+	/* No request begins on older versions after this; 0: no deadline. */
+	int64_t deadline_us;
 	/* Its digests. */
 	uint64_t chunks, chunk_bytes;
-	struct digest told_root; /* that gateways say others found */
+	/* Root as gateways report it from other keepers. */
+	struct digest reported_root;
 	struct hfetch *manifest;
-	int64_t manifest_rest_us; /* the origin is not asked before */
-	int64_t asked_us; /* the digests were needed first; 0: not yet */
-	bool own_root; /* read from the origin here */
-	bool has_root; /* `wts` is filled in and wanted of the swarm */
+	int64_t manifest_backoff_us; /* no request to the origin before */
+	int64_t needed_us; /* the digests were first needed; 0: not yet */
+	bool origin_root; /* this keeper read the digests from the origin */
+	bool has_root; /* `wts` is set and the transfer has started */
 	struct wts_version wts;
 	GBytes *list; /* NULL: not known yet */
-	/* Its pieces. */
-	uint64_t logged; /* pieces held, as last logged */
+	/* Its chunks. */
+	uint64_t logged_chunks; /* number of stored chunks, as last logged */
 	int64_t logged_us;
-	bool whole; /* all are held and checked */
-	bool *placed; /* those that lie in the staging place */
-	bool looked; /* the staging place was looked through */
-	bool put; /* all are placed, as far as is known */
-	int64_t checked_us; /* all were read back and good; 0: not yet */
+	bool complete; /* all chunks are stored and verified */
+	bool *chunk_staged; /* one a chunk: it is in the staging area */
+	bool scanned; /* the staging area was searched for its chunks */
+	bool staged; /* all chunks are in the staging area, as far as known */
+	/* All chunks were read back and valid; 0: not yet. */
+	int64_t checked_us;
 };
 
-/* What a load says that a gateway decides by. */
-struct keeper_told {
+/* The part of a status report by which a gateway decides. */
+struct keeper_status {
 	uint64_t engine; /* enum side_engine */
 	int64_t loaded, wanted;
-	bool own_root;
+	bool origin_root;
 	unsigned int running, waiting;
-	bool slow_link; /* what comes to this host comes slowly */
+	bool slow_link; /* inbound traffic of this host is slow */
 	bool limit_known;
 	double limit; /* the engine's rate limit */
 };
@@ -86,46 +90,47 @@
 	struct dgram *dgram;
 	struct evl_timer tick;
 	GArray *gateways; /* struct keeper_gateway */
-	/* What gateways say. */
+	/* From the gateways' desired state. */
 	char model[KEEPER_NAME_MAX];
 	char origin[KEEPER_ADDRESS_MAX];
 	char origin_region[KEEPER_NAME_MAX];
 	struct roster *roster; /* of the keepers of the model */
-	int64_t lacks_us; /* a newer one is known of since; 0: none */
-	int64_t asked_us; /* a gateway was asked for it, last */
-	GArray *peers; /* struct keeper_peer, of the roster */
+	int64_t missing_roster_us; /* a newer one exists since; 0: none */
+	int64_t roster_request_us; /* the last request for it */
+	GArray *peers; /* struct keeper_peer, from the roster */
 	unsigned int slots; /* of the engine */
-	bool may_cut; /* requests that the engine cuts go on elsewhere */
-	/* The newest wanted version; and one before it that is not loaded yet
-	 * and may be whole sooner, or NULL. */
+	bool may_cut; /* requests that the engine cuts continue elsewhere */
+	/* The newest wanted version; and the one before it, while that is not
+	 * loaded and may be complete earlier, or NULL. */
 	struct keeper_copy *newest, *older;
-	struct stg_deadlines dues;
+	struct stg_deadlines deadlines;
 	struct permits permits; /* by the engine's rate limit */
 	GHashTable *pools; /* address of another target -> keeper_pool */
-	struct sus *suspects; /* requests under which targets ended */
-	GArray *ends_again; /* struct again: held ones, to be told again */
+	struct sus *suspects; /* requests in flight at targets that terminated */
+	/* struct repeat: blocked requests to be reported again. */
+	GArray *repeats;
 	/* The engine. */
 	struct hfetch *report;
 	struct sv_report engine;
-	unsigned int report_failures;
+	unsigned int report_failures; /* in a row */
 	bool had_engine; /* it answered at least once */
 	bool up;
 	int64_t loaded; /* version; 0: none */
-	int64_t ordered_us; /* an order was accepted; 0: none under way */
+	int64_t ordered_us; /* an order was accepted; 0: none in progress */
 	int64_t refused_us; /* the last order was refused; 0: no */
-	int64_t closed_us; /* gateways were told to leave it; 0: no */
+	int64_t drain_us; /* gateways were asked to send nothing; 0: no */
 	enum stg_step step; /* as last logged */
-	/* The call to the engine that a step waits for. */
+	/* The call to the engine on which the step waits. */
 	struct hfetch *call;
-	struct keeper_copy *busy; /* that the call is for */
-	uint64_t index; /* of the piece it is about */
-	uint64_t bad; /* pieces found spoilt or missing in this pass */
-	int64_t look_us; /* the staging place was last looked through from */
-	int64_t rest_until_us; /* after a call that failed */
-	/* What gateways were told last. */
-	struct keeper_told told;
-	uint64_t load_seq; /* of the last load */
-	guint named_gateway; /* the one that the last load named */
+	struct keeper_copy *call_copy; /* the version of the call */
+	uint64_t call_chunk; /* index of the chunk of the call */
+	uint64_t bad_chunks; /* found corrupt or missing in this pass */
+	int64_t scan_us; /* start of the last search of the staging area */
+	int64_t backoff_until_us; /* after a failed call */
+	/* The last status report. */
+	struct keeper_status reported;
+	uint64_t report_seq;
+	guint remote_gateway; /* index of the gateway that it named */
 };
 
 static inline int64_t
@@ -138,47 +143,47 @@
 const char *keeper_region(const struct keeper *k, const char *domain);
 
 /* keeper_copy.c: wanted versions and their digests */
-struct keeper_named {
+struct keeper_announced {
 	int64_t version;
-	int64_t heard_us, due_us;
+	int64_t announced_us, deadline_us;
 	uint64_t chunks, chunk_bytes;
 };
-/* A newer version is wanted; the one before may stay beside it. */
-void keeper_want(struct keeper *k, const struct keeper_named *named);
-/* Drops all wanted versions (another model). */
-void keeper_forget(struct keeper *k);
+/* Adds a newer wanted version; the one before may stay wanted. */
+void keeper_want(struct keeper *k, const struct keeper_announced *announced);
+/* Drops all wanted versions: the model changed. */
+void keeper_drop_all(struct keeper *k);
 void keeper_drop_older(struct keeper *k);
-/* Learns a version's digests: from the origin in turn, or from other keepers
- * once enough agree on their root. */
-void keeper_learn(struct keeper_copy *c);
+/* Gets a version's digests: from other keepers once their root is reported, or
+ * from the origin when it is this keeper's turn. */
+void keeper_get_digests(struct keeper_copy *c);
 
-/* keeper_weights.c: the swarm */
+/* keeper_weights.c: transfers between keepers */
 bool keeper_weights_open(struct keeper *k, struct err *err);
-/* Begins to fetch; `root` is that of the copy's digests. */
+/* Starts the transfer; `root` is the root of the copy's digests. */
 void keeper_begin_transfer(struct keeper_copy *c, const struct digest *root);
 void keeper_set_peers(struct keeper_copy *c);
-/* Logs how far versions have come, now and then while they move. */
+/* Logs the progress of transfers at intervals while they advance. */
 void keeper_log_progress(struct keeper *k);
 
-/* keeper_origin.c: pieces from the origin */
+/* keeper_origin.c: chunks from the origin */
 extern const struct wts_source keeper_origin; /* its context is the keeper */
 
 /* keeper_engine.c: the engine's reports, and the next step */
-void keeper_ask_report(struct keeper *k);
-void keeper_step(struct keeper *k); /* carries out what is next */
+void keeper_poll_engine(struct keeper *k);
+void keeper_step(struct keeper *k); /* carries out the next step */
 
-/* keeper_stage.c: the engine's staging place, and orders */
-void keeper_look(struct keeper_copy *c);
+/* keeper_stage.c: the engine's staging area, and orders */
+void keeper_scan(struct keeper_copy *c);
 void keeper_put(struct keeper_copy *c);
 void keeper_check(struct keeper_copy *c);
 void keeper_order(struct keeper_copy *c);
-/* Gateways send the engine nothing more, or send to it again. */
-void keeper_close(struct keeper *k);
-void keeper_reopen(struct keeper *k, const char *why);
+/* Asks gateways to send the engine no new requests, or to send them again. */
+void keeper_drain(struct keeper *k);
+void keeper_undrain(struct keeper *k, const char *why);
 
-/* keeper_views.c: what gateways say is wanted, and who else loads it */
-void keeper_take_view(
-    struct keeper *k, const char *from, const struct side_desired *view);
+/* keeper_views.c: the gateways' desired state, and the roster */
+void keeper_take_desired(
+    struct keeper *k, const char *from, const struct side_desired *desired);
 void keeper_take_page(struct keeper *k, const struct side_roster_page *page);
 
 /* keeper_rate.c: rate limits, and permits for gateways */
@@ -186,24 +191,25 @@
 void keeper_take_rate(
     struct keeper *k, const char *from, const struct side_rate *rate);
 void keeper_rate_tick(struct keeper *k);
-/* A gateway that was not heard before is told the limits of targets without
- * keepers; loads tell the own engine's. */
-void keeper_greet_rates(struct keeper *k, const char *gateway);
-
-/* keeper_ends.c: requests under which targets ended */
-void keeper_ends_open(struct keeper *k);
-void keeper_take_ends(struct keeper *k, const struct side_terminations *ends);
-/* A gateway that was not heard before is told what is held. */
-void keeper_greet_ends(struct keeper *k, const char *gateway);
-void keeper_ends_tick(struct keeper *k);
-
-/* keeper_gateways.c: gateways, and loads for them */
-void keeper_tell_all(
+/* Sends a new gateway the limits of targets without keepers; the limit of this
+ * keeper's engine is in the status reports. */
+void keeper_send_rates(struct keeper *k, const char *gateway);
+
+/* keeper_ends.c: requests that were in flight at targets that terminated */
+void keeper_terminations_open(struct keeper *k);
+void keeper_take_terminations(
+    struct keeper *k, const struct side_terminations *terminations);
+/* Sends a new gateway the requests that are to be blocked. */
+void keeper_send_terminations(struct keeper *k, const char *gateway);
+void keeper_terminations_tick(struct keeper *k);
+
+/* keeper_gateways.c: gateways, and status reports to them */
+void keeper_send_all(
     struct keeper *k, const struct msg_desc *desc, const void *message);
 bool keeper_gateways_open(struct keeper *k, struct err *err);
-void keeper_tell_load(struct keeper *k);
-bool keeper_is_heard(const struct keeper *k); /* some gateway wants loads */
-unsigned int keeper_near_gateways(const struct keeper *k);
+void keeper_send_status(struct keeper *k);
+bool keeper_has_gateways(const struct keeper *k); /* status reports are due */
+unsigned int keeper_local_gateways(const struct keeper *k);
 
 int keeper_main(const char *settings);
 
--- a/programs/side/keeper_copy.c
+++ b/programs/side/keeper_copy.c
@@ -12,14 +12,14 @@
 /* ------------------------------------------------------------------ */
 
 static struct keeper_copy *
-copy_new(struct keeper *k, const struct keeper_named *named)
+copy_new(struct keeper *k, const struct keeper_announced *named)
 {
 	struct keeper_copy *c = g_new0(struct keeper_copy, 1);
 
 	c->keeper = k;
 	c->version = named->version;
-	c->heard_us = named->heard_us;
-	c->due_us = named->due_us;
+	c->announced_us = named->announced_us;
+	c->deadline_us = named->deadline_us;
 	c->chunks = named->chunks;
 	c->chunk_bytes = named->chunk_bytes;
 	return c;
@@ -31,7 +31,7 @@
 {
 	struct keeper *k = c->keeper;
 
-	if (k->busy == c && k->call != NULL) {
+	if (k->call_copy == c && k->call != NULL) {
 		hfetch_cancel(k->call);
 		k->call = NULL;
 	}
@@ -41,11 +41,11 @@
 	if (c->has_root)
 		wts_drop(k->wts, &c->wts.root);
 	c->has_root = false;
-	c->own_root = false;
-	c->whole = false;
-	c->put = false;
+	c->origin_root = false;
+	c->complete = false;
+	c->staged = false;
 	g_clear_pointer(&c->list, g_bytes_unref);
-	g_clear_pointer(&c->placed, g_free);
+	g_clear_pointer(&c->chunk_staged, g_free);
 }
 
 static void
@@ -65,7 +65,7 @@
 }
 
 void
-keeper_forget(struct keeper *k)
+keeper_drop_all(struct keeper *k)
 {
 	keeper_drop_older(k);
 	copy_free(k->newest);
@@ -82,7 +82,7 @@
 	if (k->older != NULL && k->older->version <= k->loaded)
 		keeper_drop_older(k);
 	if (k->newest != NULL && k->newest->version > k->loaded &&
-	    stg_keeps_older(k->newest->heard_us, heard_us)) {
+	    stg_keeps_older(k->newest->announced_us, heard_us)) {
 		keeper_drop_older(k);
 		k->older = k->newest;
 	} else
@@ -91,7 +91,7 @@
 }
 
 void
-keeper_want(struct keeper *k, const struct keeper_named *named)
+keeper_want(struct keeper *k, const struct keeper_announced *named)
 {
 	struct keeper_copy *fresh = copy_new(k, named);
 
@@ -100,7 +100,7 @@
 	    " before=%" G_GINT64_FORMAT " loaded=%" G_GINT64_FORMAT,
 	    k->model, named->version,
 	    k->newest == NULL ? 0 : k->newest->version, k->loaded);
-	keep_before(k, named->heard_us);
+	keep_before(k, named->announced_us);
 	k->newest = fresh;
 }
 
@@ -118,7 +118,7 @@
 	evt(EVT_WEIGHTS,
 	    "step=manifest version=%" G_GINT64_FORMAT
 	    " outcome=known from=%s age_ms=%" G_GINT64_FORMAT,
-	    c->version, from, (keeper_now(k) - c->heard_us) / 1000);
+	    c->version, from, (keeper_now(k) - c->announced_us) / 1000);
 	/* Beside an engine that may have the pieces, peers come after the
 	 * look at the staging place: what lies there must not be fetched. */
 	if (k->loaded != 0 && k->loaded != c->version)
@@ -141,7 +141,7 @@
 	if (!c->has_root)
 		keeper_begin_transfer(c, &root);
 	if (c->has_root && wts_offer_list(c->keeper->wts, &c->wts.root, list)) {
-		c->own_root = true;
+		c->origin_root = true;
 		take_list(c, list, "origin");
 	}
 	g_bytes_unref(list);
@@ -163,7 +163,8 @@
 		a->body, a->len, c->version, raw, &chunk_bytes, &err)) {
 		take_manifest(c, raw, chunk_bytes);
 	} else {
-		c->manifest_rest_us = keeper_now(c->keeper) + MANIFEST_REST_US;
+		c->manifest_backoff_us =
+		    keeper_now(c->keeper) + MANIFEST_REST_US;
 		evt(EVT_WEIGHTS,
 		    "step=manifest version=%" G_GINT64_FORMAT
 		    " status=%u outcome=failed why=%s",
@@ -221,21 +222,22 @@
 	return stg_digests_read_us(&(struct stg_digests){
 	    .members = c->keeper->peers->len,
 	    .ahead = manifest_rank(c->keeper),
-	    .asked_us = c->asked_us,
-	    .backoff_until_us = c->manifest_rest_us,
+	    .asked_us = c->needed_us,
+	    .backoff_until_us = c->manifest_backoff_us,
 	});
 }
 
 void
-keeper_learn(struct keeper_copy *c)
+keeper_get_digests(struct keeper_copy *c)
 {
 	struct keeper *k = c->keeper;
 	GBytes *list;
 
-	if (c->asked_us == 0)
-		c->asked_us = keeper_now(k);
-	if (!c->has_root && !digest_is_none(&c->told_root) && c->chunks > 0) {
-		keeper_begin_transfer(c, &c->told_root);
+	if (c->needed_us == 0)
+		c->needed_us = keeper_now(k);
+	if (!c->has_root && !digest_is_none(&c->reported_root) &&
+	    c->chunks > 0) {
+		keeper_begin_transfer(c, &c->reported_root);
 		keeper_set_peers(c);
 	}
 	list = c->has_root ? wts_known_list(k->wts, &c->wts.root) : NULL;
--- a/programs/side/keeper_ends.c
+++ b/programs/side/keeper_ends.c
@@ -37,7 +37,7 @@
 			dgram_send(
 			    k->dgram, to, &side_terminations_desc, &message);
 		else
-			keeper_tell_all(k, &side_terminations_desc, &message);
+			keeper_send_all(k, &side_terminations_desc, &message);
 		g_byte_array_set_size(entries, 0);
 	}
 	g_byte_array_unref(entries);
@@ -61,13 +61,13 @@
 		.due_us = keeper_now(k) + again_us[0] };
 	guint i;
 
-	for (i = 0; i < k->ends_again->len; i++) {
-		if (g_array_index(k->ends_again, struct again, i).content ==
+	for (i = 0; i < k->repeats->len; i++) {
+		if (g_array_index(k->repeats, struct again, i).content ==
 		    content)
-			g_array_remove_index_fast(k->ends_again, i);
+			g_array_remove_index_fast(k->repeats, i);
 	}
-	if (k->ends_again->len < AGAIN_MAX)
-		g_array_append_val(k->ends_again, again);
+	if (k->repeats->len < AGAIN_MAX)
+		g_array_append_val(k->repeats, again);
 }
 
 static void
@@ -95,7 +95,7 @@
 }
 
 void
-keeper_take_ends(struct keeper *k, const struct side_terminations *ends)
+keeper_take_terminations(struct keeper *k, const struct side_terminations *ends)
 {
 	struct sus_end end;
 	size_t i;
@@ -107,7 +107,7 @@
 }
 
 void
-keeper_greet_ends(struct keeper *k, const char *gateway)
+keeper_send_terminations(struct keeper *k, const char *gateway)
 {
 	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
 
@@ -117,14 +117,14 @@
 }
 
 void
-keeper_ends_tick(struct keeper *k)
+keeper_terminations_tick(struct keeper *k)
 {
 	struct again *again;
 	guint i = 0;
 
 	sus_sweep(k->suspects, keeper_now(k));
-	while (i < k->ends_again->len) {
-		again = &g_array_index(k->ends_again, struct again, i);
+	while (i < k->repeats->len) {
+		again = &g_array_index(k->repeats, struct again, i);
 		if (keeper_now(k) < again->due_us) {
 			i++;
 			continue;
@@ -134,13 +134,13 @@
 		if (again->told < G_N_ELEMENTS(again_us))
 			again->due_us = keeper_now(k) + again_us[again->told];
 		else
-			g_array_remove_index_fast(k->ends_again, i);
+			g_array_remove_index_fast(k->repeats, i);
 	}
 }
 
 void
-keeper_ends_open(struct keeper *k)
+keeper_terminations_open(struct keeper *k)
 {
 	k->suspects = sus_new(0);
-	k->ends_again = g_array_new(FALSE, FALSE, sizeof(struct again));
+	k->repeats = g_array_new(FALSE, FALSE, sizeof(struct again));
 }
--- a/programs/side/keeper_engine.c
+++ b/programs/side/keeper_engine.c
@@ -37,18 +37,18 @@
 	/* It may come back without what it held; its staging place may have
 	 * lost pieces, too. */
 	k->ordered_us = 0;
-	k->closed_us = 0;
+	k->drain_us = 0;
 	distrust_checks(k);
 }
 
 static void
 doubt_staged(struct keeper_copy *c)
 {
-	if (c == NULL || c->placed == NULL)
+	if (c == NULL || c->chunk_staged == NULL)
 		return;
-	memset(c->placed, 0, c->chunks * sizeof(c->placed[0]));
-	c->put = false;
-	c->looked = false;
+	memset(c->chunk_staged, 0, c->chunks * sizeof(c->chunk_staged[0]));
+	c->staged = false;
+	c->scanned = false;
 	c->checked_us = 0;
 }
 
@@ -64,7 +64,7 @@
 	    k->loaded);
 	k->ordered_us = 0;
 	k->refused_us = 0;
-	k->closed_us = 0;
+	k->drain_us = 0;
 	k->loaded = 0;
 	permits_reset(&k->permits);
 	if (k->call != NULL)
@@ -92,7 +92,7 @@
 	/* The order was carried out, or the engine restarted. */
 	if (loaded != k->loaded && !r->busy) {
 		k->ordered_us = 0;
-		k->closed_us = 0;
+		k->drain_us = 0;
 	}
 	k->report_failures = 0;
 	k->had_engine = true;
@@ -114,14 +114,14 @@
 		note_report(k, &report);
 	else
 		note_down(k);
-	keeper_tell_load(k);
+	keeper_send_status(k);
 	keeper_step(k);
 }
 
 void
-keeper_ask_report(struct keeper *k)
+keeper_poll_engine(struct keeper *k)
 {
-	if (k->report != NULL || !keeper_is_heard(k))
+	if (k->report != NULL || !keeper_has_gateways(k))
 		return;
 	k->report = hfetch_start(k->st.loop, k->st.pool,
 	    &(struct hfetch_conf){
@@ -157,9 +157,9 @@
 turn_of(const struct keeper *k, const struct keeper_copy *c)
 {
 	struct stg_schedule q = {
-		.announced_us = c->heard_us,
-		.deadline_us = stg_deadlines_expiry(&k->dues, k->loaded),
-		.others_us = stg_deadlines_of(&k->dues, k->loaded),
+		.announced_us = c->announced_us,
+		.deadline_us = stg_deadlines_expiry(&k->deadlines, k->loaded),
+		.others_us = stg_deadlines_of(&k->deadlines, k->loaded),
 		.rank = own_rank(k),
 		.n = k->peers->len,
 	};
@@ -177,14 +177,14 @@
 		.busy = k->engine.busy,
 		.running = k->engine.running + k->engine.waiting,
 		.manifest = c->list != NULL,
-		.scanned = c->looked,
-		.complete = c->whole,
-		.staged = c->put,
+		.scanned = c->scanned,
+		.complete = c->complete,
+		.staged = c->staged,
 		.checked_us = c->checked_us,
 		.ordered_us = k->ordered_us,
 		.refused_us = k->refused_us,
 		.slots = k->slots,
-		.drain_us = k->closed_us,
+		.drain_us = k->drain_us,
 		.may_cut = k->may_cut,
 		.switch_us = turn_of(k, c),
 	};
@@ -198,16 +198,16 @@
 	if (k->newest->has_root)
 		wts_progress(k->wts, &k->newest->wts.root, &p);
 	return (struct stg_overlap){
-		.older_complete = k->older->whole,
+		.older_complete = k->older->complete,
 		.older_left = k->older->has_root
 		    ? wts_left_at_origin(k->wts, &k->older->wts.root)
 		    : UINT64_MAX,
 		.older_total = k->older->chunks,
 		.loaded = k->loaded,
 		.older_switch_us = turn_of(k, k->older),
-		.newest_announced_us = k->newest->heard_us,
-		.older_deadline_us = k->older->due_us,
-		.newest_deadline_us = k->newest->due_us,
+		.newest_announced_us = k->newest->announced_us,
+		.older_deadline_us = k->older->deadline_us,
+		.newest_deadline_us = k->newest->deadline_us,
 		.have = p.have,
 		.total = p.total,
 	};
@@ -237,7 +237,7 @@
 choose_copy(struct keeper *k)
 {
 	if (k->older != NULL &&
-	    (k->newest->whole || k->loaded >= k->newest->version))
+	    (k->newest->complete || k->loaded >= k->newest->version))
 		keeper_drop_older(k);
 	if (newest_waits(k) || older_goes_first(k, stg_prefers_older))
 		return k->older;
@@ -254,7 +254,7 @@
 	    "step=%s version=%" G_GINT64_FORMAT " loaded=%" G_GINT64_FORMAT
 	    " running=%u age_ms=%" G_GINT64_FORMAT,
 	    stg_step_name(step), c->version, k->loaded, k->engine.running,
-	    (keeper_now(k) - c->heard_us) / 1000);
+	    (keeper_now(k) - c->announced_us) / 1000);
 }
 
 static void
@@ -262,16 +262,16 @@
 {
 	switch (step) {
 	case STG_MANIFEST:
-		keeper_learn(c);
+		keeper_get_digests(c);
 		break;
 	case STG_SCAN:
-		keeper_look(c);
+		keeper_scan(c);
 		break;
 	case STG_PUT:
 		keeper_put(c);
 		break;
 	case STG_DRAIN:
-		keeper_close(c->keeper);
+		keeper_drain(c->keeper);
 		break;
 	case STG_CHECK:
 		keeper_check(c);
@@ -297,21 +297,20 @@
 	enum stg_step step;
 
 	if (k->newest == NULL || k->call != NULL ||
-	    keeper_now(k) < k->rest_until_us)
+	    keeper_now(k) < k->backoff_until_us)
 		return;
-	if (k->closed_us != 0 && k->ordered_us == 0 &&
-	    keeper_now(k) - k->closed_us > STG_DRAIN_MAX_US)
-		keeper_reopen(k, "no_order_accepted");
+	if (k->drain_us != 0 && k->ordered_us == 0 &&
+	    keeper_now(k) - k->drain_us > STG_DRAIN_MAX_US)
+		keeper_undrain(k, "no_order_accepted");
 	c = choose_copy(k);
 	/* The other one goes on being fetched meanwhile. */
 	if (c != k->newest && k->newest->list == NULL && !newest_waits(k))
-		keeper_learn(k->newest);
+		keeper_get_digests(k->newest);
 	state = state_of(k, c);
 	step = stg_next(&state, keeper_now(k));
 	log_step(k, c, step);
 	/* A newer version was named meanwhile, say, and is not whole yet. */
-	if (k->closed_us != 0 && k->ordered_us == 0 &&
-	    !stg_leads_to_order(step))
-		keeper_reopen(k, stg_step_name(step));
+	if (k->drain_us != 0 && k->ordered_us == 0 && !stg_leads_to_order(step))
+		keeper_undrain(k, stg_step_name(step));
 	carry_out(c, step);
 }
--- a/programs/side/keeper_gateways.c
+++ b/programs/side/keeper_gateways.c
@@ -49,9 +49,9 @@
 static void
 greet(struct keeper *k, struct keeper_gateway *gateway)
 {
-	gateway->told_us = 0;
-	keeper_greet_ends(k, gateway->address);
-	keeper_greet_rates(k, gateway->address);
+	gateway->reported_us = 0;
+	keeper_send_terminations(k, gateway->address);
+	keeper_send_rates(k, gateway->address);
 }
 
 static void
@@ -59,14 +59,14 @@
     struct keeper *k, const char *from, const struct side_desired *view)
 {
 	struct keeper_gateway fresh = { .start = view->start,
-		.heard_us = keeper_now(k),
-		.store_away = view->store_down != 0 };
+		.received_us = keeper_now(k),
+		.store_down = view->store_down != 0 };
 	struct keeper_gateway *known = find_gateway(k, from);
 	char region[KEEPER_NAME_MAX];
 
 	if (known != NULL) {
-		known->heard_us = keeper_now(k);
-		known->store_away = view->store_down != 0;
+		known->received_us = keeper_now(k);
+		known->store_down = view->store_down != 0;
 		if (known->start != view->start)
 			greet(k, known);
 		known->start = view->start;
@@ -77,7 +77,7 @@
 		return;
 	}
 	slice_copy(view->region, region, sizeof(region));
-	fresh.near = strcmp(region, cfg_str(k->st.cfg, "node.region")) == 0;
+	fresh.local = strcmp(region, cfg_str(k->st.cfg, "node.region")) == 0;
 	g_strlcpy(fresh.address, from, sizeof(fresh.address));
 	g_array_append_val(k->gateways, fresh);
 	greet(k, gateway_at(k, k->gateways->len - 1));
@@ -89,7 +89,7 @@
 	guint i = 0;
 
 	while (i < k->gateways->len) {
-		if (keeper_now(k) - gateway_at(k, i)->heard_us >
+		if (keeper_now(k) - gateway_at(k, i)->received_us >
 		    GATEWAY_SILENT_US)
 			g_array_remove_index_fast(k->gateways, i);
 		else
@@ -98,19 +98,19 @@
 }
 
 unsigned int
-keeper_near_gateways(const struct keeper *k)
+keeper_local_gateways(const struct keeper *k)
 {
 	unsigned int near = 0;
 	guint i;
 
 	for (i = 0; i < k->gateways->len; i++)
 		near +=
-		    g_array_index(k->gateways, struct keeper_gateway, i).near;
+		    g_array_index(k->gateways, struct keeper_gateway, i).local;
 	return near;
 }
 
 bool
-keeper_is_heard(const struct keeper *k)
+keeper_has_gateways(const struct keeper *k)
 {
 	return k->gateways->len > 0;
 }
@@ -124,7 +124,7 @@
 {
 	if (!k->up)
 		return SIDE_ENGINE_DOWN;
-	if (k->engine.busy || k->ordered_us != 0 || k->closed_us != 0)
+	if (k->engine.busy || k->ordered_us != 0 || k->drain_us != 0)
 		return SIDE_ENGINE_LOADING;
 	return SIDE_ENGINE_UP;
 }
@@ -132,17 +132,17 @@
 static bool
 has_own_root(const struct keeper *k)
 {
-	return k->newest != NULL && k->newest->own_root;
+	return k->newest != NULL && k->newest->origin_root;
 }
 
-static struct keeper_told
+static struct keeper_status
 what_to_tell(const struct keeper *k)
 {
-	return (struct keeper_told){
+	return (struct keeper_status){
 		.engine = engine_state(k),
 		.loaded = k->loaded,
 		.wanted = k->newest == NULL ? 0 : k->newest->version,
-		.own_root = has_own_root(k),
+		.origin_root = has_own_root(k),
 		.running = k->engine.running,
 		.waiting = k->engine.waiting,
 		.slow_link = wts_is_narrow(k->wts),
@@ -153,16 +153,16 @@
 
 /* What a gateway must hear at once: whether requests can go there at all. */
 static bool
-state_differs(const struct keeper_told *a, const struct keeper_told *b)
+state_differs(const struct keeper_status *a, const struct keeper_status *b)
 {
 	return a->engine != b->engine || a->loaded != b->loaded ||
-	    a->wanted != b->wanted || a->own_root != b->own_root ||
+	    a->wanted != b->wanted || a->origin_root != b->origin_root ||
 	    a->slow_link != b->slow_link || a->limit_known != b->limit_known ||
 	    a->limit != b->limit;
 }
 
 static bool
-load_differs(const struct keeper_told *a, const struct keeper_told *b)
+load_differs(const struct keeper_status *a, const struct keeper_status *b)
 {
 	return a->running != b->running || a->waiting != b->waiting;
 }
@@ -174,16 +174,16 @@
 };
 
 static struct tell_plan
-plan_telling(const struct keeper *k, const struct keeper_told *now)
+plan_telling(const struct keeper *k, const struct keeper_status *now)
 {
-	bool changed = load_differs(now, &k->told);
+	bool changed = load_differs(now, &k->reported);
 	struct tell_plan plan = {
-		.at_once = state_differs(now, &k->told),
+		.at_once = state_differs(now, &k->reported),
 		.near_us = changed ? TELL_NEAR_US : TELL_AGAIN_US,
 		.far_us = TELL_FAR_US,
 	};
 
-	if (keeper_near_gateways(k) == 0)
+	if (keeper_local_gateways(k) == 0)
 		plan.far_us = changed ? TELL_ALONE_US : TELL_AGAIN_US;
 	return plan;
 }
@@ -193,8 +193,8 @@
     const struct keeper_gateway *g)
 {
 	return plan->at_once ||
-	    keeper_now(k) - g->told_us >=
-	    (g->near ? plan->near_us : plan->far_us);
+	    keeper_now(k) - g->reported_us >=
+	    (g->local ? plan->near_us : plan->far_us);
 }
 
 static uint64_t
@@ -213,19 +213,20 @@
 	if (newest == NULL)
 		return;
 	load->wanted = (uint64_t)newest->version;
-	load->wanted_age_ms = age_ms(k, newest->heard_us);
-	if (newest->due_us == 0)
+	load->wanted_age_ms = age_ms(k, newest->announced_us);
+	if (newest->deadline_us == 0)
 		return;
 	load->older = (uint64_t)stg_deadlines_before(
-	    &k->dues, newest->version, &older_due_us);
+	    &k->deadlines, newest->version, &older_due_us);
 	if (load->older != 0)
-		load->older_age_ms = age_ms(
-		    k, older_due_us - (newest->due_us - newest->heard_us));
+		load->older_age_ms = age_ms(k,
+		    older_due_us -
+			(newest->deadline_us - newest->announced_us));
 }
 
 static void
 fill_load(
-    struct keeper *k, const struct keeper_told *now, struct side_report *load)
+    struct keeper *k, const struct keeper_status *now, struct side_report *load)
 {
 	guint i;
 
@@ -238,16 +239,16 @@
 		.version = (uint64_t)now->loaded,
 		.slowdown_permille = (uint64_t)(k->engine.slowdown * 1000),
 		.gateways = k->gateways->len,
-		.local_gateways = keeper_near_gateways(k),
-		.seq = k->load_seq,
+		.local_gateways = keeper_local_gateways(k),
+		.seq = k->report_seq,
 		.slow_link = now->slow_link,
 		.limit_known = now->limit_known,
 		.limit_milli = rate_to_milli(now->limit),
 	};
 	for (i = 0; i < k->gateways->len; i++)
-		load->without_store += gateway_at(k, i)->store_away;
+		load->without_store += gateway_at(k, i)->store_down;
 	fill_wanted(k, load);
-	if (now->own_root)
+	if (now->origin_root)
 		load->root =
 		    (struct slice){ k->newest->wts.root.bytes, DIGEST_BYTES };
 }
@@ -260,9 +261,9 @@
 	guint i;
 
 	for (i = 0; i < k->gateways->len; i++) {
-		k->named_gateway = (k->named_gateway + 1) % k->gateways->len;
-		g = gateway_at(k, k->named_gateway);
-		if (g->near)
+		k->remote_gateway = (k->remote_gateway + 1) % k->gateways->len;
+		g = gateway_at(k, k->remote_gateway);
+		if (g->local)
 			continue;
 		load->remote_gateway = slice_str(g->address);
 		return;
@@ -281,7 +282,7 @@
 
 	for (i = 0; i < k->gateways->len; i++) {
 		g = gateway_at(k, i);
-		if (g->near != near || !is_due(k, plan, g))
+		if (g->local != near || !is_due(k, plan, g))
 			continue;
 		if (packed == NULL)
 			packed = dgram_pack(k->dgram, &side_report_desc, load);
@@ -289,7 +290,7 @@
 			break;
 		dgram_send_packed(
 		    k->dgram, g->address, &side_report_desc, packed);
-		g->told_us = keeper_now(k);
+		g->reported_us = keeper_now(k);
 		told = true;
 	}
 	if (packed != NULL)
@@ -298,9 +299,9 @@
 }
 
 void
-keeper_tell_load(struct keeper *k)
+keeper_send_status(struct keeper *k)
 {
-	struct keeper_told now = what_to_tell(k);
+	struct keeper_status now = what_to_tell(k);
 	struct tell_plan plan;
 	struct side_report load;
 	bool told_far;
@@ -308,21 +309,21 @@
 	drop_silent(k);
 	if (!k->had_engine)
 		return;
-	if (now.slow_link != k->told.slow_link)
+	if (now.slow_link != k->reported.slow_link)
 		evt(EVT_WEIGHTS, "step=link slow=%d", now.slow_link);
 	plan = plan_telling(k, &now);
-	k->load_seq++;
+	k->report_seq++;
 	fill_load(k, &now, &load);
 	told_far = tell(k, &plan, false, &load);
 	name_gateway(k, &load);
 	/* A change that was not due yet stays one until it is told. */
 	if (tell(k, &plan, true, &load) || plan.at_once ||
-	    (told_far && keeper_near_gateways(k) == 0))
-		k->told = now;
+	    (told_far && keeper_local_gateways(k) == 0))
+		k->reported = now;
 }
 
 void
-keeper_tell_all(
+keeper_send_all(
     struct keeper *k, const struct msg_desc *desc, const void *message)
 {
 	GByteArray *packed = dgram_pack(k->dgram, desc, message);
@@ -350,13 +351,13 @@
 
 	if (msg_read(m, &side_desired_desc, &view, NULL)) {
 		note_gateway(k, from, &view);
-		keeper_take_view(k, from, &view);
+		keeper_take_desired(k, from, &view);
 	} else if (msg_read(m, &side_roster_page_desc, &page, NULL))
 		keeper_take_page(k, &page);
 	else if (msg_read(m, &side_rate_desc, &rate, NULL))
 		keeper_take_rate(k, from, &rate);
 	else if (msg_read(m, &side_terminations_desc, &ends, NULL))
-		keeper_take_ends(k, &ends);
+		keeper_take_terminations(k, &ends);
 }
 
 bool
@@ -365,7 +366,7 @@
 	k->gateways = g_array_new(FALSE, FALSE, sizeof(struct keeper_gateway));
 	k->roster = roster_new();
 	keeper_rate_open(k);
-	keeper_ends_open(k);
+	keeper_terminations_open(k);
 	k->peers = g_array_new(FALSE, TRUE, sizeof(struct keeper_peer));
 	k->dgram = dgram_open(&k->st.node, cfg_str(k->st.cfg, "listen.peers"),
 	    on_message, k, err);
--- a/programs/side/keeper_rate.c
+++ b/programs/side/keeper_rate.c
@@ -92,7 +92,7 @@
 	before = p->limit;
 	if (permits_reported(p, &word, keeper_now(k))) {
 		log_limit(address, p, before);
-		keeper_tell_load(k);
+		keeper_send_status(k);
 	}
 	if (rate->want_permit)
 		permits_ask(p, from, keeper_now(k));
@@ -128,7 +128,7 @@
 }
 
 void
-keeper_greet_rates(struct keeper *k, const char *gateway)
+keeper_send_rates(struct keeper *k, const char *gateway)
 {
 	struct side_rate rate = { 0 };
 	const struct keeper_pool *pool;
--- a/programs/side/keeper_stage.c
+++ b/programs/side/keeper_stage.c
@@ -13,7 +13,7 @@
 static void
 rest(struct keeper *k, const char *step, const struct hfetch_answer *a)
 {
-	k->rest_until_us = keeper_now(k) + CALL_REST_US;
+	k->backoff_until_us = keeper_now(k) + CALL_REST_US;
 	evt(EVT_WEIGHTS, "step=%s outcome=failed status=%u why=%s", step,
 	    a->status, a->status == 0 ? a->why : "status");
 }
@@ -26,7 +26,7 @@
 
 	conf.address = cfg_str(k->st.cfg, "engine.address");
 	conf.ctx = c;
-	k->busy = c;
+	k->call_copy = c;
 	k->call = hfetch_start(k->st.loop, k->st.pool, &conf);
 }
 
@@ -34,8 +34,8 @@
 call_piece(struct keeper_copy *c, bool put, hfetch_cb *done)
 {
 	struct keeper *k = c->keeper;
-	char *path = adapter_stage_path(k->model, k->index, put);
-	GBytes *bytes = put ? wts_chunk(k->wts, &c->wts.root, k->index) : NULL;
+	char *path = adapter_stage_path(k->model, k->call_chunk, put);
+	GBytes *bytes = put ? wts_chunk(k->wts, &c->wts.root, k->call_chunk) : NULL;
 	gsize len = 0;
 	const void *body = bytes == NULL ? NULL : g_bytes_get_data(bytes, &len);
 
@@ -66,7 +66,7 @@
 		rest(k, "put", a);
 		return;
 	}
-	c->placed[k->index] = true;
+	c->chunk_staged[k->call_chunk] = true;
 	keeper_put(c);
 }
 
@@ -75,14 +75,14 @@
 {
 	uint64_t i;
 
-	for (i = 0; i < c->chunks && c->placed[i]; i++)
+	for (i = 0; i < c->chunks && c->chunk_staged[i]; i++)
 		continue;
 	if (i == c->chunks) {
-		c->put = true;
+		c->staged = true;
 		keeper_step(c->keeper);
 		return;
 	}
-	c->keeper->index = i;
+	c->keeper->call_chunk = i;
 	call_piece(c, true, on_put);
 }
 
@@ -99,7 +99,7 @@
 	if (a->status != 200)
 		return false;
 	digest_of(a->body, a->len, &got);
-	return digest_equal(&got, &digests[c->keeper->index]);
+	return digest_equal(&got, &digests[c->keeper->call_chunk]);
 }
 
 static void check_next(struct keeper_copy *c);
@@ -116,10 +116,10 @@
 		return;
 	}
 	if (!piece_is_good(c, a)) {
-		c->placed[k->index] = false;
-		k->bad++;
+		c->chunk_staged[k->call_chunk] = false;
+		k->bad_chunks++;
 	}
-	k->index++;
+	k->call_chunk++;
 	check_next(c);
 }
 
@@ -128,16 +128,16 @@
 {
 	struct keeper *k = c->keeper;
 
-	if (k->index < c->chunks) {
+	if (k->call_chunk < c->chunks) {
 		call_piece(c, false, on_check);
 		return;
 	}
-	if (k->bad > 0) {
+	if (k->bad_chunks > 0) {
 		evt(EVT_WEIGHTS,
 		    "step=check version=%" G_GINT64_FORMAT
 		    " outcome=spoilt pieces=%" G_GUINT64_FORMAT,
-		    c->version, k->bad);
-		c->put = false;
+		    c->version, k->bad_chunks);
+		c->staged = false;
 	} else
 		c->checked_us = keeper_now(k);
 	keeper_step(k);
@@ -146,8 +146,8 @@
 void
 keeper_check(struct keeper_copy *c)
 {
-	c->keeper->index = 0;
-	c->keeper->bad = 0;
+	c->keeper->call_chunk = 0;
+	c->keeper->bad_chunks = 0;
 	check_next(c);
 }
 
@@ -171,13 +171,13 @@
 	}
 	if (a->status == 200) {
 		bytes = g_bytes_new(a->body, a->len);
-		c->placed[k->index] =
-		    wts_offer(k->wts, &c->wts.root, k->index, bytes);
+		c->chunk_staged[k->call_chunk] =
+		    wts_offer(k->wts, &c->wts.root, k->call_chunk, bytes);
 		g_bytes_unref(bytes);
 	}
-	if (!c->placed[k->index])
-		k->bad++;
-	k->index++;
+	if (!c->chunk_staged[k->call_chunk])
+		k->bad_chunks++;
+	k->call_chunk++;
 	look_next(c);
 }
 
@@ -188,30 +188,30 @@
 
 	/* A first piece that is not there or of another version: so are the
 	 * rest. */
-	if (k->index < c->chunks && !(k->index == 1 && k->bad == 1)) {
+	if (k->call_chunk < c->chunks && !(k->call_chunk == 1 && k->bad_chunks == 1)) {
 		call_piece(c, false, on_look);
 		return;
 	}
-	c->looked = true;
+	c->scanned = true;
 	/* All were read back and are good: as good as a check of now. After a
 	 * restart engines are without weights, and a second reading of all
 	 * pieces would keep each away for 0.07 s more. */
-	if (k->bad == 0)
-		c->checked_us = k->look_us;
+	if (k->bad_chunks == 0)
+		c->checked_us = k->scan_us;
 	evt(EVT_WEIGHTS,
 	    "step=look version=%" G_GINT64_FORMAT " found=%" G_GUINT64_FORMAT
 	    " of=%" G_GUINT64_FORMAT,
-	    c->version, k->index - k->bad, c->chunks);
+	    c->version, k->call_chunk - k->bad_chunks, c->chunks);
 	keeper_set_peers(c);
 	keeper_step(k);
 }
 
 void
-keeper_look(struct keeper_copy *c)
+keeper_scan(struct keeper_copy *c)
 {
-	c->keeper->look_us = keeper_now(c->keeper);
-	c->keeper->index = 0;
-	c->keeper->bad = 0;
+	c->keeper->scan_us = keeper_now(c->keeper);
+	c->keeper->call_chunk = 0;
+	c->keeper->bad_chunks = 0;
 	look_next(c);
 }
 
@@ -220,23 +220,23 @@
 /* ------------------------------------------------------------------ */
 
 void
-keeper_close(struct keeper *k)
+keeper_drain(struct keeper *k)
 {
-	if (k->closed_us != 0)
+	if (k->drain_us != 0)
 		return;
-	k->closed_us = keeper_now(k);
-	keeper_tell_load(k);
+	k->drain_us = keeper_now(k);
+	keeper_send_status(k);
 }
 
 void
-keeper_reopen(struct keeper *k, const char *why)
+keeper_undrain(struct keeper *k, const char *why)
 {
 	evt(EVT_ENGINE,
 	    "state=reopened version=%" G_GINT64_FORMAT
 	    " closed_ms=%" G_GINT64_FORMAT " why=%s",
-	    k->loaded, (keeper_now(k) - k->closed_us) / 1000, why);
-	k->closed_us = 0;
-	keeper_tell_load(k);
+	    k->loaded, (keeper_now(k) - k->drain_us) / 1000, why);
+	k->drain_us = 0;
+	keeper_send_status(k);
 }
 
 static void
@@ -257,14 +257,14 @@
 	    " status=%u outcome=%s age_ms=%" G_GINT64_FORMAT
 	    " running=%u checked_ms=%" G_GINT64_FORMAT,
 	    k->model, c->version, a->status, outcome,
-	    (keeper_now(k) - c->heard_us) / 1000, k->engine.running,
+	    (keeper_now(k) - c->announced_us) / 1000, k->engine.running,
 	    (keeper_now(k) - c->checked_us) / 1000);
 	if (accepted)
 		k->ordered_us = keeper_now(k);
 	else
 		k->refused_us = keeper_now(k);
 	c->checked_us = 0;
-	keeper_ask_report(k);
+	keeper_poll_engine(k);
 }
 
 void
--- a/programs/side/keeper_views.c
+++ b/programs/side/keeper_views.c
@@ -43,7 +43,7 @@
 static void
 peers_changed(struct keeper_copy *c)
 {
-	if (c != NULL && (c->looked || c->keeper->loaded != 0))
+	if (c != NULL && (c->scanned || c->keeper->loaded != 0))
 		keeper_set_peers(c);
 }
 
@@ -72,7 +72,7 @@
 	slice_copy(page->model, model, sizeof(model));
 	if (strcmp(model, k->model) != 0 || !roster_add_page(k->roster, page))
 		return;
-	k->lacks_us = 0;
+	k->missing_roster_us = 0;
 	take_roster(k);
 	keeper_step(k);
 }
@@ -89,14 +89,15 @@
 
 	if (!roster_is_newer(&theirs, &own))
 		return;
-	if (k->lacks_us == 0)
-		k->lacks_us = now_us;
-	if (!near && keeper_near_gateways(k) > 0 &&
-	    now_us - k->lacks_us < ASK_FAR_US)
+	if (k->missing_roster_us == 0)
+		k->missing_roster_us = now_us;
+	if (!near && keeper_local_gateways(k) > 0 &&
+	    now_us - k->missing_roster_us < ASK_FAR_US)
 		return;
-	if (k->asked_us != 0 && now_us - k->asked_us < ASK_AGAIN_US)
+	if (k->roster_request_us != 0 &&
+	    now_us - k->roster_request_us < ASK_AGAIN_US)
 		return;
-	k->asked_us = now_us;
+	k->roster_request_us = now_us;
 	dgram_send(k->dgram, from, &side_roster_request_desc, &ask);
 }
 
@@ -108,17 +109,17 @@
 want(struct keeper *k, const struct side_desired *view, uint64_t version,
     uint64_t age_ms)
 {
-	struct keeper_named named = {
+	struct keeper_announced named = {
 		.version = (int64_t)version,
-		.heard_us = keeper_now(k) - (int64_t)age_ms * 1000,
+		.announced_us = keeper_now(k) - (int64_t)age_ms * 1000,
 		.chunks = view->chunks,
 		.chunk_bytes = view->chunk_bytes,
 	};
 
 	if (view->deadline_ms > 0)
-		named.due_us =
-		    named.heard_us + (int64_t)view->deadline_ms * 1000;
-	stg_deadlines_add(&k->dues, named.version, named.due_us);
+		named.deadline_us =
+		    named.announced_us + (int64_t)view->deadline_ms * 1000;
+	stg_deadlines_add(&k->deadlines, named.version, named.deadline_us);
 	keeper_want(k, &named);
 }
 
@@ -130,16 +131,16 @@
 
 	if (k->newest != NULL && version <= k->newest->version) {
 		if (version == k->newest->version)
-			k->newest->told_root = view->root;
+			k->newest->reported_root = view->root;
 		return;
 	}
 	/* Just started: its part in the older one is waited for, too. */
 	if (view->older != 0 && k->newest == NULL) {
 		want(k, view, view->older, view->older_age_ms);
-		k->newest->told_root = view->older_root;
+		k->newest->reported_root = view->older_root;
 	}
 	want(k, view, view->version, view->age_ms);
-	k->newest->told_root = view->root;
+	k->newest->reported_root = view->root;
 }
 
 static void
@@ -151,16 +152,16 @@
 	if (strcmp(model, k->model) == 0)
 		return;
 	g_strlcpy(k->model, model, sizeof(k->model));
-	keeper_forget(k);
-	k->dues.n = 0;
+	keeper_drop_all(k);
+	k->deadlines.n = 0;
 	roster_free(k->roster);
 	k->roster = roster_new();
 	g_array_set_size(k->peers, 0);
-	k->asked_us = 0;
+	k->roster_request_us = 0;
 }
 
 void
-keeper_take_view(
+keeper_take_desired(
     struct keeper *k, const char *from, const struct side_desired *view)
 {
 	char domain[KEEPER_NAME_MAX], region[KEEPER_NAME_MAX];
--- a/programs/side/keeper_weights.c
+++ b/programs/side/keeper_weights.c
@@ -81,7 +81,7 @@
 		log_warn("weights: %s", err.message);
 		return;
 	}
-	c->placed = g_new0(bool, c->chunks);
+	c->chunk_staged = g_new0(bool, c->chunks);
 }
 
 static void
@@ -97,8 +97,8 @@
 	    " origin_chunks=%" G_GINT64_FORMAT " age_ms=%" G_GINT64_FORMAT,
 	    c->version, p->phase, p->have, p->total,
 	    ctr_read(c->keeper->st.counters, "wts_origin_chunks"),
-	    (keeper_now(c->keeper) - c->heard_us) / 1000);
-	c->whole = p->phase == WTS_WHOLE;
+	    (keeper_now(c->keeper) - c->announced_us) / 1000);
+	c->complete = p->phase == WTS_WHOLE;
 }
 
 /* A version takes three to six seconds: some ten lines each. */
@@ -110,11 +110,12 @@
 	struct keeper *k;
 	struct wts_progress p;
 
-	if (c == NULL || !c->has_root || c->whole)
+	if (c == NULL || !c->has_root || c->complete)
 		return;
 	k = c->keeper;
 	wts_progress(k->wts, &c->wts.root, &p);
-	if (p.have == c->logged || keeper_now(k) - c->logged_us < PROGRESS_US)
+	if (p.have == c->logged_chunks ||
+	    keeper_now(k) - c->logged_us < PROGRESS_US)
 		return;
 	evt(EVT_WEIGHTS,
 	    "step=progress version=%" G_GINT64_FORMAT " have=%" G_GUINT64_FORMAT
@@ -122,8 +123,8 @@
 	    " age_ms=%" G_GINT64_FORMAT,
 	    c->version, p.have, p.total,
 	    ctr_read(k->st.counters, "wts_origin_chunks"),
-	    (keeper_now(k) - c->heard_us) / 1000);
-	c->logged = p.have;
+	    (keeper_now(k) - c->announced_us) / 1000);
+	c->logged_chunks = p.have;
 	c->logged_us = keeper_now(k);
 }
 
