--- a/programs/side/keeper.c
+++ b/programs/side/keeper.c
@@ -1,4 +1,4 @@
-/* The keeper: set-up, time, stop. */
+/* Start, timer and stop of the keeper. */
 
 #include <malloc.h>
 #include <stdio.h>
@@ -7,8 +7,8 @@
 #include "shared/proc.h"
 #include "side/keeper.h"
 
-/* How often the engine is asked how full it is: a fraction of the time
- * between two requests that it gets (some 16 a second). */
+/* Time between two polls of the engine's load: a fraction of the time between
+ * two requests to the engine, of which it gets about 16 a second. */
 #define TICK_US 30000
 
 const char *
@@ -19,8 +19,8 @@
 	return cfg_str(k->st.cfg, "domains.%s", domain);
 }
 
-#define PIECE_MAPPED_FROM (24 << 10) /* bytes; pieces are of 32 KB */
-#define HEAP_KEPT (128 << 10) /* free bytes at the end of the heap */
+#define MMAP_THRESHOLD (24 << 10) /* bytes; chunks have 32 KB */
+#define TRIM_THRESHOLD (128 << 10) /* free bytes at the end of the heap */
 
 static void
 on_tick(struct evl_timer *timer)
@@ -36,7 +36,8 @@
 	evl_timer_set(k->st.loop, timer, keeper_now(k) + TICK_US);
 }
 
-/* Nothing here serves callers: the engine goes on without its keeper. */
+/* Stops at once: the keeper handles no callers' requests, and the engine
+ * continues without it. */
 static void
 on_stop(void *ctx)
 {
@@ -94,15 +95,16 @@
 }
 
 /*
- * Pieces come and go by the hundred with each version. From the heap they
- * would leave holes that nothing else fills, and the process would keep the
- * memory of two versions for good; mapped one by one they go back at once.
+ * Makes malloc map each chunk separately. Each version allocates and frees
+ * hundreds of chunks. On the heap they would leave holes that no other
+ * allocation fills, and the process would retain the memory of two versions;
+ * a mapped chunk returns to the system as soon as it is freed.
  */
 static void
-map_pieces(void)
+map_chunks(void)
 {
-	(void)mallopt(M_MMAP_THRESHOLD, PIECE_MAPPED_FROM);
-	(void)mallopt(M_TRIM_THRESHOLD, HEAP_KEPT);
+	(void)mallopt(M_MMAP_THRESHOLD, MMAP_THRESHOLD);
+	(void)mallopt(M_TRIM_THRESHOLD, TRIM_THRESHOLD);
 }
 
 int
@@ -111,7 +113,7 @@
 	struct keeper *k = g_new0(struct keeper, 1);
 	struct err err = { 0 };
 
-	map_pieces();
+	map_chunks();
 	if (!start(k, settings, &err)) {
 		fprintf(stderr, "currantchute-side: %s\n", err.message);
 		return EXIT_USAGE;
--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -52,7 +52,7 @@
 	int64_t deadline_us;
 	/* Its digests. */
 	uint64_t chunks, chunk_bytes;
-	/* Root as gateways report it from other keepers. */
+	/* Root on which enough other keepers agree, as gateways report it. */
 	struct digest reported_root;
 	struct hfetch *manifest;
 	int64_t manifest_backoff_us; /* no request to the origin before */
@@ -106,7 +106,8 @@
 	struct stg_deadlines deadlines;
 	struct permits permits; /* by the engine's rate limit */
 	GHashTable *pools; /* address of another target -> keeper_pool */
-	struct sus *suspects; /* requests in flight at targets that terminated */
+	struct sus
+	    *suspects; /* requests in flight at targets that terminated */
 	/* struct repeat: blocked requests to be reported again. */
 	GArray *repeats;
 	/* The engine. */
@@ -153,8 +154,8 @@
 /* Drops all wanted versions: the model changed. */
 void keeper_drop_all(struct keeper *k);
 void keeper_drop_older(struct keeper *k);
-/* Gets a version's digests: from other keepers once their root is reported, or
- * from the origin when it is this keeper's turn. */
+/* Gets a version's digests: from other keepers once enough of them agree on
+ * its root, or from the origin when it is this keeper's turn. */
 void keeper_get_digests(struct keeper_copy *c);
 
 /* keeper_weights.c: transfers between keepers */
--- a/programs/side/keeper_copy.c
+++ b/programs/side/keeper_copy.c
@@ -1,4 +1,4 @@
-/* Wanted versions, and how their digests become known. */
+/* Wanted versions, and the transfer of their digests. */
 
 #include <string.h>
 
@@ -6,26 +6,27 @@
 
 #define MANIFEST_TIMEOUT_US 1500000
 #define MANIFEST_MAX (1u << 20)
-#define MANIFEST_REST_US 300000
+#define MANIFEST_BACKOFF_US 300000
+
 /* ------------------------------------------------------------------ */
 /* Wanted versions                                                     */
 /* ------------------------------------------------------------------ */
 
 static struct keeper_copy *
-copy_new(struct keeper *k, const struct keeper_announced *named)
+copy_new(struct keeper *k, const struct keeper_announced *announced)
 {
 	struct keeper_copy *c = g_new0(struct keeper_copy, 1);
 
 	c->keeper = k;
-	c->version = named->version;
-	c->announced_us = named->announced_us;
-	c->deadline_us = named->deadline_us;
-	c->chunks = named->chunks;
-	c->chunk_bytes = named->chunk_bytes;
+	c->version = announced->version;
+	c->announced_us = announced->announced_us;
+	c->deadline_us = announced->deadline_us;
+	c->chunks = announced->chunks;
+	c->chunk_bytes = announced->chunk_bytes;
 	return c;
 }
 
-/* The transfer ends; what is under way for it as well. */
+/* Ends the transfer and cancels its calls. */
 static void
 copy_stop(struct keeper_copy *c)
 {
@@ -73,16 +74,17 @@
 }
 
 /*
- * The version before is kept while it is not loaded: when the newer one comes
- * late, the engine serves with it meanwhile. Of several only the last is.
+ * Retains the newest version as the older one if it is not loaded yet: the
+ * engine serves with it if the next version arrives late. Of several older
+ * versions only the last is retained.
  */
 static void
-keep_before(struct keeper *k, int64_t heard_us)
+retain_older(struct keeper *k, int64_t announced_us)
 {
 	if (k->older != NULL && k->older->version <= k->loaded)
 		keeper_drop_older(k);
 	if (k->newest != NULL && k->newest->version > k->loaded &&
-	    stg_keeps_older(k->newest->announced_us, heard_us)) {
+	    stg_keeps_older(k->newest->announced_us, announced_us)) {
 		keeper_drop_older(k);
 		k->older = k->newest;
 	} else
@@ -91,16 +93,16 @@
 }
 
 void
-keeper_want(struct keeper *k, const struct keeper_announced *named)
+keeper_want(struct keeper *k, const struct keeper_announced *announced)
 {
-	struct keeper_copy *fresh = copy_new(k, named);
+	struct keeper_copy *fresh = copy_new(k, announced);
 
 	evt(EVT_WEIGHTS,
 	    "step=wanted model=%s version=%" G_GINT64_FORMAT
 	    " before=%" G_GINT64_FORMAT " loaded=%" G_GINT64_FORMAT,
-	    k->model, named->version,
+	    k->model, announced->version,
 	    k->newest == NULL ? 0 : k->newest->version, k->loaded);
-	keep_before(k, named->announced_us);
+	retain_older(k, announced->announced_us);
 	k->newest = fresh;
 }
 
@@ -108,9 +110,9 @@
 /* Digests                                                             */
 /* ------------------------------------------------------------------ */
 
-/* They are here, from wherever: pieces can be fetched and checked. */
+/* The digests are known: chunks can be fetched and verified. */
 static void
-take_list(struct keeper_copy *c, GBytes *list, const char *from)
+set_list(struct keeper_copy *c, GBytes *list, const char *from)
 {
 	struct keeper *k = c->keeper;
 
@@ -119,8 +121,9 @@
 	    "step=manifest version=%" G_GINT64_FORMAT
 	    " outcome=known from=%s age_ms=%" G_GINT64_FORMAT,
 	    c->version, from, (keeper_now(k) - c->announced_us) / 1000);
-	/* Beside an engine that may have the pieces, peers come after the
-	 * look at the staging place: what lies there must not be fetched. */
+	/* If the engine has loaded no version or this one, its staging area may
+	 * contain the chunks. The peers are then set after it was searched, so
+	 * that no chunk in it is fetched. */
 	if (k->loaded != 0 && k->loaded != c->version)
 		keeper_set_peers(c);
 }
@@ -135,14 +138,14 @@
 	c->chunks = raw->len / DIGEST_BYTES;
 	wts_root(
 	    c->chunks * chunk_bytes, chunk_bytes, raw->data, raw->len, &root);
-	/* What other keepers agreed on gives way to what was read here. */
+	/* The root read from the origin overrides that of other keepers. */
 	if (c->has_root && !digest_equal(&root, &c->wts.root))
 		copy_stop(c);
 	if (!c->has_root)
 		keeper_begin_transfer(c, &root);
 	if (c->has_root && wts_offer_list(c->keeper->wts, &c->wts.root, list)) {
 		c->origin_root = true;
-		take_list(c, list, "origin");
+		set_list(c, list, "origin");
 	}
 	g_bytes_unref(list);
 }
@@ -157,14 +160,14 @@
 
 	c->manifest = NULL;
 	if (c->list != NULL) {
-		/* It came from other keepers meanwhile. */
+		/* Other keepers have sent the list in the meantime. */
 	} else if (a->status == 200 &&
 	    adapter_manifest_read(
 		a->body, a->len, c->version, raw, &chunk_bytes, &err)) {
 		take_manifest(c, raw, chunk_bytes);
 	} else {
 		c->manifest_backoff_us =
-		    keeper_now(c->keeper) + MANIFEST_REST_US;
+		    keeper_now(c->keeper) + MANIFEST_BACKOFF_US;
 		evt(EVT_WEIGHTS,
 		    "step=manifest version=%" G_GINT64_FORMAT
 		    " status=%u outcome=failed why=%s",
@@ -176,7 +179,7 @@
 }
 
 static void
-ask_manifest(struct keeper_copy *c)
+fetch_manifest(struct keeper_copy *c)
 {
 	struct keeper *k = c->keeper;
 	char *path = adapter_manifest_path(k->model, c->version);
@@ -193,12 +196,14 @@
 	g_free(path);
 }
 
-/* Keepers before this one in asking the origin: those of its region first. */
+/* Number of keepers that request the digests from the origin before this one:
+ * the keepers of the origin's region come first. */
 static unsigned int
 manifest_rank(const struct keeper *k)
 {
-	const char *own = keeper_region(k, cfg_str(k->st.cfg, "node.domain"));
-	bool own_in = strcmp(own, k->origin_region) == 0;
+	const char *region =
+	    keeper_region(k, cfg_str(k->st.cfg, "node.domain"));
+	bool in_origin_region = strcmp(region, k->origin_region) == 0;
 	const struct keeper_peer *p;
 	unsigned int ahead = 0;
 	bool in;
@@ -207,7 +212,7 @@
 	for (i = 0; i < k->peers->len; i++) {
 		p = &g_array_index(k->peers, struct keeper_peer, i);
 		in = strcmp(p->region, k->origin_region) == 0;
-		if (in != own_in)
+		if (in != in_origin_region)
 			ahead += in;
 		else
 			ahead += strcmp(p->address, k->st.node.id) < 0;
@@ -215,9 +220,9 @@
 	return ahead;
 }
 
-/* When this keeper asks the origin itself. */
+/* Time at which this keeper requests the digests from the origin. */
 static int64_t
-manifest_due_us(const struct keeper_copy *c)
+manifest_fetch_us(const struct keeper_copy *c)
 {
 	return stg_digests_read_us(&(struct stg_digests){
 	    .members = c->keeper->peers->len,
@@ -242,10 +247,10 @@
 	}
 	list = c->has_root ? wts_known_list(k->wts, &c->wts.root) : NULL;
 	if (list != NULL) {
-		take_list(c, list, "keepers");
+		set_list(c, list, "keepers");
 		return;
 	}
 	if (c->manifest == NULL && k->origin[0] != '\0' &&
-	    keeper_now(k) >= manifest_due_us(c))
-		ask_manifest(c);
+	    keeper_now(k) >= manifest_fetch_us(c))
+		fetch_manifest(c);
 }
--- a/programs/side/keeper_stage.c
+++ b/programs/side/keeper_stage.c
@@ -35,7 +35,8 @@
 {
 	struct keeper *k = c->keeper;
 	char *path = adapter_stage_path(k->model, k->call_chunk, put);
-	GBytes *bytes = put ? wts_chunk(k->wts, &c->wts.root, k->call_chunk) : NULL;
+	GBytes *bytes =
+	    put ? wts_chunk(k->wts, &c->wts.root, k->call_chunk) : NULL;
 	gsize len = 0;
 	const void *body = bytes == NULL ? NULL : g_bytes_get_data(bytes, &len);
 
@@ -188,7 +189,8 @@
 
 	/* A first piece that is not there or of another version: so are the
 	 * rest. */
-	if (k->call_chunk < c->chunks && !(k->call_chunk == 1 && k->bad_chunks == 1)) {
+	if (k->call_chunk < c->chunks &&
+	    !(k->call_chunk == 1 && k->bad_chunks == 1)) {
 		call_piece(c, false, on_look);
 		return;
 	}
