--- a/programs/side/keeper_ends.c
+++ b/programs/side/keeper_ends.c
@@ -1,34 +1,35 @@
 /*
- * Requests under which targets ended: gateways tell of them, each of those that
- * it sent itself; here they are counted over all gateways.
+ * Requests that were in flight at targets that terminated. Each gateway reports
+ * those that it sent; the keeper counts them over all gateways.
  */
 
 #include "serve/side.h"
 #include "side/keeper.h"
 
-/* What is to be held is told again after each of these: a gateway may have
- * stood still or been cut off. */
-static const int64_t again_us[] = { 700000, 2500000 };
-#define AGAIN_MAX 64 /* contents that are to be told again */
+/* A request that is to be blocked is reported again after each of these times:
+ * a gateway may have stalled or been cut off. */
+static const int64_t repeat_us[] = { 700000, 2500000 };
+#define REPEATS_MAX 64 /* fingerprints to be reported again */
 
-struct again {
-	uint64_t content;
-	unsigned int told; /* times so far, beside the first */
+struct repeat {
+	uint64_t fingerprint;
+	unsigned int sent; /* number of repeats so far */
 	int64_t due_us;
 };
 
-/* Sends `ends` to one gateway, or to all (NULL). */
+/* Sends `terminations` to one gateway, or to all (NULL). */
 static void
-send_ends(struct keeper *k, const GArray *ends, const char *to)
+send_terminations(struct keeper *k, const GArray *terminations, const char *to)
 {
 	GByteArray *entries = g_byte_array_new();
 	struct side_terminations message;
 	guint i;
 
-	for (i = 0; i < ends->len; i++) {
+	for (i = 0; i < terminations->len; i++) {
 		side_termination_put(entries,
-		    &g_array_index(ends, struct sus_end, i), keeper_now(k));
-		if (i + 1 < ends->len &&
+		    &g_array_index(terminations, struct sus_end, i),
+		    keeper_now(k));
+		if (i + 1 < terminations->len &&
 		    entries->len <
 			SIDE_TERMINATIONS_MAX * SIDE_TERMINATION_BYTES)
 			continue;
@@ -44,95 +45,100 @@
 }
 
 static void
-tell_content(struct keeper *k, uint64_t content)
+send_fingerprint(struct keeper *k, uint64_t fingerprint)
 {
-	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	GArray *terminations =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_end));
 
-	if (sus_is_known(k->suspects, content))
-		sus_ends_of(k->suspects, content, ends);
-	send_ends(k, ends, NULL);
-	g_array_unref(ends);
+	if (sus_is_known(k->suspects, fingerprint))
+		sus_ends_of(k->suspects, fingerprint, terminations);
+	send_terminations(k, terminations, NULL);
+	g_array_unref(terminations);
 }
 
 static void
-tell_again_later(struct keeper *k, uint64_t content)
+schedule_repeat(struct keeper *k, uint64_t fingerprint)
 {
-	struct again again = { .content = content,
-		.due_us = keeper_now(k) + again_us[0] };
+	struct repeat repeat = { .fingerprint = fingerprint,
+		.due_us = keeper_now(k) + repeat_us[0] };
 	guint i;
 
 	for (i = 0; i < k->repeats->len; i++) {
-		if (g_array_index(k->repeats, struct again, i).content ==
-		    content)
+		if (g_array_index(k->repeats, struct repeat, i).fingerprint ==
+		    fingerprint)
 			g_array_remove_index_fast(k->repeats, i);
 	}
-	if (k->repeats->len < AGAIN_MAX)
-		g_array_append_val(k->repeats, again);
+	if (k->repeats->len < REPEATS_MAX)
+		g_array_append_val(k->repeats, repeat);
 }
 
 static void
-take_end(struct keeper *k, const struct sus_end *end)
+take_termination(struct keeper *k, const struct sus_end *termination)
 {
 	GArray *cleared;
-	bool was_known = sus_is_known(k->suspects, end->content);
+	bool was_known = sus_is_known(k->suspects, termination->content);
 
-	if (!sus_told(k->suspects, end))
+	if (!sus_told(k->suspects, termination))
 		return;
-	if (end->weight == SUS_CLEARED && was_known) {
+	if (termination->weight == SUS_CLEARED && was_known) {
 		cleared = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
-		g_array_append_vals(cleared, end, 1);
-		send_ends(k, cleared, NULL);
+		g_array_append_vals(cleared, termination, 1);
+		send_terminations(k, cleared, NULL);
 		g_array_unref(cleared);
 	}
-	if (!sus_is_known(k->suspects, end->content))
+	if (!sus_is_known(k->suspects, termination->content))
 		return;
 	if (!was_known)
 		evt(EVT_SUSPECT,
 		    "content=%016" G_GINT64_MODIFIER "x outcome=held",
-		    end->content);
-	tell_content(k, end->content);
-	tell_again_later(k, end->content);
+		    termination->content);
+	send_fingerprint(k, termination->content);
+	schedule_repeat(k, termination->content);
 }
 
 void
-keeper_take_terminations(struct keeper *k, const struct side_terminations *ends)
+keeper_take_terminations(
+    struct keeper *k, const struct side_terminations *terminations)
 {
-	struct sus_end end;
+	struct sus_end termination;
 	size_t i;
 
-	for (i = 0; i < side_terminations_count(ends); i++) {
-		side_termination_get(ends, i, keeper_now(k), &end);
-		take_end(k, &end);
+	for (i = 0; i < side_terminations_count(terminations); i++) {
+		side_termination_get(
+		    terminations, i, keeper_now(k), &termination);
+		take_termination(k, &termination);
 	}
 }
 
 void
 keeper_send_terminations(struct keeper *k, const char *gateway)
 {
-	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	GArray *terminations =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_end));
 
-	sus_ends_known(k->suspects, ends);
-	send_ends(k, ends, gateway);
-	g_array_unref(ends);
+	sus_ends_known(k->suspects, terminations);
+	send_terminations(k, terminations, gateway);
+	g_array_unref(terminations);
 }
 
 void
 keeper_terminations_tick(struct keeper *k)
 {
-	struct again *again;
+	struct repeat *repeat;
 	guint i = 0;
 
 	sus_sweep(k->suspects, keeper_now(k));
 	while (i < k->repeats->len) {
-		again = &g_array_index(k->repeats, struct again, i);
-		if (keeper_now(k) < again->due_us) {
+		repeat = &g_array_index(k->repeats, struct repeat, i);
+		if (keeper_now(k) < repeat->due_us) {
 			i++;
 			continue;
 		}
-		tell_content(k, again->content);
-		again->told++;
-		if (again->told < G_N_ELEMENTS(again_us))
-			again->due_us = keeper_now(k) + again_us[again->told];
+		send_fingerprint(k, repeat->fingerprint);
+		repeat->sent++;
+		if (repeat->sent < G_N_ELEMENTS(repeat_us))
+			repeat->due_us =
+			    keeper_now(k) + repeat_us[repeat->sent];
 		else
 			g_array_remove_index_fast(k->repeats, i);
 	}
@@ -142,5 +148,5 @@
 keeper_terminations_open(struct keeper *k)
 {
 	k->suspects = sus_new(0);
-	k->repeats = g_array_new(FALSE, FALSE, sizeof(struct again));
+	k->repeats = g_array_new(FALSE, FALSE, sizeof(struct repeat));
 }
