--- a/programs/side/keeper_origin.c
+++ b/programs/side/keeper_origin.c
@@ -1,18 +1,19 @@
-/* Pieces from the origin of weights, for the transfer. */
+/* Reads of chunks from the origin of weights, for transfers. */
 
 #include <stdlib.h>
 #include <string.h>
 
 #include "side/keeper.h"
 
-/* Beyond the transfer's own patience: an answer that is under way is kept. */
+/* Added to the stall timeout of the transfer, so that an answer in progress is
+ * not cut. */
 #define READ_SLACK_US 1000000
 
-/* A running read; the transfer holds it as an opaque handle. */
-struct piece_read {
+/* A read in progress; to the transfer it is an opaque handle. */
+struct chunk_read {
 	struct keeper *k;
 	struct hfetch *fetch;
-	struct evl_task later; /* of a list, which is here already */
+	struct evl_task list_task; /* answers a read of the list */
 	GBytes *list;
 	origin_read_cb *done;
 	void *done_ctx;
@@ -27,9 +28,9 @@
 }
 
 static void
-on_piece(const struct hfetch_answer *a, void *ctx)
+on_chunk(const struct hfetch_answer *a, void *ctx)
 {
-	struct piece_read *r = ctx;
+	struct chunk_read *r = ctx;
 	struct err err = { 0 };
 	GBytes *bytes;
 
@@ -39,7 +40,7 @@
 		g_bytes_unref(bytes);
 	} else {
 		err_set(&err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
-		    "origin: status %u %s", a->status,
+		    "origin: read of a chunk failed: status %u %s", a->status,
 		    a->status == 0 ? a->why : "");
 		evt(EVT_WEIGHTS, "step=piece outcome=failed status=%u why=%s",
 		    a->status, a->status == 0 ? a->why : "status");
@@ -51,19 +52,19 @@
 static void
 on_list(struct evl_task *task)
 {
-	struct piece_read *r = CONTAINER_OF(task, struct piece_read, later);
+	struct chunk_read *r = CONTAINER_OF(task, struct chunk_read, list_task);
 	struct err err = { 0 };
 
 	if (r->list == NULL)
 		err_set(&err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
-		    "the digests are not known here");
+		    "the chunk list of the version is not known");
 	r->done(r->list, r->list == NULL ? &err : NULL, r->done_ctx);
 	g_clear_pointer(&r->list, g_bytes_unref);
 	g_free(r);
 }
 
 static void
-ask_piece(struct piece_read *r, int64_t version, uint64_t index, uint64_t len,
+fetch_chunk(struct chunk_read *r, int64_t version, uint64_t index, uint64_t len,
     unsigned int stall_ms)
 {
 	struct keeper *k = r->k;
@@ -76,7 +77,7 @@
 		.timeout_us = (int64_t)stall_ms * 1000 + READ_SLACK_US,
 		.answer_max = len,
 		.close = true,
-		.done = on_piece,
+		.done = on_chunk,
 		.ctx = r });
 	g_free(path);
 }
@@ -87,7 +88,7 @@
     unsigned int stall_ms, origin_read_cb *done, void *done_ctx, void *ctx)
 {
 	struct keeper *k = ctx;
-	struct piece_read *r = g_new0(struct piece_read, 1);
+	struct chunk_read *r = g_new0(struct chunk_read, 1);
 	int64_t version = g_ascii_strtoll(strchr(name, '/') + 1, NULL, 10);
 	struct keeper_copy *c = copy_of(k, version);
 
@@ -95,22 +96,22 @@
 	r->done = done;
 	r->done_ctx = done_ctx;
 	if (g_str_has_prefix(name, "weights/")) {
-		ask_piece(r, version, offset / c->chunk_bytes, len, stall_ms);
+		fetch_chunk(r, version, offset / c->chunk_bytes, len, stall_ms);
 		return (struct origin_read *)r;
 	}
 	if (c->list != NULL)
 		r->list = g_bytes_ref(c->list);
-	r->later.run = on_list;
-	evl_later(k->st.loop, &r->later);
+	r->list_task.run = on_list;
+	evl_later(k->st.loop, &r->list_task);
 	return (struct origin_read *)r;
 }
 
 static void
 cancel_read(struct origin_read *read, void *ctx)
 {
-	struct piece_read *r = (struct piece_read *)read;
+	struct chunk_read *r = (struct chunk_read *)read;
 
-	evl_task_cancel(r->k->st.loop, &r->later);
+	evl_task_cancel(r->k->st.loop, &r->list_task);
 	if (r->fetch != NULL)
 		hfetch_cancel(r->fetch);
 	g_clear_pointer(&r->list, g_bytes_unref);
