--- a/programs/side/keeper_engine.c
+++ b/programs/side/keeper_engine.c
@@ -1,4 +1,4 @@
-/* The engine's reports, and the next step for it. */
+/* The engine's reports, and the next step towards the wanted version. */
 
 #include <string.h>
 
@@ -7,17 +7,18 @@
 
 #define REPORT_TIMEOUT_US 300000
 #define REPORT_MAX (64u << 10)
-/* Reports that fail in a row before the engine counts as down: one can be
- * lost to a moment without processor. */
+/* Consecutive failed reports after which the engine counts as down. A single
+ * one can time out while a process gets no processor time. */
 #define REPORT_FAILURES 2
 
 /* ------------------------------------------------------------------ */
 /* Reports                                                             */
 /* ------------------------------------------------------------------ */
 
-/* What was checked before may have changed with the engine's state. */
+/* Staged chunks may have changed with the engine's state since they were
+ * verified. */
 static void
-distrust_checks(struct keeper *k)
+invalidate_checks(struct keeper *k)
 {
 	if (k->newest != NULL)
 		k->newest->checked_us = 0;
@@ -26,7 +27,7 @@
 }
 
 static void
-note_down(struct keeper *k)
+note_report_failure(struct keeper *k)
 {
 	k->report_failures++;
 	if (k->report_failures < REPORT_FAILURES || !k->up)
@@ -34,15 +35,15 @@
 	k->up = false;
 	evt(EVT_ENGINE, "state=down version=%" G_GINT64_FORMAT, k->loaded);
 	permits_reset(&k->permits);
-	/* It may come back without what it held; its staging place may have
-	 * lost pieces, too. */
+	/* The engine may restart without its weights, and its staging area may
+	 * have lost chunks. */
 	k->ordered_us = 0;
 	k->drain_us = 0;
-	distrust_checks(k);
+	invalidate_checks(k);
 }
 
 static void
-doubt_staged(struct keeper_copy *c)
+invalidate_staged(struct keeper_copy *c)
 {
 	if (c == NULL || c->chunk_staged == NULL)
 		return;
@@ -53,12 +54,12 @@
 }
 
 /*
- * The engine started again between two reports. An order that the one before
- * accepted would be waited for in vain, for nine seconds, and what lies in the
- * staging place may be gone with the power.
+ * The engine restarted between two reports. An order that it accepted before is
+ * lost, and waiting for it would take nine seconds (STG_ORDER_TIMEOUT_US). A
+ * power failure may have erased the staging area.
  */
 static void
-note_start(struct keeper *k)
+note_restart(struct keeper *k)
 {
 	evt(EVT_ENGINE, "state=started_again version=%" G_GINT64_FORMAT,
 	    k->loaded);
@@ -70,8 +71,8 @@
 	if (k->call != NULL)
 		hfetch_cancel(k->call);
 	k->call = NULL;
-	doubt_staged(k->newest);
-	doubt_staged(k->older);
+	invalidate_staged(k->newest);
+	invalidate_staged(k->older);
 }
 
 static void
@@ -82,14 +83,14 @@
 
 	if (k->had_engine && k->engine.start_ms != 0 && r->start_ms != 0 &&
 	    k->engine.start_ms != r->start_ms)
-		note_start(k);
+		note_restart(k);
 
 	if (!k->up || loaded != k->loaded || r->busy != k->engine.busy)
 		evt(EVT_ENGINE,
 		    "state=up version=%" G_GINT64_FORMAT
 		    " before=%" G_GINT64_FORMAT " busy=%d running=%u",
 		    loaded, k->loaded, r->busy, r->running);
-	/* The order was carried out, or the engine restarted. */
+	/* The engine has carried out the order, or has restarted. */
 	if (loaded != k->loaded && !r->busy) {
 		k->ordered_us = 0;
 		k->drain_us = 0;
@@ -113,7 +114,7 @@
 	    adapter_report_read(a->body, a->len, &report, &err))
 		note_report(k, &report);
 	else
-		note_down(k);
+		note_report_failure(k);
 	keeper_send_status(k);
 	keeper_step(k);
 }
@@ -152,9 +153,9 @@
 	return 0;
 }
 
-/* When the engine may change from what it has loaded to `c`. */
+/* Time at which the engine may begin to switch to `c`. */
 static int64_t
-turn_of(const struct keeper *k, const struct keeper_copy *c)
+switch_us(const struct keeper *k, const struct keeper_copy *c)
 {
 	struct stg_schedule q = {
 		.announced_us = c->announced_us,
@@ -186,12 +187,12 @@
 		.slots = k->slots,
 		.drain_us = k->drain_us,
 		.may_cut = k->may_cut,
-		.switch_us = turn_of(k, c),
+		.switch_us = switch_us(k, c),
 	};
 }
 
 static struct stg_overlap
-rival_of(const struct keeper *k)
+overlap_of(const struct keeper *k)
 {
 	struct wts_progress p = { 0 };
 
@@ -204,7 +205,7 @@
 		    : UINT64_MAX,
 		.older_total = k->older->chunks,
 		.loaded = k->loaded,
-		.older_switch_us = turn_of(k, k->older),
+		.older_switch_us = switch_us(k, k->older),
 		.newest_announced_us = k->newest->announced_us,
 		.older_deadline_us = k->older->deadline_us,
 		.newest_deadline_us = k->newest->deadline_us,
@@ -213,33 +214,33 @@
 	};
 }
 
-/* What `rule` says of the older version, while one is wanted. */
+/* Whether an older version is wanted and `rule` holds for it. */
 static bool
-older_goes_first(const struct keeper *k,
+older_satisfies(const struct keeper *k,
     bool (*rule)(const struct stg_overlap *r, int64_t now_us))
 {
-	struct stg_overlap rival;
+	struct stg_overlap overlap;
 
 	if (k->older == NULL || k->loaded >= k->older->version)
 		return false;
-	rival = rival_of(k);
-	return rule(&rival, keeper_now(k));
+	overlap = overlap_of(k);
+	return rule(&overlap, keeper_now(k));
 }
 
 static bool
 newest_waits(const struct keeper *k)
 {
-	return older_goes_first(k, stg_fetches_older);
+	return older_satisfies(k, stg_fetches_older);
 }
 
-/* The version that the engine goes for now. */
+/* The version that the engine is to load next. */
 static struct keeper_copy *
 choose_copy(struct keeper *k)
 {
 	if (k->older != NULL &&
 	    (k->newest->complete || k->loaded >= k->newest->version))
 		keeper_drop_older(k);
-	if (newest_waits(k) || older_goes_first(k, stg_prefers_older))
+	if (newest_waits(k) || older_satisfies(k, stg_prefers_older))
 		return k->older;
 	return k->newest;
 }
@@ -303,13 +304,15 @@
 	    keeper_now(k) - k->drain_us > STG_DRAIN_MAX_US)
 		keeper_undrain(k, "no_order_accepted");
 	c = choose_copy(k);
-	/* The other one goes on being fetched meanwhile. */
+	/* While the engine is to load the older version, the newest one is
+	 * transferred, too. */
 	if (c != k->newest && k->newest->list == NULL && !newest_waits(k))
 		keeper_get_digests(k->newest);
 	state = state_of(k, c);
 	step = stg_next(&state, keeper_now(k));
 	log_step(k, c, step);
-	/* A newer version was named meanwhile, say, and is not whole yet. */
+	/* For example, a newer version was announced while the engine drained,
+	 * and is not complete yet. */
 	if (k->drain_us != 0 && k->ordered_us == 0 && !stg_leads_to_order(step))
 		keeper_undrain(k, stg_step_name(step));
 	carry_out(c, step);
