--- a/programs/side/keeper_rate.c
+++ b/programs/side/keeper_rate.c
@@ -1,5 +1,5 @@
-/* Rate limits, and permits for gateways: of the engine beside, and of targets
- * that have no keeper of their own. */
+/* Rate limits, and permits for gateways: of this keeper's engine, and of
+ * targets that have no keeper. */
 
 #include <string.h>
 
@@ -7,9 +7,10 @@
 #include "serve/side.h"
 #include "side/keeper.h"
 
-/* A pool of another target that no gateway spoke of for so long is dropped. */
+/* A pool of another target is dropped after this time without a report. */
 #define POOL_IDLE_US 10000000
-/* Targets without a keeper that name a limit; there are few services of them. */
+/* Targets without a keeper that state a limit; few services have such
+ * targets. */
 #define POOLS_MAX 1024
 
 /* Permits for one of the other targets. */
@@ -33,7 +34,7 @@
 	return strcmp(address, cfg_str(k->st.cfg, "engine.address")) == 0;
 }
 
-/* NULL: there are too many. */
+/* NULL: POOLS_MAX is reached. */
 static struct permits *
 permits_of(struct keeper *k, const char *address)
 {
@@ -61,7 +62,7 @@
 }
 
 static void
-give(struct keeper *k, const char *address, struct permits *p)
+issue_permits(struct keeper *k, const char *address, struct permits *p)
 {
 	struct side_permit permit = { .address = slice_str(address) };
 	char gateway[PERMIT_GATEWAY_MAX];
@@ -76,7 +77,7 @@
 keeper_take_rate(
     struct keeper *k, const char *from, const struct side_rate *rate)
 {
-	struct permit_report word = {
+	struct permit_report report = {
 		.limit = rate_of_milli(rate->limit_milli),
 		.since_us = keeper_now(k) - (int64_t)rate->age_ms * 1000,
 		.direct = rate->direct != 0,
@@ -90,13 +91,13 @@
 	if (p == NULL)
 		return;
 	before = p->limit;
-	if (permits_reported(p, &word, keeper_now(k))) {
+	if (permits_reported(p, &report, keeper_now(k))) {
 		log_limit(address, p, before);
 		keeper_send_status(k);
 	}
 	if (rate->want_permit)
 		permits_ask(p, from, keeper_now(k));
-	give(k, address, p);
+	issue_permits(k, address, p);
 }
 
 static void
@@ -106,7 +107,7 @@
 
 	if (permits_advance(p, keeper_now(k)))
 		log_limit(address, p, before);
-	give(k, address, p);
+	issue_permits(k, address, p);
 }
 
 void
