--- a/programs/side/keeper_stage.c
+++ b/programs/side/keeper_stage.c
@@ -1,19 +1,19 @@
-/* The engine's staging place, and orders to load what lies there. */
+/* The engine's staging area, and orders to load the chunks in it. */
 
 #include <string.h>
 
 #include "side/keeper.h"
 
 #define CALL_TIMEOUT_US 1500000
-#define CALL_REST_US 200000
+#define CALL_BACKOFF_US 200000
 #define ORDER_TIMEOUT_US 1000000
 #define ORDER_ANSWER_MAX (64u << 10)
-#define HEAD_SLACK 4096 /* an answer may be longer than a piece: an error */
+#define ANSWER_SLACK 4096 /* an error response may be longer than a chunk */
 
 static void
-rest(struct keeper *k, const char *step, const struct hfetch_answer *a)
+back_off(struct keeper *k, const char *step, const struct hfetch_answer *a)
 {
-	k->backoff_until_us = keeper_now(k) + CALL_REST_US;
+	k->backoff_until_us = keeper_now(k) + CALL_BACKOFF_US;
 	evt(EVT_WEIGHTS, "step=%s outcome=failed status=%u why=%s", step,
 	    a->status, a->status == 0 ? a->why : "status");
 }
@@ -31,7 +31,7 @@
 }
 
 static void
-call_piece(struct keeper_copy *c, bool put, hfetch_cb *done)
+call_for_chunk(struct keeper_copy *c, bool put, hfetch_cb *done)
 {
 	struct keeper *k = c->keeper;
 	char *path = adapter_stage_path(k->model, k->call_chunk, put);
@@ -47,13 +47,13 @@
 		.body = body,
 		.body_len = len,
 		.timeout_us = CALL_TIMEOUT_US,
-		.answer_max = c->chunk_bytes + HEAD_SLACK,
+		.answer_max = c->chunk_bytes + ANSWER_SLACK,
 		.done = done });
 	g_free(path);
 }
 
 /* ------------------------------------------------------------------ */
-/* Putting                                                             */
+/* Writing                                                             */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -64,7 +64,7 @@
 
 	k->call = NULL;
 	if (a->status < 200 || a->status >= 300) {
-		rest(k, "put", a);
+		back_off(k, "put", a);
 		return;
 	}
 	c->chunk_staged[k->call_chunk] = true;
@@ -84,15 +84,15 @@
 		return;
 	}
 	c->keeper->call_chunk = i;
-	call_piece(c, true, on_put);
+	call_for_chunk(c, true, on_put);
 }
 
 /* ------------------------------------------------------------------ */
-/* Checking                                                            */
+/* Verification                                                        */
 /* ------------------------------------------------------------------ */
 
 static bool
-piece_is_good(const struct keeper_copy *c, const struct hfetch_answer *a)
+chunk_is_valid(const struct keeper_copy *c, const struct hfetch_answer *a)
 {
 	const struct digest *digests = g_bytes_get_data(c->list, NULL);
 	struct digest got;
@@ -113,10 +113,10 @@
 
 	k->call = NULL;
 	if (a->status == 0) {
-		rest(k, "check", a);
+		back_off(k, "check", a);
 		return;
 	}
-	if (!piece_is_good(c, a)) {
+	if (!chunk_is_valid(c, a)) {
 		c->chunk_staged[k->call_chunk] = false;
 		k->bad_chunks++;
 	}
@@ -130,7 +130,7 @@
 	struct keeper *k = c->keeper;
 
 	if (k->call_chunk < c->chunks) {
-		call_piece(c, false, on_check);
+		call_for_chunk(c, false, on_check);
 		return;
 	}
 	if (k->bad_chunks > 0) {
@@ -153,13 +153,13 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Looking for pieces that lie there already                           */
+/* Search for chunks that are staged already                           */
 /* ------------------------------------------------------------------ */
 
-static void look_next(struct keeper_copy *c);
+static void scan_next(struct keeper_copy *c);
 
 static void
-on_look(const struct hfetch_answer *a, void *ctx)
+on_scan(const struct hfetch_answer *a, void *ctx)
 {
 	struct keeper_copy *c = ctx;
 	struct keeper *k = c->keeper;
@@ -167,7 +167,7 @@
 
 	k->call = NULL;
 	if (a->status == 0) {
-		rest(k, "look", a);
+		back_off(k, "look", a);
 		return;
 	}
 	if (a->status == 200) {
@@ -179,25 +179,25 @@
 	if (!c->chunk_staged[k->call_chunk])
 		k->bad_chunks++;
 	k->call_chunk++;
-	look_next(c);
+	scan_next(c);
 }
 
 static void
-look_next(struct keeper_copy *c)
+scan_next(struct keeper_copy *c)
 {
 	struct keeper *k = c->keeper;
 
-	/* A first piece that is not there or of another version: so are the
-	 * rest. */
+	/* If the first chunk is missing or belongs to another version, so do
+	 * the others: the search ends. */
 	if (k->call_chunk < c->chunks &&
 	    !(k->call_chunk == 1 && k->bad_chunks == 1)) {
-		call_piece(c, false, on_look);
+		call_for_chunk(c, false, on_scan);
 		return;
 	}
 	c->scanned = true;
-	/* All were read back and are good: as good as a check of now. After a
-	 * restart engines are without weights, and a second reading of all
-	 * pieces would keep each away for 0.07 s more. */
+	/* All chunks were read back and are valid, which counts as a check.
+	 * After a restart engines have no weights, and a second read of all
+	 * chunks would keep each engine out of service for 0.07 s more. */
 	if (k->bad_chunks == 0)
 		c->checked_us = k->scan_us;
 	evt(EVT_WEIGHTS,
@@ -214,7 +214,7 @@
 	c->keeper->scan_us = keeper_now(c->keeper);
 	c->keeper->call_chunk = 0;
 	c->keeper->bad_chunks = 0;
-	look_next(c);
+	scan_next(c);
 }
 
 /* ------------------------------------------------------------------ */
@@ -253,7 +253,7 @@
 	if (accepted)
 		outcome = "accepted";
 	else if (a->status == 0 && a->sent)
-		outcome = "unknown"; /* it shows in the next reports */
+		outcome = "unknown"; /* the next reports show it */
 	evt(EVT_ORDER,
 	    "model=%s version=%" G_GINT64_FORMAT
 	    " status=%u outcome=%s age_ms=%" G_GINT64_FORMAT
