--- a/programs/side/keeper_views.c
+++ b/programs/side/keeper_views.c
@@ -1,4 +1,4 @@
-/* What gateways say is wanted, and who else loads it. */
+/* The gateways' desired state, and the roster of keepers. */
 
 #include <string.h>
 
@@ -6,15 +6,18 @@
 #include "side/keeper.h"
 
 /*
- * A roster comes within milliseconds of the question; one that was lost is
- * asked for again after this. While a deployment grows it changes with each
- * host, and is asked for this often at most.
+ * A roster arrives within milliseconds of the request; if it is lost, it is
+ * requested again after this time. While a deployment grows, the roster changes
+ * with each host and is requested at most once in this time.
  */
-#define ASK_AGAIN_US 100000
-/* Gateways of the own region speak each 0.4 s. When only another region's
- * knows of a newer roster for longer, they are cut off from the store, and it
- * may cross a thin link. */
-#define ASK_FAR_US 600000
+#define ROSTER_RETRY_US 100000
+/*
+ * Gateways of the local region send their desired state every 0.4 s. If only
+ * remote gateways have a newer roster for longer than that, the local ones are
+ * cut off from the store, and the roster may cross a narrow link between
+ * regions.
+ */
+#define ROSTER_REMOTE_US 600000
 
 /* ------------------------------------------------------------------ */
 /* Roster                                                              */
@@ -78,77 +81,80 @@
 }
 
 static void
-ask_roster(struct keeper *k, const char *from, const struct side_desired *view,
-    bool near)
+request_roster(struct keeper *k, const char *from,
+    const struct side_desired *desired, bool local)
 {
-	struct roster_id theirs = { (int64_t)view->roster_revision,
-		view->roster_digest, view->roster_count };
-	struct roster_id own = roster_id(k->roster);
-	struct side_roster_request ask = { .model = view->model };
+	struct roster_id announced_id = { (int64_t)desired->roster_revision,
+		desired->roster_digest, desired->roster_count };
+	struct roster_id local_id = roster_id(k->roster);
+	struct side_roster_request request = { .model = desired->model };
 	int64_t now_us = keeper_now(k);
 
-	if (!roster_is_newer(&theirs, &own))
+	if (!roster_is_newer(&announced_id, &local_id))
 		return;
 	if (k->missing_roster_us == 0)
 		k->missing_roster_us = now_us;
-	if (!near && keeper_local_gateways(k) > 0 &&
-	    now_us - k->missing_roster_us < ASK_FAR_US)
+	if (!local && keeper_local_gateways(k) > 0 &&
+	    now_us - k->missing_roster_us < ROSTER_REMOTE_US)
 		return;
 	if (k->roster_request_us != 0 &&
-	    now_us - k->roster_request_us < ASK_AGAIN_US)
+	    now_us - k->roster_request_us < ROSTER_RETRY_US)
 		return;
 	k->roster_request_us = now_us;
-	dgram_send(k->dgram, from, &side_roster_request_desc, &ask);
+	dgram_send(k->dgram, from, &side_roster_request_desc, &request);
 }
 
 /* ------------------------------------------------------------------ */
-/* Views                                                               */
+/* Desired state                                                       */
 /* ------------------------------------------------------------------ */
 
 static void
-want(struct keeper *k, const struct side_desired *view, uint64_t version,
-    uint64_t age_ms)
+add_wanted(struct keeper *k, const struct side_desired *desired,
+    uint64_t version, uint64_t age_ms)
 {
-	struct keeper_announced named = {
+	struct keeper_announced announced = {
 		.version = (int64_t)version,
 		.announced_us = keeper_now(k) - (int64_t)age_ms * 1000,
-		.chunks = view->chunks,
-		.chunk_bytes = view->chunk_bytes,
+		.chunks = desired->chunks,
+		.chunk_bytes = desired->chunk_bytes,
 	};
 
-	if (view->deadline_ms > 0)
-		named.deadline_us =
-		    named.announced_us + (int64_t)view->deadline_ms * 1000;
-	stg_deadlines_add(&k->deadlines, named.version, named.deadline_us);
-	keeper_want(k, &named);
+	if (desired->deadline_ms > 0)
+		announced.deadline_us = announced.announced_us +
+		    (int64_t)desired->deadline_ms * 1000;
+	stg_deadlines_add(
+	    &k->deadlines, announced.version, announced.deadline_us);
+	keeper_want(k, &announced);
 }
 
-/* Gateways that were cut off may still tell of an older version. */
+/* Ignores versions older than the newest: gateways that were cut off may still
+ * announce one. */
 static void
-take_version(struct keeper *k, const struct side_desired *view)
+take_version(struct keeper *k, const struct side_desired *desired)
 {
-	int64_t version = (int64_t)view->version;
+	int64_t version = (int64_t)desired->version;
 
 	if (k->newest != NULL && version <= k->newest->version) {
 		if (version == k->newest->version)
-			k->newest->reported_root = view->root;
+			k->newest->reported_root = desired->root;
 		return;
 	}
-	/* Just started: its part in the older one is waited for, too. */
-	if (view->older != 0 && k->newest == NULL) {
-		want(k, view, view->older, view->older_age_ms);
-		k->newest->reported_root = view->older_root;
+	/* This keeper has just started: other keepers need its part in the
+	 * transfer of the older version, too. */
+	if (desired->older != 0 && k->newest == NULL) {
+		add_wanted(k, desired, desired->older, desired->older_age_ms);
+		k->newest->reported_root = desired->older_root;
 	}
-	want(k, view, view->version, view->age_ms);
-	k->newest->reported_root = view->root;
+	add_wanted(k, desired, desired->version, desired->age_ms);
+	k->newest->reported_root = desired->root;
 }
 
 static void
-take_model(struct keeper *k, const struct side_desired *view)
+take_model(struct keeper *k, const struct side_desired *desired)
 {
 	char model[KEEPER_NAME_MAX];
 
-	slice_copy(view->model, model, sizeof(model));
+	slice_copy(desired->model, model, sizeof(model));
 	if (strcmp(model, k->model) == 0)
 		return;
 	g_strlcpy(k->model, model, sizeof(k->model));
@@ -162,20 +168,20 @@
 
 void
 keeper_take_desired(
-    struct keeper *k, const char *from, const struct side_desired *view)
+    struct keeper *k, const char *from, const struct side_desired *desired)
 {
 	char domain[KEEPER_NAME_MAX], region[KEEPER_NAME_MAX];
 
-	slice_copy(view->region, region, sizeof(region));
-	slice_copy(view->origin, k->origin, sizeof(k->origin));
-	slice_copy(view->origin_domain, domain, sizeof(domain));
+	slice_copy(desired->region, region, sizeof(region));
+	slice_copy(desired->origin, k->origin, sizeof(k->origin));
+	slice_copy(desired->origin_domain, domain, sizeof(domain));
 	g_strlcpy(k->origin_region, keeper_region(k, domain),
 	    sizeof(k->origin_region));
-	k->slots = (unsigned int)view->slots;
-	k->may_cut = view->may_cut != 0;
-	take_model(k, view);
-	ask_roster(k, from, view,
+	k->slots = (unsigned int)desired->slots;
+	k->may_cut = desired->may_cut != 0;
+	take_model(k, desired);
+	request_roster(k, from, desired,
 	    strcmp(region, cfg_str(k->st.cfg, "node.region")) == 0);
-	take_version(k, view);
+	take_version(k, desired);
 	keeper_step(k);
 }
