--- a/programs/side/keeper_weights.c
+++ b/programs/side/keeper_weights.c
@@ -1,31 +1,32 @@
-/* The swarm: transfers of wanted versions between keepers. */
+/* Transfers of wanted versions between keepers. */
 
 #include <stdio.h>
 #include <string.h>
 
 #include "side/keeper.h"
 
-/* Share of the host's link for pieces. The rest is for callers' requests to
- * the engine and its answers, about a twentieth, and for headers. */
+/* Share of the host's link for chunks. The rest is for headers and for callers'
+ * requests to the engine and its answers, which take about a twentieth. */
 #define LINK_SHARE 0.9
 #define MEMORY_MIN (8u << 20)
 /*
- * Regions are joined by thin links that carry callers' requests, too. A piece
- * takes 35 ms on a host's link; a host that fetches for its region has four
- * under way. After this the next host of the region tries.
+ * Regions are connected by narrow links that carry callers' requests, too, so
+ * one host fetches a chunk for its region. A chunk takes 35 ms on a host's
+ * link, and such a host has four in flight. After this time the next host of
+ * the region requests the chunk.
  */
-#define FAR_STEP_MS 400
-/* A reader of the origin that is silent for this and the time that news and
- * pieces take is replaced: a second copy of a few pieces costs less than a
- * second in which engines wait. */
-#define SILENCE_MS 250
+#define CROSS_DOMAIN_STEP_MS 400
+/* A host that reads from the origin is replaced if it does not respond for this
+ * time plus the time that updates and chunks take: a second copy of a few
+ * chunks costs less than a second in which engines wait. */
+#define CLAIM_TIMEOUT_MS 250
 
 /*
- * Reads of the origin that a reader has open. The last bytes of one stand
- * behind peers' pieces on this host's link, and with a single one the origin
- * idles meanwhile: its link was used for 0.78 of the time that a version takes,
- * with two for 0.94. With three a piece takes so long to be whole that hosts
- * have nothing to pass on, and all end later.
+ * Reads of the origin that a host has open at a time. The last bytes of a read
+ * queue behind peers' chunks on this host's link, and with a single read the
+ * origin is idle in that time: its link was used for 0.78 of the time that a
+ * version takes, with two reads for 0.94. With three, a chunk takes so long to
+ * be complete that hosts have nothing to pass on, and all finish later.
  */
 #define ORIGIN_READS 2
 
@@ -71,14 +72,14 @@
 	    (unsigned int)cfg_int(k->st.cfg, "policy.origin_copies");
 	if (want.origin_copies > 1)
 		want.policy = WTS_TIME_FIRST;
-	want.far_step_ms = FAR_STEP_MS;
-	want.silence_ms = SILENCE_MS;
+	want.far_step_ms = CROSS_DOMAIN_STEP_MS;
+	want.silence_ms = CLAIM_TIMEOUT_MS;
 	want.reads = ORIGIN_READS;
 	g_strlcpy(
 	    want.origin_domain, k->origin_region, sizeof(want.origin_domain));
 	c->has_root = wts_want(k->wts, &want, &err);
 	if (!c->has_root) {
-		log_warn("weights: %s", err.message);
+		log_warn("weights: transfer not started: %s", err.message);
 		return;
 	}
 	c->chunk_staged = g_new0(bool, c->chunks);
@@ -101,7 +102,7 @@
 	c->complete = p->phase == WTS_WHOLE;
 }
 
-/* A version takes three to six seconds: some ten lines each. */
+/* A version takes three to six seconds: about ten log lines each. */
 #define PROGRESS_US 500000
 
 static void
