--- a/programs/side/keeper_gateways.c
+++ b/programs/side/keeper_gateways.c
@@ -1,4 +1,5 @@
-/* The gateways that speak to this keeper, and the engine's load for them. */
+/* The gateways that send this keeper their desired state, and the status
+ * reports to them. */
 
 #include <string.h>
 
@@ -6,22 +7,24 @@
 #include "serve/side.h"
 #include "side/keeper.h"
 
-/* A gateway that has said nothing for so long is told nothing more. */
-#define GATEWAY_SILENT_US 3000000
-/* A load that has not changed is told again this often, so that its age and
- * the keeper's silence mean something. */
-#define TELL_AGAIN_US 250000
-/* Least time between two loads for a gateway. */
-#define TELL_NEAR_US 25000
+/* A gateway that has sent nothing for this long gets no more reports. */
+#define GATEWAY_TIMEOUT_US 3000000
+/* An unchanged status is reported again at this interval, so that gateways can
+ * judge a status by its age and detect a keeper that does not respond. */
+#define REPORT_REPEAT_US 250000
+/* Minimum time between two reports of a changed load to a local gateway. */
+#define REPORT_LOCAL_US 25000
 /*
- * Gateways of other regions hear how full the engine is from those of this
- * region, for all engines here at once. They hear from the keeper itself when
- * that changes whether requests can go here at all, and this often, so that a
- * change that was lost is made up for.
+ * Gateways of remote regions learn the engine's load from those of the local
+ * region, which relay it for all engines of the region together. The keeper
+ * itself reports to them at once if a change decides whether requests can go to
+ * the engine at all, and otherwise at this interval, in case that report was
+ * lost.
  */
-#define TELL_FAR_US 1000000
-/* The same while no gateway of this region is there to tell them. */
-#define TELL_ALONE_US 150000
+#define REPORT_REMOTE_US 1000000
+/* The minimum for a changed load while the local region has no gateway that
+ * could relay it. */
+#define REPORT_REMOTE_ALONE_US 150000
 
 /* ------------------------------------------------------------------ */
 /* Gateways                                                            */
@@ -45,9 +48,10 @@
 	return NULL;
 }
 
-/* A gateway that knows nothing yet. Its next load is due at once. */
+/* Sends the current state to a gateway that is new or has restarted. Its next
+ * status report is due at once. */
 static void
-greet(struct keeper *k, struct keeper_gateway *gateway)
+send_initial_state(struct keeper *k, struct keeper_gateway *gateway)
 {
 	gateway->reported_us = 0;
 	keeper_send_terminations(k, gateway->address);
@@ -56,41 +60,41 @@
 
 static void
 note_gateway(
-    struct keeper *k, const char *from, const struct side_desired *view)
+    struct keeper *k, const char *from, const struct side_desired *desired)
 {
-	struct keeper_gateway fresh = { .start = view->start,
+	struct keeper_gateway fresh = { .start = desired->start,
 		.received_us = keeper_now(k),
-		.store_down = view->store_down != 0 };
+		.store_down = desired->store_down != 0 };
 	struct keeper_gateway *known = find_gateway(k, from);
 	char region[KEEPER_NAME_MAX];
 
 	if (known != NULL) {
 		known->received_us = keeper_now(k);
-		known->store_down = view->store_down != 0;
-		if (known->start != view->start)
-			greet(k, known);
-		known->start = view->start;
+		known->store_down = desired->store_down != 0;
+		if (known->start != desired->start)
+			send_initial_state(k, known);
+		known->start = desired->start;
 		return;
 	}
 	if (k->gateways->len == KEEPER_GATEWAYS_MAX) {
 		ctr_add(ctr_get(k->st.counters, "gateways_left_out"), 1);
 		return;
 	}
-	slice_copy(view->region, region, sizeof(region));
+	slice_copy(desired->region, region, sizeof(region));
 	fresh.local = strcmp(region, cfg_str(k->st.cfg, "node.region")) == 0;
 	g_strlcpy(fresh.address, from, sizeof(fresh.address));
 	g_array_append_val(k->gateways, fresh);
-	greet(k, gateway_at(k, k->gateways->len - 1));
+	send_initial_state(k, gateway_at(k, k->gateways->len - 1));
 }
 
 static void
-drop_silent(struct keeper *k)
+drop_timed_out(struct keeper *k)
 {
 	guint i = 0;
 
 	while (i < k->gateways->len) {
 		if (keeper_now(k) - gateway_at(k, i)->received_us >
-		    GATEWAY_SILENT_US)
+		    GATEWAY_TIMEOUT_US)
 			g_array_remove_index_fast(k->gateways, i);
 		else
 			i++;
@@ -100,13 +104,13 @@
 unsigned int
 keeper_local_gateways(const struct keeper *k)
 {
-	unsigned int near = 0;
+	unsigned int local = 0;
 	guint i;
 
 	for (i = 0; i < k->gateways->len; i++)
-		near +=
+		local +=
 		    g_array_index(k->gateways, struct keeper_gateway, i).local;
-	return near;
+	return local;
 }
 
 bool
@@ -116,7 +120,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Loads                                                               */
+/* Status reports                                                      */
 /* ------------------------------------------------------------------ */
 
 static enum side_engine
@@ -136,7 +140,7 @@
 }
 
 static struct keeper_status
-what_to_tell(const struct keeper *k)
+current_status(const struct keeper *k)
 {
 	return (struct keeper_status){
 		.engine = engine_state(k),
@@ -151,7 +155,8 @@
 	};
 }
 
-/* What a gateway must hear at once: whether requests can go there at all. */
+/* Whether a change is reported at once: it decides whether requests can go to
+ * the engine at all. */
 static bool
 state_differs(const struct keeper_status *a, const struct keeper_status *b)
 {
@@ -167,34 +172,36 @@
 	return a->running != b->running || a->waiting != b->waiting;
 }
 
-/* Which gateways hear a load at this moment. */
-struct tell_plan {
-	bool at_once; /* all of them */
-	int64_t near_us, far_us; /* those that heard nothing for so long */
+/* Which gateways get a status report now. */
+struct report_plan {
+	bool at_once; /* all gateways */
+	/* Those whose last report is at least this old. */
+	int64_t local_us, remote_us;
 };
 
-static struct tell_plan
-plan_telling(const struct keeper *k, const struct keeper_status *now)
+static struct report_plan
+plan_reports(const struct keeper *k, const struct keeper_status *status)
 {
-	bool changed = load_differs(now, &k->reported);
-	struct tell_plan plan = {
-		.at_once = state_differs(now, &k->reported),
-		.near_us = changed ? TELL_NEAR_US : TELL_AGAIN_US,
-		.far_us = TELL_FAR_US,
+	bool changed = load_differs(status, &k->reported);
+	struct report_plan plan = {
+		.at_once = state_differs(status, &k->reported),
+		.local_us = changed ? REPORT_LOCAL_US : REPORT_REPEAT_US,
+		.remote_us = REPORT_REMOTE_US,
 	};
 
 	if (keeper_local_gateways(k) == 0)
-		plan.far_us = changed ? TELL_ALONE_US : TELL_AGAIN_US;
+		plan.remote_us =
+		    changed ? REPORT_REMOTE_ALONE_US : REPORT_REPEAT_US;
 	return plan;
 }
 
 static bool
-is_due(const struct keeper *k, const struct tell_plan *plan,
+is_due(const struct keeper *k, const struct report_plan *plan,
     const struct keeper_gateway *g)
 {
 	return plan->at_once ||
 	    keeper_now(k) - g->reported_us >=
-	    (g->local ? plan->near_us : plan->far_us);
+	    (g->local ? plan->local_us : plan->remote_us);
 }
 
 static uint64_t
@@ -203,59 +210,59 @@
 	return (uint64_t)MAX(0, keeper_now(k) - since_us) / 1000;
 }
 
-/* The versions that are wanted, and how long they are. */
+/* Fills in the wanted versions and the time since their announcement. */
 static void
-fill_wanted(const struct keeper *k, struct side_report *load)
+fill_wanted(const struct keeper *k, struct side_report *report)
 {
 	const struct keeper_copy *newest = k->newest;
 	int64_t older_due_us = 0;
 
 	if (newest == NULL)
 		return;
-	load->wanted = (uint64_t)newest->version;
-	load->wanted_age_ms = age_ms(k, newest->announced_us);
+	report->wanted = (uint64_t)newest->version;
+	report->wanted_age_ms = age_ms(k, newest->announced_us);
 	if (newest->deadline_us == 0)
 		return;
-	load->older = (uint64_t)stg_deadlines_before(
+	report->older = (uint64_t)stg_deadlines_before(
 	    &k->deadlines, newest->version, &older_due_us);
-	if (load->older != 0)
-		load->older_age_ms = age_ms(k,
+	if (report->older != 0)
+		report->older_age_ms = age_ms(k,
 		    older_due_us -
 			(newest->deadline_us - newest->announced_us));
 }
 
 static void
-fill_load(
-    struct keeper *k, const struct keeper_status *now, struct side_report *load)
+fill_report(struct keeper *k, const struct keeper_status *status,
+    struct side_report *report)
 {
 	guint i;
 
-	*load = (struct side_report){
+	*report = (struct side_report){
 		.address = slice_str(cfg_str(k->st.cfg, "engine.address")),
-		.engine = now->engine,
+		.engine = status->engine,
 		.start_ms = (uint64_t)MAX(0, k->engine.start_ms),
-		.running = now->running,
-		.waiting = now->waiting,
-		.version = (uint64_t)now->loaded,
+		.running = status->running,
+		.waiting = status->waiting,
+		.version = (uint64_t)status->loaded,
 		.slowdown_permille = (uint64_t)(k->engine.slowdown * 1000),
 		.gateways = k->gateways->len,
 		.local_gateways = keeper_local_gateways(k),
 		.seq = k->report_seq,
-		.slow_link = now->slow_link,
-		.limit_known = now->limit_known,
-		.limit_milli = rate_to_milli(now->limit),
+		.slow_link = status->slow_link,
+		.limit_known = status->limit_known,
+		.limit_milli = rate_to_milli(status->limit),
 	};
 	for (i = 0; i < k->gateways->len; i++)
-		load->without_store += gateway_at(k, i)->store_down;
-	fill_wanted(k, load);
-	if (now->origin_root)
-		load->root =
+		report->without_store += gateway_at(k, i)->store_down;
+	fill_wanted(k, report);
+	if (status->origin_root)
+		report->root =
 		    (struct slice){ k->newest->wts.root.bytes, DIGEST_BYTES };
 }
 
-/* Names a gateway of another region, the next one each time. */
+/* Names a gateway of a remote region in the report, the next one each time. */
 static void
-name_gateway(struct keeper *k, struct side_report *load)
+name_remote_gateway(struct keeper *k, struct side_report *report)
 {
 	const struct keeper_gateway *g;
 	guint i;
@@ -265,61 +272,63 @@
 		g = gateway_at(k, k->remote_gateway);
 		if (g->local)
 			continue;
-		load->remote_gateway = slice_str(g->address);
+		report->remote_gateway = slice_str(g->address);
 		return;
 	}
 }
 
-/* Sends `load` to those of one side (near or far) that are due. */
+/* Sends `report` to the gateways of the local region, or of the remote ones,
+ * to which one is due. True: at least one was sent. */
 static bool
-tell(struct keeper *k, const struct tell_plan *plan, bool near,
-    const struct side_report *load)
+send_report(struct keeper *k, const struct report_plan *plan, bool local,
+    const struct side_report *report)
 {
 	GByteArray *packed = NULL;
 	struct keeper_gateway *g;
-	bool told = false;
+	bool sent = false;
 	guint i;
 
 	for (i = 0; i < k->gateways->len; i++) {
 		g = gateway_at(k, i);
-		if (g->local != near || !is_due(k, plan, g))
+		if (g->local != local || !is_due(k, plan, g))
 			continue;
 		if (packed == NULL)
-			packed = dgram_pack(k->dgram, &side_report_desc, load);
+			packed =
+			    dgram_pack(k->dgram, &side_report_desc, report);
 		if (packed == NULL)
 			break;
 		dgram_send_packed(
 		    k->dgram, g->address, &side_report_desc, packed);
 		g->reported_us = keeper_now(k);
-		told = true;
+		sent = true;
 	}
 	if (packed != NULL)
 		g_byte_array_unref(packed);
-	return told;
+	return sent;
 }
 
 void
 keeper_send_status(struct keeper *k)
 {
-	struct keeper_status now = what_to_tell(k);
-	struct tell_plan plan;
-	struct side_report load;
-	bool told_far;
+	struct keeper_status status = current_status(k);
+	struct report_plan plan;
+	struct side_report report;
+	bool sent_remote;
 
-	drop_silent(k);
+	drop_timed_out(k);
 	if (!k->had_engine)
 		return;
-	if (now.slow_link != k->reported.slow_link)
-		evt(EVT_WEIGHTS, "step=link slow=%d", now.slow_link);
-	plan = plan_telling(k, &now);
+	if (status.slow_link != k->reported.slow_link)
+		evt(EVT_WEIGHTS, "step=link slow=%d", status.slow_link);
+	plan = plan_reports(k, &status);
 	k->report_seq++;
-	fill_load(k, &now, &load);
-	told_far = tell(k, &plan, false, &load);
-	name_gateway(k, &load);
-	/* A change that was not due yet stays one until it is told. */
-	if (tell(k, &plan, true, &load) || plan.at_once ||
-	    (told_far && keeper_local_gateways(k) == 0))
-		k->reported = now;
+	fill_report(k, &status, &report);
+	sent_remote = send_report(k, &plan, false, &report);
+	name_remote_gateway(k, &report);
+	/* A change that is not due yet stays pending until it is reported. */
+	if (send_report(k, &plan, true, &report) || plan.at_once ||
+	    (sent_remote && keeper_local_gateways(k) == 0))
+		k->reported = status;
 }
 
 void
@@ -344,20 +353,20 @@
 on_message(const char *from, const struct msg *m, void *ctx)
 {
 	struct keeper *k = ctx;
-	struct side_desired view;
+	struct side_desired desired;
 	struct side_roster_page page;
 	struct side_rate rate;
-	struct side_terminations ends;
+	struct side_terminations terminations;
 
-	if (msg_read(m, &side_desired_desc, &view, NULL)) {
-		note_gateway(k, from, &view);
-		keeper_take_desired(k, from, &view);
+	if (msg_read(m, &side_desired_desc, &desired, NULL)) {
+		note_gateway(k, from, &desired);
+		keeper_take_desired(k, from, &desired);
 	} else if (msg_read(m, &side_roster_page_desc, &page, NULL))
 		keeper_take_page(k, &page);
 	else if (msg_read(m, &side_rate_desc, &rate, NULL))
 		keeper_take_rate(k, from, &rate);
-	else if (msg_read(m, &side_terminations_desc, &ends, NULL))
-		keeper_take_terminations(k, &ends);
+	else if (msg_read(m, &side_terminations_desc, &terminations, NULL))
+		keeper_take_terminations(k, &terminations);
 }
 
 bool
