--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -95,7 +95,7 @@
 	char origin[KEEPER_ADDRESS_MAX];
 	char origin_region[KEEPER_NAME_MAX];
 	struct roster *roster; /* of the keepers of the model */
-	int64_t missing_roster_us; /* a newer one exists since; 0: none */
+	int64_t missing_roster_us; /* a newer one is known since; 0: no */
 	int64_t roster_request_us; /* the last request for it */
 	GArray *peers; /* struct keeper_peer, from the roster */
 	unsigned int slots; /* of the engine */
@@ -209,7 +209,8 @@
     struct keeper *k, const struct msg_desc *desc, const void *message);
 bool keeper_gateways_open(struct keeper *k, struct err *err);
 void keeper_send_status(struct keeper *k);
-bool keeper_has_gateways(const struct keeper *k); /* status reports are due */
+bool keeper_has_gateways(
+    const struct keeper *k); /* some gateway gets reports */
 unsigned int keeper_local_gateways(const struct keeper *k);
 
 int keeper_main(const char *settings);
