--- a/programs/side/keeper_stage.c
+++ b/programs/side/keeper_stage.c
@@ -1,19 +1,19 @@
-/* The engine's staging place, and orders to load what lies there. */
+/* The engine's staging area, and orders to load the chunks in it. */
 
 #include <string.h>
 
 #include "side/keeper.h"
 
 #define CALL_TIMEOUT_US 1500000
-#define CALL_REST_US 200000
+#define CALL_BACKOFF_US 200000
 #define ORDER_TIMEOUT_US 1000000
 #define ORDER_ANSWER_MAX (64u << 10)
-#define HEAD_SLACK 4096 /* an answer may be longer than a piece: an error */
+#define ANSWER_SLACK 4096 /* an error response may be longer than a chunk */
 
 static void
-rest(struct keeper *k, const char *step, const struct hfetch_answer *a)
+back_off(struct keeper *k, const char *step, const struct hfetch_answer *a)
 {
-	k->rest_until_us = keeper_now(k) + CALL_REST_US;
+	k->backoff_until_us = keeper_now(k) + CALL_BACKOFF_US;
 	evt(EVT_WEIGHTS, "step=%s outcome=failed status=%u why=%s", step,
 	    a->status, a->status == 0 ? a->why : "status");
 }
@@ -26,16 +26,17 @@
 
 	conf.address = cfg_str(k->st.cfg, "engine.address");
 	conf.ctx = c;
-	k->busy = c;
+	k->call_copy = c;
 	k->call = hfetch_start(k->st.loop, k->st.pool, &conf);
 }
 
 static void
-call_piece(struct keeper_copy *c, bool put, hfetch_cb *done)
+call_for_chunk(struct keeper_copy *c, bool put, hfetch_cb *done)
 {
 	struct keeper *k = c->keeper;
-	char *path = adapter_stage_path(k->model, k->index, put);
-	GBytes *bytes = put ? wts_chunk(k->wts, &c->wts.root, k->index) : NULL;
+	char *path = adapter_stage_path(k->model, k->call_chunk, put);
+	GBytes *bytes =
+	    put ? wts_chunk(k->wts, &c->wts.root, k->call_chunk) : NULL;
 	gsize len = 0;
 	const void *body = bytes == NULL ? NULL : g_bytes_get_data(bytes, &len);
 
@@ -46,13 +47,13 @@
 		.body = body,
 		.body_len = len,
 		.timeout_us = CALL_TIMEOUT_US,
-		.answer_max = c->chunk_bytes + HEAD_SLACK,
+		.answer_max = c->chunk_bytes + ANSWER_SLACK,
 		.done = done });
 	g_free(path);
 }
 
 /* ------------------------------------------------------------------ */
-/* Putting                                                             */
+/* Writing                                                             */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -63,10 +64,10 @@
 
 	k->call = NULL;
 	if (a->status < 200 || a->status >= 300) {
-		rest(k, "put", a);
+		back_off(k, "put", a);
 		return;
 	}
-	c->placed[k->index] = true;
+	c->chunk_staged[k->call_chunk] = true;
 	keeper_put(c);
 }
 
@@ -75,23 +76,23 @@
 {
 	uint64_t i;
 
-	for (i = 0; i < c->chunks && c->placed[i]; i++)
+	for (i = 0; i < c->chunks && c->chunk_staged[i]; i++)
 		continue;
 	if (i == c->chunks) {
-		c->put = true;
+		c->staged = true;
 		keeper_step(c->keeper);
 		return;
 	}
-	c->keeper->index = i;
-	call_piece(c, true, on_put);
+	c->keeper->call_chunk = i;
+	call_for_chunk(c, true, on_put);
 }
 
 /* ------------------------------------------------------------------ */
-/* Checking                                                            */
+/* Verification                                                        */
 /* ------------------------------------------------------------------ */
 
 static bool
-piece_is_good(const struct keeper_copy *c, const struct hfetch_answer *a)
+chunk_is_valid(const struct keeper_copy *c, const struct hfetch_answer *a)
 {
 	const struct digest *digests = g_bytes_get_data(c->list, NULL);
 	struct digest got;
@@ -99,7 +100,7 @@
 	if (a->status != 200)
 		return false;
 	digest_of(a->body, a->len, &got);
-	return digest_equal(&got, &digests[c->keeper->index]);
+	return digest_equal(&got, &digests[c->keeper->call_chunk]);
 }
 
 static void check_next(struct keeper_copy *c);
@@ -112,14 +113,14 @@
 
 	k->call = NULL;
 	if (a->status == 0) {
-		rest(k, "check", a);
+		back_off(k, "check", a);
 		return;
 	}
-	if (!piece_is_good(c, a)) {
-		c->placed[k->index] = false;
-		k->bad++;
+	if (!chunk_is_valid(c, a)) {
+		c->chunk_staged[k->call_chunk] = false;
+		k->bad_chunks++;
 	}
-	k->index++;
+	k->call_chunk++;
 	check_next(c);
 }
 
@@ -128,16 +129,16 @@
 {
 	struct keeper *k = c->keeper;
 
-	if (k->index < c->chunks) {
-		call_piece(c, false, on_check);
+	if (k->call_chunk < c->chunks) {
+		call_for_chunk(c, false, on_check);
 		return;
 	}
-	if (k->bad > 0) {
+	if (k->bad_chunks > 0) {
 		evt(EVT_WEIGHTS,
 		    "step=check version=%" G_GINT64_FORMAT
 		    " outcome=spoilt pieces=%" G_GUINT64_FORMAT,
-		    c->version, k->bad);
-		c->put = false;
+		    c->version, k->bad_chunks);
+		c->staged = false;
 	} else
 		c->checked_us = keeper_now(k);
 	keeper_step(k);
@@ -146,19 +147,19 @@
 void
 keeper_check(struct keeper_copy *c)
 {
-	c->keeper->index = 0;
-	c->keeper->bad = 0;
+	c->keeper->call_chunk = 0;
+	c->keeper->bad_chunks = 0;
 	check_next(c);
 }
 
 /* ------------------------------------------------------------------ */
-/* Looking for pieces that lie there already                           */
+/* Search for chunks that are staged already                           */
 /* ------------------------------------------------------------------ */
 
-static void look_next(struct keeper_copy *c);
+static void scan_next(struct keeper_copy *c);
 
 static void
-on_look(const struct hfetch_answer *a, void *ctx)
+on_scan(const struct hfetch_answer *a, void *ctx)
 {
 	struct keeper_copy *c = ctx;
 	struct keeper *k = c->keeper;
@@ -166,53 +167,54 @@
 
 	k->call = NULL;
 	if (a->status == 0) {
-		rest(k, "look", a);
+		back_off(k, "look", a);
 		return;
 	}
 	if (a->status == 200) {
 		bytes = g_bytes_new(a->body, a->len);
-		c->placed[k->index] =
-		    wts_offer(k->wts, &c->wts.root, k->index, bytes);
+		c->chunk_staged[k->call_chunk] =
+		    wts_offer(k->wts, &c->wts.root, k->call_chunk, bytes);
 		g_bytes_unref(bytes);
 	}
-	if (!c->placed[k->index])
-		k->bad++;
-	k->index++;
-	look_next(c);
+	if (!c->chunk_staged[k->call_chunk])
+		k->bad_chunks++;
+	k->call_chunk++;
+	scan_next(c);
 }
 
 static void
-look_next(struct keeper_copy *c)
+scan_next(struct keeper_copy *c)
 {
 	struct keeper *k = c->keeper;
 
-	/* A first piece that is not there or of another version: so are the
-	 * rest. */
-	if (k->index < c->chunks && !(k->index == 1 && k->bad == 1)) {
-		call_piece(c, false, on_look);
+	/* If the first chunk is missing or belongs to another version, so do
+	 * the others: the search ends. */
+	if (k->call_chunk < c->chunks &&
+	    !(k->call_chunk == 1 && k->bad_chunks == 1)) {
+		call_for_chunk(c, false, on_scan);
 		return;
 	}
-	c->looked = true;
-	/* All were read back and are good: as good as a check of now. After a
-	 * restart engines are without weights, and a second reading of all
-	 * pieces would keep each away for 0.07 s more. */
-	if (k->bad == 0)
-		c->checked_us = k->look_us;
+	c->scanned = true;
+	/* All chunks were read back and are valid, which counts as a check.
+	 * After a restart engines have no weights, and a second read of all
+	 * chunks would keep each engine out of service for 0.07 s more. */
+	if (k->bad_chunks == 0)
+		c->checked_us = k->scan_us;
 	evt(EVT_WEIGHTS,
 	    "step=look version=%" G_GINT64_FORMAT " found=%" G_GUINT64_FORMAT
 	    " of=%" G_GUINT64_FORMAT,
-	    c->version, k->index - k->bad, c->chunks);
+	    c->version, k->call_chunk - k->bad_chunks, c->chunks);
 	keeper_set_peers(c);
 	keeper_step(k);
 }
 
 void
-keeper_look(struct keeper_copy *c)
+keeper_scan(struct keeper_copy *c)
 {
-	c->keeper->look_us = keeper_now(c->keeper);
-	c->keeper->index = 0;
-	c->keeper->bad = 0;
-	look_next(c);
+	c->keeper->scan_us = keeper_now(c->keeper);
+	c->keeper->call_chunk = 0;
+	c->keeper->bad_chunks = 0;
+	scan_next(c);
 }
 
 /* ------------------------------------------------------------------ */
@@ -220,23 +222,23 @@
 /* ------------------------------------------------------------------ */
 
 void
-keeper_close(struct keeper *k)
+keeper_drain(struct keeper *k)
 {
-	if (k->closed_us != 0)
+	if (k->drain_us != 0)
 		return;
-	k->closed_us = keeper_now(k);
-	keeper_tell_load(k);
+	k->drain_us = keeper_now(k);
+	keeper_send_status(k);
 }
 
 void
-keeper_reopen(struct keeper *k, const char *why)
+keeper_undrain(struct keeper *k, const char *why)
 {
 	evt(EVT_ENGINE,
 	    "state=reopened version=%" G_GINT64_FORMAT
 	    " closed_ms=%" G_GINT64_FORMAT " why=%s",
-	    k->loaded, (keeper_now(k) - k->closed_us) / 1000, why);
-	k->closed_us = 0;
-	keeper_tell_load(k);
+	    k->loaded, (keeper_now(k) - k->drain_us) / 1000, why);
+	k->drain_us = 0;
+	keeper_send_status(k);
 }
 
 static void
@@ -251,20 +253,20 @@
 	if (accepted)
 		outcome = "accepted";
 	else if (a->status == 0 && a->sent)
-		outcome = "unknown"; /* it shows in the next reports */
+		outcome = "unknown"; /* the next reports show it */
 	evt(EVT_ORDER,
 	    "model=%s version=%" G_GINT64_FORMAT
 	    " status=%u outcome=%s age_ms=%" G_GINT64_FORMAT
 	    " running=%u checked_ms=%" G_GINT64_FORMAT,
 	    k->model, c->version, a->status, outcome,
-	    (keeper_now(k) - c->heard_us) / 1000, k->engine.running,
+	    (keeper_now(k) - c->announced_us) / 1000, k->engine.running,
 	    (keeper_now(k) - c->checked_us) / 1000);
 	if (accepted)
 		k->ordered_us = keeper_now(k);
 	else
 		k->refused_us = keeper_now(k);
 	c->checked_us = 0;
-	keeper_ask_report(k);
+	keeper_poll_engine(k);
 }
 
 void
--- a/programs/side/keeper_views.c
+++ b/programs/side/keeper_views.c
@@ -1,4 +1,4 @@
-/* What gateways say is wanted, and who else loads it. */
+/* The gateways' desired state, and the roster of keepers. */
 
 #include <string.h>
 
@@ -6,15 +6,18 @@
 #include "side/keeper.h"
 
 /*
- * A roster comes within milliseconds of the question; one that was lost is
- * asked for again after this. While a deployment grows it changes with each
- * host, and is asked for this often at most.
+ * A roster arrives within milliseconds of the request; if it is lost, it is
+ * requested again after this time. While a deployment grows, the roster changes
+ * with each host and is requested at most once in this time.
  */
-#define ASK_AGAIN_US 100000
-/* Gateways of the own region speak each 0.4 s. When only another region's
- * knows of a newer roster for longer, they are cut off from the store, and it
- * may cross a thin link. */
-#define ASK_FAR_US 600000
+#define ROSTER_RETRY_US 100000
+/*
+ * Gateways of the local region send their desired state every 0.4 s. If only
+ * remote gateways have a newer roster for longer than that, the local ones are
+ * cut off from the store, and the roster may cross a narrow link between
+ * regions.
+ */
+#define ROSTER_REMOTE_US 600000
 
 /* ------------------------------------------------------------------ */
 /* Roster                                                              */
@@ -43,7 +46,7 @@
 static void
 peers_changed(struct keeper_copy *c)
 {
-	if (c != NULL && (c->looked || c->keeper->loaded != 0))
+	if (c != NULL && (c->scanned || c->keeper->loaded != 0))
 		keeper_set_peers(c);
 }
 
@@ -72,109 +75,113 @@
 	slice_copy(page->model, model, sizeof(model));
 	if (strcmp(model, k->model) != 0 || !roster_add_page(k->roster, page))
 		return;
-	k->lacks_us = 0;
+	k->missing_roster_us = 0;
 	take_roster(k);
 	keeper_step(k);
 }
 
 static void
-ask_roster(struct keeper *k, const char *from, const struct side_desired *view,
-    bool near)
+request_roster(struct keeper *k, const char *from,
+    const struct side_desired *desired, bool local)
 {
-	struct roster_id theirs = { (int64_t)view->roster_revision,
-		view->roster_digest, view->roster_count };
-	struct roster_id own = roster_id(k->roster);
-	struct side_roster_request ask = { .model = view->model };
+	struct roster_id announced_id = { (int64_t)desired->roster_revision,
+		desired->roster_digest, desired->roster_count };
+	struct roster_id local_id = roster_id(k->roster);
+	struct side_roster_request request = { .model = desired->model };
 	int64_t now_us = keeper_now(k);
 
-	if (!roster_is_newer(&theirs, &own))
+	if (!roster_is_newer(&announced_id, &local_id))
 		return;
-	if (k->lacks_us == 0)
-		k->lacks_us = now_us;
-	if (!near && keeper_near_gateways(k) > 0 &&
-	    now_us - k->lacks_us < ASK_FAR_US)
+	if (k->missing_roster_us == 0)
+		k->missing_roster_us = now_us;
+	if (!local && keeper_local_gateways(k) > 0 &&
+	    now_us - k->missing_roster_us < ROSTER_REMOTE_US)
 		return;
-	if (k->asked_us != 0 && now_us - k->asked_us < ASK_AGAIN_US)
+	if (k->roster_request_us != 0 &&
+	    now_us - k->roster_request_us < ROSTER_RETRY_US)
 		return;
-	k->asked_us = now_us;
-	dgram_send(k->dgram, from, &side_roster_request_desc, &ask);
+	k->roster_request_us = now_us;
+	dgram_send(k->dgram, from, &side_roster_request_desc, &request);
 }
 
 /* ------------------------------------------------------------------ */
-/* Views                                                               */
+/* Desired state                                                       */
 /* ------------------------------------------------------------------ */
 
 static void
-want(struct keeper *k, const struct side_desired *view, uint64_t version,
-    uint64_t age_ms)
+add_wanted(struct keeper *k, const struct side_desired *desired,
+    uint64_t version, uint64_t age_ms)
 {
-	struct keeper_named named = {
+	struct keeper_announced announced = {
 		.version = (int64_t)version,
-		.heard_us = keeper_now(k) - (int64_t)age_ms * 1000,
-		.chunks = view->chunks,
-		.chunk_bytes = view->chunk_bytes,
+		.announced_us = keeper_now(k) - (int64_t)age_ms * 1000,
+		.chunks = desired->chunks,
+		.chunk_bytes = desired->chunk_bytes,
 	};
 
-	if (view->deadline_ms > 0)
-		named.due_us =
-		    named.heard_us + (int64_t)view->deadline_ms * 1000;
-	stg_deadlines_add(&k->dues, named.version, named.due_us);
-	keeper_want(k, &named);
+	if (desired->deadline_ms > 0)
+		announced.deadline_us = announced.announced_us +
+		    (int64_t)desired->deadline_ms * 1000;
+	stg_deadlines_add(
+	    &k->deadlines, announced.version, announced.deadline_us);
+	keeper_want(k, &announced);
 }
 
-/* Gateways that were cut off may still tell of an older version. */
+/* Ignores versions older than the newest: gateways that were cut off may still
+ * announce one. */
 static void
-take_version(struct keeper *k, const struct side_desired *view)
+take_version(struct keeper *k, const struct side_desired *desired)
 {
-	int64_t version = (int64_t)view->version;
+	int64_t version = (int64_t)desired->version;
 
 	if (k->newest != NULL && version <= k->newest->version) {
 		if (version == k->newest->version)
-			k->newest->told_root = view->root;
+			k->newest->reported_root = desired->root;
 		return;
 	}
-	/* Just started: its part in the older one is waited for, too. */
-	if (view->older != 0 && k->newest == NULL) {
-		want(k, view, view->older, view->older_age_ms);
-		k->newest->told_root = view->older_root;
+	/* This keeper has just started: other keepers need its part in the
+	 * transfer of the older version, too. */
+	if (desired->older != 0 && k->newest == NULL) {
+		add_wanted(k, desired, desired->older, desired->older_age_ms);
+		k->newest->reported_root = desired->older_root;
 	}
-	want(k, view, view->version, view->age_ms);
-	k->newest->told_root = view->root;
+	add_wanted(k, desired, desired->version, desired->age_ms);
+	k->newest->reported_root = desired->root;
 }
 
 static void
-take_model(struct keeper *k, const struct side_desired *view)
+take_model(struct keeper *k, const struct side_desired *desired)
 {
 	char model[KEEPER_NAME_MAX];
 
-	slice_copy(view->model, model, sizeof(model));
+	slice_copy(desired->model, model, sizeof(model));
 	if (strcmp(model, k->model) == 0)
 		return;
 	g_strlcpy(k->model, model, sizeof(k->model));
-	keeper_forget(k);
-	k->dues.n = 0;
+	keeper_drop_all(k);
+	k->deadlines.n = 0;
 	roster_free(k->roster);
 	k->roster = roster_new();
 	g_array_set_size(k->peers, 0);
-	k->asked_us = 0;
+	k->roster_request_us = 0;
 }
 
 void
-keeper_take_view(
-    struct keeper *k, const char *from, const struct side_desired *view)
+keeper_take_desired(
+    struct keeper *k, const char *from, const struct side_desired *desired)
 {
 	char domain[KEEPER_NAME_MAX], region[KEEPER_NAME_MAX];
 
-	slice_copy(view->region, region, sizeof(region));
-	slice_copy(view->origin, k->origin, sizeof(k->origin));
-	slice_copy(view->origin_domain, domain, sizeof(domain));
+	slice_copy(desired->region, region, sizeof(region));
+	slice_copy(desired->origin, k->origin, sizeof(k->origin));
+	slice_copy(desired->origin_domain, domain, sizeof(domain));
 	g_strlcpy(k->origin_region, keeper_region(k, domain),
 	    sizeof(k->origin_region));
-	k->slots = (unsigned int)view->slots;
-	k->may_cut = view->may_cut != 0;
-	take_model(k, view);
-	ask_roster(k, from, view,
+	k->slots = (unsigned int)desired->slots;
+	k->may_cut = desired->may_cut != 0;
+	take_model(k, desired);
+	request_roster(k, from, desired,
 	    strcmp(region, cfg_str(k->st.cfg, "node.region")) == 0);
-	take_version(k, view);
+	take_version(k, desired);
 	keeper_step(k);
 }
