--- a/programs/entry/gateway_relay.c
+++ b/programs/entry/gateway_relay.c
@@ -1,62 +1,62 @@
-/* How full this region's engines are, told to gateways of other regions. */
+/* Relays the load of this region's engines to gateways of other regions. */
 
 #include "entry/gateway.h"
 
 /*
- * A region's gateways hear its keepers each few milliseconds and take turns in
- * telling the others: some gateway of the region speaks this often. Each tells
- * all it knows, so one that is cut off, stands still or lies behind costs its
- * turns and nothing else; who is to speak needs no agreement.
+ * A region's gateways receive the reports of its sidecars every few
+ * milliseconds and take turns in relaying them: some gateway of the region
+ * sends this often. Each relays all that it has, so one that is cut off,
+ * stalled or behind costs only its own turns; the order needs no agreement.
  */
 #define TURN_US 150000
-/* Words that are older are not passed on: of a keeper that fell silent, others
- * must find out. Keepers tell each load again after 0.25 s. */
-#define FRESH_US 400000
-/* A gateway that keepers have not named for so long is told nothing more. */
-#define MATE_SILENT_US 3000000
-/* Spread of a turn's length, so that gateways that start together do not go on
- * speaking together. */
+/* Older reports are not relayed, so that remote gateways notice a sidecar that
+ * is not responding. Sidecars repeat each report after 0.25 s. */
+#define REPORT_MAX_AGE_US 400000
+/* A gateway that no sidecar has reported for this long is sent nothing more. */
+#define REMOTE_TIMEOUT_US 3000000
+/* Random spread of a turn's length, so that gateways that start together do not
+ * keep sending together. */
 #define TURN_SPREAD 0.2
 
-/* A gateway of another region. */
-struct gateway_mate {
-	int64_t named_us; /* by a keeper, last */
+/* A gateway of a remote region. */
+struct gateway_remote {
+	int64_t reported_us; /* last report of it by a sidecar */
 };
 
 void
-gateway_relay_mate(struct gateway *g, const struct side_report *load)
+gateway_relay_mate(struct gateway *g, const struct side_report *report)
 {
-	struct gateway_mate *mate;
+	struct gateway_remote *remote;
 	char address[SV_ADDRESS_MAX];
 
-	if (load->remote_gateway.len == 0)
+	if (report->remote_gateway.len == 0)
 		return;
-	slice_copy(load->remote_gateway, address, sizeof(address));
-	mate = g_hash_table_lookup(g->mates, address);
-	if (mate == NULL) {
-		mate = g_new0(struct gateway_mate, 1);
-		g_hash_table_insert(g->mates, g_strdup(address), mate);
+	slice_copy(report->remote_gateway, address, sizeof(address));
+	remote = g_hash_table_lookup(g->mates, address);
+	if (remote == NULL) {
+		remote = g_new0(struct gateway_remote, 1);
+		g_hash_table_insert(g->mates, g_strdup(address), remote);
 	}
-	mate->named_us = evl_now_us(g->st.loop);
+	remote->reported_us = evl_now_us(g->st.loop);
 }
 
 /* ------------------------------------------------------------------ */
-/* Telling                                                             */
+/* Sending                                                             */
 /* ------------------------------------------------------------------ */
 
 static gboolean
-is_silent(gpointer key, gpointer value, gpointer data)
+has_timed_out(gpointer key, gpointer value, gpointer data)
 {
-	const struct gateway_mate *mate = value;
+	const struct gateway_remote *remote = value;
 	const struct gateway *g = data;
 
-	return evl_now_us(g->st.loop) - mate->named_us > MATE_SILENT_US;
+	return evl_now_us(g->st.loop) - remote->reported_us > REMOTE_TIMEOUT_US;
 }
 
 static void
 send_entries(struct gateway *g, GByteArray *entries)
 {
-	struct side_relay loads = { .entries = {
+	struct side_relay relay = { .entries = {
 					entries->data, entries->len } };
 	GByteArray *packed;
 	GHashTableIter iter;
@@ -64,7 +64,7 @@
 
 	if (entries->len == 0)
 		return;
-	packed = dgram_pack(g->peers, &side_relay_desc, &loads);
+	packed = dgram_pack(g->peers, &side_relay_desc, &relay);
 	g_hash_table_iter_init(&iter, g->mates);
 	while (packed != NULL && g_hash_table_iter_next(&iter, &address, NULL))
 		dgram_send_packed(g->peers, address, &side_relay_desc, packed);
@@ -76,19 +76,19 @@
 static void
 add_entry(const struct tgt *t, GByteArray *entries)
 {
-	struct side_relayed one = {
+	struct side_relayed entry = {
 		.seq = t->side_seq,
 		.total = t->reported,
 		.slowdown_permille = (unsigned int)(t->slowdown * 1000),
 		.slow_link = t->slow_link,
 	};
 
-	g_strlcpy(one.address, t->record.address, sizeof(one.address));
-	side_relayed_put(entries, &one);
+	g_strlcpy(entry.address, t->record.address, sizeof(entry.address));
+	side_relayed_put(entries, &entry);
 }
 
 static void
-tell_service(struct gateway *g, const struct tgt_service *service)
+relay_service(struct gateway *g, const struct tgt_service *service)
 {
 	int64_t now_us = evl_now_us(g->st.loop);
 	GByteArray *entries = g_byte_array_new();
@@ -96,7 +96,7 @@
 
 	TAILQ_FOREACH (t, &service->targets, link) {
 		if (!t->local || t->side_report_us == 0 ||
-		    now_us - t->side_report_us > FRESH_US)
+		    now_us - t->side_report_us > REPORT_MAX_AGE_US)
 			continue;
 		add_entry(t, entries);
 		if (entries->len == SIDE_RELAY_MAX * SIDE_RELAYED_BYTES)
@@ -123,33 +123,33 @@
 	size_t i;
 
 	evl_timer_set(g->st.loop, timer, evl_now_us(g->st.loop) + turn_us(g));
-	g_hash_table_foreach_remove(g->mates, is_silent, g);
+	g_hash_table_foreach_remove(g->mates, has_timed_out, g);
 	if (fwd_routes(g->fwd) == NULL || g_hash_table_size(g->mates) == 0)
 		return;
 	config = rtab_config(fwd_routes(g->fwd));
 	for (i = 0; i < config->nservices; i++) {
 		service = tgt_service(g->set, config->services[i].name);
 		if (service->has_engine)
-			tell_service(g, service);
+			relay_service(g, service);
 	}
 }
 
 /* ------------------------------------------------------------------ */
-/* Hearing                                                             */
+/* Receiving                                                           */
 /* ------------------------------------------------------------------ */
 
 void
-gateway_relay_take(struct gateway *g, const struct side_relay *loads)
+gateway_relay_take(struct gateway *g, const struct side_relay *relay)
 {
-	struct side_relayed one;
+	struct side_relayed entry;
 	struct tgt *t;
 	size_t i;
 
-	for (i = 0; i < side_relayed_count(loads); i++) {
-		side_relayed_get(loads, i, &one);
-		t = tgt_by_address(g->set, one.address);
+	for (i = 0; i < side_relayed_count(relay); i++) {
+		side_relayed_get(relay, i, &entry);
+		t = tgt_by_address(g->set, entry.address);
 		if (t != NULL)
-			tgt_relayed(t, &one, evl_now_us(g->st.loop));
+			tgt_relayed(t, &entry, evl_now_us(g->st.loop));
 	}
 }
 
--- a/programs/entry/gateway_views.c
+++ b/programs/entry/gateway_views.c
@@ -1,4 +1,4 @@
-/* What the gateway tells keepers: what to load, and who else loads it. */
+/* Messages to sidecars: the desired state of their engines, and rosters. */
 
 #include <string.h>
 
@@ -6,13 +6,14 @@
 #include "http/sock.h"
 
 /*
- * Without news a keeper hears this often from each gateway, to know that it
- * lives and to make up for lost news. Gateways of other regions speak less:
- * keepers tell their load to whom they heard in the last three seconds, and
- * each view more crosses a thin link for every pair of the two.
+ * Without a change each gateway repeats the desired state to each sidecar at
+ * these intervals, as a sign of life and to make up for lost messages. It does so
+ * less often to remote regions, as these messages cross a slow link for every
+ * pair of a gateway and a sidecar; sidecars report to each gateway that they
+ * received one from in the last three seconds.
  */
-#define TELL_NEAR_US 400000
-#define TELL_FAR_US 1000000
+#define DESIRED_LOCAL_US 400000
+#define DESIRED_REMOTE_US 1000000
 
 /* ------------------------------------------------------------------ */
 /* Rosters                                                             */
@@ -28,7 +29,7 @@
 	return ntohs(at.sin_port);
 }
 
-/* A keeper stands beside its engine: same host, the port of peers. */
+/* A sidecar runs on the host of its engine and listens on the peers' port. */
 static bool
 keeper_address(const struct tgt *t, unsigned int port, struct sockaddr_in *out)
 {
@@ -65,7 +66,7 @@
 }
 
 static void
-renew_roster(struct gateway *g, const struct tgt_service *service)
+update_roster(struct gateway *g, const struct tgt_service *service)
 {
 	GArray *peers = g_array_new(FALSE, TRUE, sizeof(struct roster_peer));
 	unsigned int port = peers_port(g);
@@ -87,8 +88,8 @@
 }
 
 void
-gateway_views_asked(
-    struct gateway *g, const char *from, const struct side_roster_request *ask)
+gateway_views_asked(struct gateway *g, const char *from,
+    const struct side_roster_request *request)
 {
 	GByteArray *bytes = g_byte_array_new();
 	struct side_roster_page page;
@@ -96,7 +97,7 @@
 	char model[SV_ID_MAX];
 	unsigned int i;
 
-	slice_copy(ask->model, model, sizeof(model));
+	slice_copy(request->model, model, sizeof(model));
 	r = g_hash_table_lookup(g->rosters, model);
 	for (i = 0; r != NULL && i < roster_pages(r); i++) {
 		roster_page(r, i, bytes, &page);
@@ -108,10 +109,10 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Views                                                               */
+/* Desired state                                                       */
 /* ------------------------------------------------------------------ */
 
-/* The service that is the weights' origin; NULL: there is none. */
+/* The service that is the origin of weights; NULL: there is none. */
 static const struct sv_service *
 origin_of(const struct sv_config *config)
 {
@@ -124,9 +125,9 @@
 	return NULL;
 }
 
-/* The newest that was named, or else the newest that any engine has. */
+/* The newest version that was announced or that an engine has loaded. */
 static int64_t
-version_wanted(struct gateway *g, const struct tgt_service *service)
+desired_version(struct gateway *g, const struct tgt_service *service)
 {
 	int64_t version = vers_newest(g->named, service->engine.model);
 	const struct tgt *t;
@@ -138,7 +139,7 @@
 	return MAX(version, GATEWAY_FIRST_VERSION);
 }
 
-/* The root that enough keepers found; none otherwise. */
+/* The root on which enough sidecars agree; none otherwise. */
 struct digest
 gateway_agreed_root(const struct tgt_service *service, int64_t version)
 {
@@ -159,8 +160,8 @@
 	return none;
 }
 
-/* Keepers tell the root of the newest version only; that of the one before
- * is kept for those that start now. */
+/* Sidecars report only the root of the newest version; the root of the previous
+ * one is retained for sidecars that start now. */
 static void
 note_agreed(struct tgt_service *service, int64_t version)
 {
@@ -187,52 +188,56 @@
 }
 
 static void
-fill_view(
-    struct gateway *g, struct tgt_service *service, struct side_desired *view)
+fill_desired(struct gateway *g, struct tgt_service *service,
+    struct side_desired *desired)
 {
 	const struct sv_engine *e = &service->engine;
-	int64_t heard_us = vers_announced_us(g->named, e->model);
+	int64_t announced_us = vers_announced_us(g->named, e->model);
 	const struct sv_service *origin =
 	    origin_of(rtab_config(fwd_routes(g->fwd)));
 	int64_t now_us = evl_now_us(g->st.loop);
 	struct roster_id roster = roster_id(roster_of(g, service));
 
-	view->region = slice_str(cfg_str(g->st.cfg, "node.region"));
-	view->start = g->seed;
-	view->model = slice_str(e->model);
-	view->version = (uint64_t)version_wanted(g, service);
-	note_agreed(service, (int64_t)view->version);
-	view->root = known_root(service, (int64_t)view->version);
-	view->age_ms = heard_us == 0 ? 0 : (uint64_t)(now_us - heard_us) / 1000;
-	view->older =
-	    (uint64_t)vers_pending(g->named, e->model, now_us, &heard_us);
-	if (view->older != 0)
-		view->older_age_ms = (uint64_t)(now_us - heard_us) / 1000;
-	view->older_root = known_root(service, (int64_t)view->older);
-	view->deadline_ms = (uint64_t)cfg_int(g->st.cfg, "bounds.version_ms");
+	desired->region = slice_str(cfg_str(g->st.cfg, "node.region"));
+	desired->start = g->seed;
+	desired->model = slice_str(e->model);
+	desired->version = (uint64_t)desired_version(g, service);
+	note_agreed(service, (int64_t)desired->version);
+	desired->root = known_root(service, (int64_t)desired->version);
+	desired->age_ms =
+	    announced_us == 0 ? 0 : (uint64_t)(now_us - announced_us) / 1000;
+	desired->older =
+	    (uint64_t)vers_pending(g->named, e->model, now_us, &announced_us);
+	if (desired->older != 0)
+		desired->older_age_ms =
+		    (uint64_t)(now_us - announced_us) / 1000;
+	desired->older_root = known_root(service, (int64_t)desired->older);
+	desired->deadline_ms =
+	    (uint64_t)cfg_int(g->st.cfg, "bounds.version_ms");
 	if (origin != NULL) {
-		view->origin = slice_str(origin->origin);
-		view->origin_domain = slice_str(origin->domain);
+		desired->origin = slice_str(origin->origin);
+		desired->origin_domain = slice_str(origin->domain);
 	}
-	view->chunks = e->chunks;
-	view->chunk_bytes = e->chunk_bytes;
-	view->slots = e->slots;
-	view->store_down = g->store_away;
-	view->may_cut =
+	desired->chunks = e->chunks;
+	desired->chunk_bytes = e->chunk_bytes;
+	desired->slots = e->slots;
+	desired->store_down = g->store_away;
+	desired->may_cut =
 	    sv_config_may_cut(rtab_config(fwd_routes(g->fwd)), service->name);
-	view->roster_revision = (uint64_t)roster.revision;
-	view->roster_digest = roster.digest;
-	view->roster_count = roster.count;
+	desired->roster_revision = (uint64_t)roster.revision;
+	desired->roster_digest = roster.digest;
+	desired->roster_count = roster.count;
 }
 
-/* Which keepers are told at this moment, beside those that never were. */
-struct due {
-	bool near, far;
+/* Regions whose sidecars are sent the desired state now, in addition to
+ * sidecars that were never sent it. */
+struct recipients {
+	bool local, remote;
 };
 
 static void
-send_views(struct gateway *g, struct tgt_service *service,
-    const struct due *due, const GByteArray *packed)
+send_desired(struct gateway *g, struct tgt_service *service,
+    const struct recipients *recipients, const GByteArray *packed)
 {
 	unsigned int port = peers_port(g);
 	struct sockaddr_in at;
@@ -240,7 +245,8 @@
 	char to[SV_ADDRESS_MAX];
 
 	TAILQ_FOREACH (t, &service->targets, link) {
-		if (t->gateway_announced && !(t->local ? due->near : due->far))
+		if (t->gateway_announced &&
+		    !(t->local ? recipients->local : recipients->remote))
 			continue;
 		if (!keeper_address(t, port, &at))
 			continue;
@@ -251,68 +257,72 @@
 }
 
 static void
-tell_service(
-    struct gateway *g, struct tgt_service *service, const struct due *due)
+publish_service(struct gateway *g, struct tgt_service *service,
+    const struct recipients *recipients)
 {
-	struct side_desired view = { 0 };
+	struct side_desired desired = { 0 };
 	GByteArray *packed;
 
 	ctr_add(ctr_get(g->st.counters, "views_told"), 1);
-	renew_roster(g, service);
-	fill_view(g, service, &view);
-	packed = dgram_pack(g->peers, &side_desired_desc, &view);
+	update_roster(g, service);
+	fill_desired(g, service, &desired);
+	packed = dgram_pack(g->peers, &side_desired_desc, &desired);
 	if (packed == NULL) {
 		ctr_add(ctr_get(g->st.counters, "views_too_large"), 1);
 		return;
 	}
-	send_views(g, service, due, packed);
+	send_desired(g, service, recipients, packed);
 	g_byte_array_unref(packed);
 }
 
-static struct due
-take_due(struct gateway *g)
+static struct recipients
+next_recipients(struct gateway *g)
 {
 	int64_t now_us = evl_now_us(g->st.loop);
-	struct due due = {
-		.near = g->news || now_us - g->told_near_us >= TELL_NEAR_US,
-		.far = g->news || now_us - g->told_far_us >= TELL_FAR_US,
+	struct recipients recipients = {
+		.local =
+		    g->news || now_us - g->told_near_us >= DESIRED_LOCAL_US,
+		.remote =
+		    g->news || now_us - g->told_far_us >= DESIRED_REMOTE_US,
 	};
 
 	g->news = false;
-	if (due.near)
+	if (recipients.local)
 		g->told_near_us = now_us;
-	if (due.far)
+	if (recipients.remote)
 		g->told_far_us = now_us;
-	return due;
+	return recipients;
 }
 
 static void
-on_tell(struct evl_timer *timer)
+on_desired_timer(struct evl_timer *timer)
 {
 	struct gateway *g = CONTAINER_OF(timer, struct gateway, tell);
 	const struct sv_config *config;
 	struct tgt_service *service;
-	struct due due;
+	struct recipients recipients;
 	size_t i;
 
-	evl_timer_set(g->st.loop, timer, evl_now_us(g->st.loop) + TELL_NEAR_US);
+	evl_timer_set(
+	    g->st.loop, timer, evl_now_us(g->st.loop) + DESIRED_LOCAL_US);
 	if (fwd_routes(g->fwd) == NULL)
 		return;
-	due = take_due(g);
+	recipients = next_recipients(g);
 	config = rtab_config(fwd_routes(g->fwd));
 	for (i = 0; i < config->nservices; i++) {
 		service = tgt_service(g->set, config->services[i].name);
 		if (service->has_engine && service->engine.chunks > 0)
-			tell_service(g, service, &due);
+			publish_service(g, service, &recipients);
 	}
 }
 
 /*
- * A page of the store's list brings hundreds of targets at once. A view for
- * each of them to all keepers would be their number squared, more than the
- * links between regions carry in the first seconds, and settings would come
- * late. So views wait for the end of the wake-up; and of a target that is new
- * only its own keeper hears at once, the others by the next view's roster.
+ * A page of the store's list contains hundreds of targets. Sending the desired
+ * state to all sidecars for each of them would take the square of their number
+ * in messages, more than the links between regions carry in the first seconds,
+ * and settings would arrive late. So messages wait for the end of the wake-up,
+ * and a new target causes one to its own sidecar only; the others learn of the
+ * target from the roster in the next periodic message.
  */
 void
 gateway_views_greet(struct gateway *g)
@@ -338,7 +348,7 @@
 {
 	g->rosters =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_roster);
-	g->tell.fire = on_tell;
+	g->tell.fire = on_desired_timer;
 	evl_timer_set(
-	    g->st.loop, &g->tell, evl_now_us(g->st.loop) + TELL_NEAR_US);
+	    g->st.loop, &g->tell, evl_now_us(g->st.loop) + DESIRED_LOCAL_US);
 }
