--- a/programs/entry/gateway_ends.c
+++ b/programs/entry/gateway_ends.c
@@ -1,24 +1,28 @@
-/* Requests under which targets ended: what keepers are told, and tell. */
+/*
+ * Terminations of targets and the requests that were in flight there: exchanged
+ * with the sidecars that count them for all gateways.
+ */
 
 #include "entry/gateway.h"
 
-/* Keepers that count the ends of one content. They are found by rendezvous
- * hashing among those that are heard; gateways that hear others than this one
- * still have some of them in common. */
+/* Sidecars that count the terminations of one fingerprint. They are selected by
+ * rendezvous hashing among the live ones, so that gateways that receive reports
+ * from different sidecars still select some of the same. */
 #define COUNTERS 3
-/* What is held is told again this often: keepers may have started again, or
- * others may be the ones that count. */
+/* Terminations of blocked requests are sent again this often: sidecars may have
+ * restarted, or other ones may now be selected. */
 #define REFRESH_US 5000000
 
 static void
-send_ends(
-    struct gateway *g, uint64_t content, const struct side_terminations *ends)
+send_terminations(struct gateway *g, uint64_t fingerprint,
+    const struct side_terminations *ends)
 {
 	const struct tgt *at[COUNTERS];
 	char to[SV_ADDRESS_MAX];
 	size_t n, i;
 
-	n = tgt_sides(g->set, content, evl_now_us(g->st.loop), at, COUNTERS);
+	n = tgt_sides(
+	    g->set, fingerprint, evl_now_us(g->st.loop), at, COUNTERS);
 	for (i = 0; i < n; i++) {
 		if (gateway_keeper_of(g, at[i], to))
 			dgram_send(g->peers, to, &side_terminations_desc, ends);
@@ -37,12 +41,12 @@
 		g_byte_array_set_size(entry, 0);
 		side_termination_put(entry, &ends[i], evl_now_us(g->st.loop));
 		one.entries = (struct slice){ entry->data, entry->len };
-		send_ends(g, ends[i].content, &one);
+		send_terminations(g, ends[i].content, &one);
 	}
 	g_byte_array_unref(entry);
 }
 
-/* Tells all ends of each content that is held, one datagram a content. */
+/* Sends all terminations of each blocked fingerprint, one datagram for each. */
 static void
 refresh(struct gateway *g)
 {
@@ -59,7 +63,7 @@
 		if (i + 1 < ends->len && end[1].content == end->content)
 			continue;
 		message.entries = (struct slice){ entries->data, entries->len };
-		send_ends(g, end->content, &message);
+		send_terminations(g, end->content, &message);
 		g_byte_array_set_size(entries, 0);
 	}
 	g_byte_array_unref(entries);
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -1,4 +1,4 @@
-/* What keepers tell the gateway: how full engines are, and what they hold. */
+/* Status reports of sidecars: the load of engines and their weights. */
 
 #include <string.h>
 
@@ -14,26 +14,27 @@
 	fwd_budget(g->fwd)->sharers = n;
 }
 
-/* True when the keeper's word on a root is news. */
+/* Stores the root digest that the sidecar reported; true if it is new. */
 static bool
-note_root(struct tgt *t, const struct side_report *load)
+note_root(struct tgt *t, const struct side_report *report)
 {
 	struct digest root;
 
-	if (load->root.len != DIGEST_BYTES)
+	if (report->root.len != DIGEST_BYTES)
 		return false;
-	memcpy(root.bytes, load->root.data, DIGEST_BYTES);
-	if (t->root_version == (int64_t)load->wanted &&
+	memcpy(root.bytes, report->root.data, DIGEST_BYTES);
+	if (t->root_version == (int64_t)report->wanted &&
 	    digest_equal(&t->root, &root))
 		return false;
 	t->root = root;
-	t->root_version = (int64_t)load->wanted;
+	t->root_version = (int64_t)report->wanted;
 	return true;
 }
 
-/* News of a root go on at once while they decide something. */
+/* True if the latest report completes the votes for a root: the desired state
+ * is then sent at once. */
 static bool
-root_matters(struct gateway *g, const struct tgt *t)
+completes_votes(struct gateway *g, const struct tgt *t)
 {
 	struct digest root = gateway_agreed_root(t->service, t->root_version);
 	const struct tgt *other;
@@ -47,42 +48,42 @@
 }
 
 static void
-note_engine(struct gateway *g, struct tgt *t, const struct side_report *load)
+note_engine(struct gateway *g, struct tgt *t, const struct side_report *report)
 {
 	int64_t now_us = evl_now_us(g->st.loop);
-	bool down = load->engine != SIDE_ENGINE_UP;
-	bool had_ended = t->terminated;
+	bool down = report->engine != SIDE_ENGINE_UP;
+	bool was_terminated = t->terminated;
 
-	if (down != t->side_down || (int64_t)load->version != t->version)
+	if (down != t->side_down || (int64_t)report->version != t->version)
 		evt(EVT_SIDE,
 		    "target=%s engine=%s version=%" G_GUINT64_FORMAT
 		    " running=%" G_GUINT64_FORMAT,
 		    t->record.id,
-		    load->engine == SIDE_ENGINE_UP            ? "up"
-			: load->engine == SIDE_ENGINE_LOADING ? "loading"
-							      : "down",
-		    load->version, load->running);
+		    report->engine == SIDE_ENGINE_UP            ? "up"
+			: report->engine == SIDE_ENGINE_LOADING ? "loading"
+								: "down",
+		    report->version, report->running);
 	tgt_set_side_down(t, down, now_us);
-	t->terminated = load->engine == SIDE_ENGINE_DOWN;
-	if (t->terminated && !had_ended)
+	t->terminated = report->engine == SIDE_ENGINE_DOWN;
+	if (t->terminated && !was_terminated)
 		fwd_target_ended(g->fwd, t);
-	g_strlcpy(t->model, load->version > 0 ? t->service->engine.model : "",
+	g_strlcpy(t->model, report->version > 0 ? t->service->engine.model : "",
 	    sizeof(t->model));
-	t->version = (int64_t)load->version;
-	tgt_set_slowdown(t, load->slowdown_permille);
+	t->version = (int64_t)report->version;
+	tgt_set_slowdown(t, report->slowdown_permille);
 }
 
-/* A version that keepers have heard of so long ago. The first was never named:
- * engines have it from the beginning. */
+/* Notes a version that a sidecar learned of `age_ms` ago. The first version is
+ * never announced: engines have it from the start. */
 static void
-note_told(
+note_announced(
     struct gateway *g, const char *model, uint64_t version, uint64_t age_ms)
 {
-	int64_t heard_us = evl_now_us(g->st.loop) - (int64_t)age_ms * 1000;
+	int64_t announced_us = evl_now_us(g->st.loop) - (int64_t)age_ms * 1000;
 
 	if (version <= GATEWAY_FIRST_VERSION)
 		return;
-	if (vers_reported(g->named, model, (int64_t)version, heard_us))
+	if (vers_reported(g->named, model, (int64_t)version, announced_us))
 		evt(EVT_VERSION,
 		    "model=%s version=%" G_GUINT64_FORMAT
 		    " from=keeper age_ms=%" G_GUINT64_FORMAT,
@@ -90,53 +91,55 @@
 }
 
 /*
- * A gateway that starts after a version was named does not know when that was
- * and would refuse engines that may still serve; of two it knows the newest
- * alone, and would use engines that may not; one whose watch is silent does not
- * know of any. Keepers have heard of them from the others.
+ * A gateway that starts after a version was announced does not know when, and
+ * would refuse engines that may still serve. Of two pending versions it knows
+ * only the newest, and would use engines that may no longer serve. A gateway
+ * whose watch is stalled knows of neither. Sidecars have received the
+ * announcements from other gateways.
  */
 static void
 note_wanted(struct gateway *g, const struct tgt_service *service,
-    const struct side_report *load)
+    const struct side_report *report)
 {
 	const char *model = service->engine.model;
 
-	note_told(g, model, load->wanted, load->wanted_age_ms);
-	note_told(g, model, load->older, load->older_age_ms);
+	note_announced(g, model, report->wanted, report->wanted_age_ms);
+	note_announced(g, model, report->older, report->older_age_ms);
 }
 
-/* A gateway that alone finds the store away may be cut off itself. */
-#define ALL_AWAY_GATEWAYS 2
+/* A single gateway without the store may itself be cut off from it. */
+#define ALL_DOWN_MIN_GATEWAYS 2
 
 static void
-take_load(struct gateway *g, const struct side_report *load)
+take_report(struct gateway *g, const struct side_report *report)
 {
 	char address[SV_ADDRESS_MAX];
 	int64_t now_us = evl_now_us(g->st.loop);
 	struct tgt *t;
 
-	slice_copy(load->address, address, sizeof(address));
+	slice_copy(report->address, address, sizeof(address));
 	t = tgt_by_address(g->set, address);
 	if (t == NULL)
 		return;
 	t = gateway_renew(
-	    g, t, tgt_side_started(g->set, t, (int64_t)load->start_ms));
-	note_engine(g, t, load);
-	tgt_side_reported(t, (uint32_t)load->seq, now_us);
-	tgt_set_load(t, (unsigned int)(load->running + load->waiting), now_us);
-	gateway_rate_load(g, t, load);
-	note_gateways(g, (unsigned int)load->gateways);
-	t->region_gateways = (unsigned int)load->local_gateways;
-	t->slow_link = load->slow_link != 0;
+	    g, t, tgt_side_started(g->set, t, (int64_t)report->start_ms));
+	note_engine(g, t, report);
+	tgt_side_reported(t, (uint32_t)report->seq, now_us);
+	tgt_set_load(
+	    t, (unsigned int)(report->running + report->waiting), now_us);
+	gateway_rate_load(g, t, report);
+	note_gateways(g, (unsigned int)report->gateways);
+	t->region_gateways = (unsigned int)report->local_gateways;
+	t->slow_link = report->slow_link != 0;
 	if (t->local) {
-		g->near_gateways = (unsigned int)load->local_gateways;
-		gateway_relay_mate(g, load);
+		g->near_gateways = (unsigned int)report->local_gateways;
+		gateway_relay_mate(g, report);
 	}
-	if (load->gateways >= ALL_AWAY_GATEWAYS &&
-	    load->without_store == load->gateways)
+	if (report->gateways >= ALL_DOWN_MIN_GATEWAYS &&
+	    report->without_store == report->gateways)
 		g->all_away_us = now_us;
-	note_wanted(g, t->service, load);
-	if (note_root(t, load) && root_matters(g, t))
+	note_wanted(g, t->service, report);
+	if (note_root(t, report) && completes_votes(g, t))
 		gateway_views_news(g);
 }
 
@@ -144,25 +147,25 @@
 on_message(const char *from, const struct msg *m, void *ctx)
 {
 	struct gateway *g = ctx;
-	struct side_report load;
-	struct side_relay loads;
-	struct side_roster_request ask;
+	struct side_report report;
+	struct side_relay relay;
+	struct side_roster_request request;
 	struct side_permit permit;
-	struct side_terminations ends;
+	struct side_terminations terminations;
 	struct side_rate rate;
 
-	if (msg_read(m, &side_report_desc, &load, NULL))
-		take_load(g, &load);
-	else if (msg_read(m, &side_relay_desc, &loads, NULL))
-		gateway_relay_take(g, &loads);
+	if (msg_read(m, &side_report_desc, &report, NULL))
+		take_report(g, &report);
+	else if (msg_read(m, &side_relay_desc, &relay, NULL))
+		gateway_relay_take(g, &relay);
 	else if (msg_read(m, &side_permit_desc, &permit, NULL))
 		gateway_rate_permit(g, &permit);
 	else if (msg_read(m, &side_rate_desc, &rate, NULL))
 		gateway_rate_told(g, &rate);
-	else if (msg_read(m, &side_terminations_desc, &ends, NULL))
-		gateway_ends_take(g, &ends);
-	else if (msg_read(m, &side_roster_request_desc, &ask, NULL))
-		gateway_views_asked(g, from, &ask);
+	else if (msg_read(m, &side_terminations_desc, &terminations, NULL))
+		gateway_ends_take(g, &terminations);
+	else if (msg_read(m, &side_roster_request_desc, &request, NULL))
+		gateway_views_asked(g, from, &request);
 	fwd_pump(g->fwd);
 }
 
--- a/programs/entry/gateway_rate.c
+++ b/programs/entry/gateway_rate.c
@@ -1,39 +1,46 @@
-/* Rate limits of targets: what keepers are told, and permits that they give. */
+/* Rate limits of targets: reports to and from sidecars, and their permits. */
 
 #include <string.h>
 
 #include "entry/gateway.h"
 
-/* What its own answers said. But a question is asked by the limit that it holds
- * to: a keeper that has just started would take an old answer for the end. */
+/*
+ * The limit that answers of the target to this gateway stated; before any, the
+ * limit that is applied here. A permit request carries the latter also if those
+ * answers stated none: a sidecar that has just started would take an old answer
+ * without a limit for the end of the limit.
+ */
 static struct side_rate
-word_of(const struct tgt *t, bool ask, int64_t now_us)
+rate_report(const struct tgt *t, bool want_permit, int64_t now_us)
 {
 	const struct rate *r = &t->rate;
-	bool own = r->local_us != 0 && (r->local_limit > 0 || !ask);
+	bool direct = r->local_us != 0 && (r->local_limit > 0 || !want_permit);
 
 	return (struct side_rate){
 		.address = slice_str(t->record.address),
-		.limit_milli = rate_to_milli(own ? r->local_limit : r->limit),
-		.direct = own,
-		.want_permit = ask,
+		.limit_milli =
+		    rate_to_milli(direct ? r->local_limit : r->limit),
+		.direct = direct,
+		.want_permit = want_permit,
 		.age_ms =
-		    own ? (uint64_t)MAX(0, now_us - r->local_us) / 1000 : 0,
+		    direct ? (uint64_t)MAX(0, now_us - r->local_us) / 1000 : 0,
 	};
 }
 
 static void
-tell_rate(const struct tgt *t, const struct tgt *at, bool ask, void *ctx)
+send_rate(
+    const struct tgt *t, const struct tgt *at, bool want_permit, void *ctx)
 {
 	struct gateway *g = ctx;
-	struct side_rate word = word_of(t, ask, evl_now_us(g->st.loop));
+	struct side_rate report =
+	    rate_report(t, want_permit, evl_now_us(g->st.loop));
 	char to[SV_ADDRESS_MAX];
 
 	if (!gateway_keeper_of(g, at, to))
 		return;
-	if (ask)
+	if (want_permit)
 		ctr_add(ctr_get(g->st.counters, "permits_asked"), 1);
-	dgram_send(g->peers, to, &side_rate_desc, &word);
+	dgram_send(g->peers, to, &side_rate_desc, &report);
 }
 
 void
@@ -41,18 +48,18 @@
 {
 	struct tgt_policy *policy = tgt_set_policy(g->set);
 
-	policy->report_rate = tell_rate;
+	policy->report_rate = send_rate;
 	policy->rate_ctx = g;
 }
 
 void
 gateway_rate_load(
-    struct gateway *g, struct tgt *t, const struct side_report *load)
+    struct gateway *g, struct tgt *t, const struct side_report *report)
 {
 	double before = t->rate.limit;
-	double limit = rate_of_milli(load->limit_milli);
+	double limit = rate_of_milli(report->limit_milli);
 
-	if (load->limit_known &&
+	if (report->limit_known &&
 	    rate_side_reported(&t->rate, limit, evl_now_us(g->st.loop)))
 		evt(EVT_LIMIT,
 		    "target=%s address=%s limit=%.2f before=%.2f from=keeper",
