--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -1,4 +1,4 @@
-/* The gateway: set-up, beliefs from the store, readiness, stop. */
+/* The gateway: set-up, local copies of the store, readiness, planned stop. */
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,15 +9,16 @@
 #include "shared/proc.h"
 
 #define TICK_US 100000
-/* Part of the retry budget that is used; the rest is for gateways that start
- * or stop, and for windows that do not begin with this process's slots. */
+/* Fraction of the retry budget that is spent; the rest allows for gateways that
+ * start or stop, and for windows not aligned with this process's slots. */
 #define BUDGET_USED 0.8
-/* Descriptors left for files and for calls to targets. */
+/* Descriptors reserved for files and for calls to targets. */
 #define DESCRIPTORS_KEPT 1200
-/* Share of the memory that bodies of requests may hold. */
+/* Share of the memory that request bodies may take. */
 #define BODIES_SHARE 0.25
+
 /* ------------------------------------------------------------------ */
-/* Beliefs from the store                                              */
+/* Updates from the store                                              */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -34,7 +35,7 @@
 	struct rtab *before = fwd_routes(g->fwd);
 
 	if (before != NULL && rtab_config(before)->version >= config->version) {
-		/* Settings never go back. */
+		/* Settings never revert to an older version. */
 		evt(EVT_CONFIG,
 		    "version=%" G_GINT64_FORMAT
 		    " outcome=older_than_%" G_GINT64_FORMAT,
@@ -52,17 +53,17 @@
 	    " routes=%zu workspaces=%zu outcome=in_force",
 	    config->version, config->nroutes, config->nworkspaces);
 	fwd_set_routes(g->fwd, rtab_new(config));
-	/* Views that fell due before were not sent: keepers that have just
-	 * started would wait for the next, up to 0.4 s. */
+	/* Without settings no desired state was sent: sidecars that have just
+	 * started would wait for the next periodic one, up to 0.4 s. */
 	if (before == NULL)
 		gateway_views_news(g);
 }
 
 static void
-config_removed(const char *name, bool lapsed, void *ctx)
+config_removed(const char *name, bool expired, void *ctx)
 {
-	/* The operators' settings are never taken away whole; what is known
-	 * stays in force. */
+	/* Operators never remove the settings as a whole: the known version
+	 * stays active. */
 	evt(EVT_CONFIG, "outcome=removed_ignored");
 }
 
@@ -93,31 +94,32 @@
 target_put(const char *name, void *value, void *ctx)
 {
 	struct gateway *g = ctx;
-	struct sv_target *says = value;
-	const struct tgt *before = tgt_find(g->set, says->id);
+	struct sv_target *record = value;
+	const struct tgt *before = tgt_find(g->set, record->id);
 	bool is_new = before == NULL;
 
-	gateway_renew(g, before, tgt_put(g->set, says, evl_now_us(g->st.loop)));
+	gateway_renew(
+	    g, before, tgt_put(g->set, record, evl_now_us(g->st.loop)));
 	evt(EVT_TARGET,
 	    "target=%s service=%s address=%s state=%s model_version=%" G_GINT64_FORMAT
 	    " revision=%" G_GINT64_FORMAT,
-	    says->id, says->service, says->address,
-	    says->leaving ? "leaving" : "ready", says->model_version,
+	    record->id, record->service, record->address,
+	    record->leaving ? "leaving" : "ready", record->model_version,
 	    store_cache_revision(g->targets));
 	if (is_new)
 		gateway_views_greet(g);
-	g_free(says);
+	g_free(record);
 	fwd_pump(g->fwd);
 }
 
 static void
-target_removed(const char *name, bool lapsed, void *ctx)
+target_removed(const char *name, bool expired, void *ctx)
 {
 	struct gateway *g = ctx;
 
 	evt(EVT_TARGET_GONE, "target=%s how=%s", name,
-	    lapsed ? "missing_after_silence" : "told");
-	tgt_removed(g->set, name, lapsed, evl_now_us(g->st.loop));
+	    expired ? "missing_after_silence" : "told");
+	tgt_removed(g->set, name, expired, evl_now_us(g->st.loop));
 }
 
 static void
@@ -148,7 +150,7 @@
 }
 
 static void
-version_removed(const char *name, bool lapsed, void *ctx)
+version_removed(const char *name, bool expired, void *ctx)
 {
 	evt(EVT_VERSION, "model=%s outcome=removed_ignored", name);
 }
@@ -188,7 +190,7 @@
 }
 
 static void
-on_ready_asked(struct hreq *r, void *ctx)
+on_ready_request(struct hreq *r, void *ctx)
 {
 	struct gateway *g = ctx;
 
@@ -197,7 +199,7 @@
 }
 
 static void
-on_nothing(struct hreq *r, void *ctx)
+ignore_request(struct hreq *r, void *ctx)
 {
 }
 
@@ -210,9 +212,9 @@
 }
 
 static const struct hserver_ops ready_ops = {
-	.request = on_ready_asked,
-	.left = on_nothing,
-	.drained = on_nothing,
+	.request = on_ready_request,
+	.left = ignore_request,
+	.drained = ignore_request,
 	.refused = on_refused,
 };
 
@@ -220,38 +222,39 @@
 /* Time                                                                */
 /* ------------------------------------------------------------------ */
 
-/* A word of keepers on the store's silence is believed for so long: they hear
- * of it at once and tell their region's gateways every 0.25 s. */
-#define ALL_AWAY_FRESH_US 1000000
+/* Validity of a sidecar's report that the store answers no gateway: sidecars
+ * are notified at once and report to their region's gateways every 0.25 s. */
+#define ALL_DOWN_VALID_US 1000000
 
-/* Keepers count the gateways that the store does not answer. */
+/* Sidecars count the gateways that the store does not answer. */
 static void
-tell_store_away(struct gateway *g)
+send_store_state(struct gateway *g)
 {
-	bool away = store_down_since_us(g->store) != 0;
+	bool down = store_down_since_us(g->store) != 0;
 
-	if (away == g->store_away)
+	if (down == g->store_away)
 		return;
-	g->store_away = away;
+	g->store_away = down;
 	gateway_views_news(g);
 }
 
 /*
- * While the store answers none of the gateways, no operator can name, halt or
- * replace a version, and the time until one is due does not run. Were it to,
- * engines whose next weights come late would be left alone by all gateways,
- * and callers refused, for a moment that does not bind: in outages of 8 s with
- * a version on its way, two thirds of the callers of 6 to 8 s. One gateway's
- * word is not enough: a cut between it and the store is no outage.
+ * While the store answers none of the gateways, no operator can announce, halt
+ * or replace a version, and the time until a version's deadline does not run.
+ * Otherwise all gateways would stop using engines whose next weights arrive
+ * late, and would refuse callers, for a deadline that does not apply: in
+ * outages of 8 s during the transfer of a version, two thirds of the callers
+ * between 6 and 8 s. One gateway's state is not enough: a broken link between
+ * it and the store is no outage.
  */
 static void
-hold_due_times(struct gateway *g, int64_t now_us)
+extend_deadlines(struct gateway *g, int64_t now_us)
 {
-	int64_t away_us = store_down_since_us(g->store);
+	int64_t down_since_us = store_down_since_us(g->store);
 
-	if (away_us != 0 && g->all_away_us != 0 &&
-	    now_us - g->all_away_us < ALL_AWAY_FRESH_US)
-		vers_extend(g->named, away_us, now_us);
+	if (down_since_us != 0 && g->all_away_us != 0 &&
+	    now_us - g->all_away_us < ALL_DOWN_VALID_US)
+		vers_extend(g->named, down_since_us, now_us);
 }
 
 static int64_t
@@ -290,8 +293,8 @@
 
 	tgt_sweep(g->set, now_us);
 	fwd_sweep(g->fwd);
-	tell_store_away(g);
-	hold_due_times(g, now_us);
+	send_store_state(g);
+	extend_deadlines(g, now_us);
 	check_ready(g);
 	fwd_pump(g->fwd);
 	if (g->stopping_us != 0)
@@ -340,21 +343,22 @@
 }
 
 /*
- * Part of the time in which a target's leaving must be heeded that news of
- * targets gather. Each engine's entry changes when it comes, loads a version or
- * goes: in a deployment of hundreds there is always one, and each gateway would
- * pay for a call as often as calls can be made. Twice 0.6 s for an answer that
- * is lost and the next still fit beside it.
+ * Batch delay of target updates as a share of the time within which a target
+ * that leaves must get no more requests. An engine's record changes whenever it
+ * starts, loads a version or stops: among hundreds of engines there is always
+ * one that does, and each gateway would call the store again as soon as the
+ * last call returns. The rest of the time leaves room for twice 0.6 s, a lost
+ * answer and the next one.
  */
-#define TARGETS_GATHER_SHARE 0.2
+#define TARGETS_BATCH_SHARE 0.2
 
 static void
-apply_gather(struct gateway *g)
+apply_batch_delay(struct gateway *g)
 {
 	int64_t drain_us = cfg_int(g->st.cfg, "bounds.drain_ms") * 1000;
 
 	store_cache_set_batch_delay(
-	    g->targets, (int64_t)((double)drain_us * TARGETS_GATHER_SHARE));
+	    g->targets, (int64_t)((double)drain_us * TARGETS_BATCH_SHARE));
 }
 
 static void
@@ -363,7 +367,7 @@
 	struct gateway *g = ctx;
 
 	apply_settings(g);
-	apply_gather(g);
+	apply_batch_delay(g);
 	store_set_address(g->store, cfg_str(g->st.cfg, "store.address"));
 }
 
@@ -393,7 +397,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-open_decisions(struct gateway *g)
+open_policy(struct gateway *g)
 {
 	const struct cfg *cfg = g->st.cfg;
 	static const struct tgt_policy none;
@@ -438,7 +442,7 @@
 	    store_cache_new(g->store, &adapter_targets, &target_ops, g);
 	g->versions =
 	    store_cache_new(g->store, &adapter_versions, &version_ops, g);
-	apply_gather(g);
+	apply_batch_delay(g);
 }
 
 static bool
@@ -459,7 +463,7 @@
 		.ctx = g->fwd,
 	};
 
-	/* Until the operators' limits are known. */
+	/* Defaults until the operators' settings have arrived. */
 	g->limits = (struct hlimits){ .head_bytes = 16384,
 		.body_bytes = 4 << 20,
 		.head_us = 3000000,
@@ -486,7 +490,7 @@
 	g->st.ctx = g;
 	if (!station_open(&g->st, "gateway", err))
 		return false;
-	open_decisions(g);
+	open_policy(g);
 	if (!open_servers(g, err) || !gateway_peers_open(g, err))
 		return false;
 	open_store(g);
