--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -1,30 +1,31 @@
 /*
- * Admission of callers' requests: the team's limit over all entries, the
- * queues of this entry, the retry budget. The decisions are adm_*, lim_* and
- * bud_*; here they get their clock, their load and their words to the others.
+ * Admission of callers' requests: the workspace's rate limit over all entries,
+ * the admission queues and the retry budget of this entry. The decisions are
+ * made by adm_*, lim_* and bud_*; this file provides the clock and the load and
+ * exchanges messages with the other entries.
  */
 
 #include <string.h>
 
 #include "entry/entry.h"
 
-/* Requests one entry passes on at a time, whatever the targets could take:
- * bounds its memory (a held answer is up to RT_WINDOW). */
+/* Requests in progress at one entry, whatever the capacity of the targets:
+ * bounds its memory (a buffered answer takes up to RT_WINDOW). */
 #define OPEN_MAX 4096
-#define VERSIONS_MAX 256 /* of a model; the settings allow no more */
+#define VERSIONS_MAX 256 /* per model; the settings allow no more */
 #define LOAD_TICK_MS 100
 
 struct gatekeeper {
 	struct entry *entry;
 	struct adm *adm;
-	GHashTable *teams; /* name -> struct gate_team */
+	GHashTable *workspaces; /* name -> struct gate_team */
 	guint adm_timer;
 	guint lim_timer;
 	guint load_timer;
 };
 
-/* What is kept of a team at this entry. */
-struct gate_team {
+/* Admission state of a workspace at this entry. */
+struct gate_workspace {
 	char name[RT_NAME_MAX + 1];
 	struct lim *limit;
 	struct bud budget;
@@ -38,13 +39,13 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Lanes                                                               */
+/* Admission queues                                                    */
 /* ------------------------------------------------------------------ */
 
-/* A lane is a model or a plain service of a team: what competes for the same
- * targets. */
+/* One admission queue per model or plain service of a workspace: its requests
+ * compete for the same targets. */
 struct adm_queue *
-gatekeeper_lane(struct entry *entry, const char *team, const char *model,
+gatekeeper_lane(struct entry *entry, const char *workspace, const char *model,
     const char *service)
 {
 	char name[2 * RT_NAME_MAX];
@@ -52,7 +53,8 @@
 	g_snprintf(name, sizeof(name), "%s:%s",
 	    service[0] != '\0' ? "service" : "model",
 	    service[0] != '\0' ? service : model);
-	return adm_queue(adm_workspace(entry->gatekeeper->adm, team), name);
+	return adm_queue(
+	    adm_workspace(entry->gatekeeper->adm, workspace), name);
 }
 
 static unsigned int
@@ -62,75 +64,78 @@
 }
 
 static void
-load_lane(
-    struct entry *entry, const struct rt_criteria *wish, const char *model)
+update_queue(
+    struct entry *entry, const struct rt_criteria *criteria, const char *model)
 {
 	struct adm_load load = { .gateways = live_entries(entry) };
 
-	rt_fleet_load(entry->fleet, wish, &load.slots, &load.running);
-	adm_queue_load(
-	    gatekeeper_lane(entry, wish->workspace, model, wish->service),
+	rt_fleet_load(entry->fleet, criteria, &load.slots, &load.running);
+	adm_queue_load(gatekeeper_lane(entry, criteria->workspace, model,
+			   criteria->service),
 	    &load, now_us());
 }
 
 static void
-load_model(struct entry *entry, const struct rt_team *team,
+update_model(struct entry *entry, const struct rt_team *workspace,
     const struct rt_model *model)
 {
 	struct digest roots[VERSIONS_MAX];
-	struct rt_criteria wish = {
+	struct rt_criteria criteria = {
 		.kind = RT_ENGINE,
-		.workspace = team->name,
+		.workspace = workspace->name,
 		.pool = model->pool,
 		.service = "",
 		.roots = roots,
 	};
 
 	if (model->nversions <= VERSIONS_MAX)
-		wish.nroots = rt_model_roots(model, 0, roots, &wish.ranked);
-	load_lane(entry, &wish, model->name);
+		criteria.nroots =
+		    rt_model_roots(model, 0, roots, &criteria.ranked);
+	update_queue(entry, &criteria, model->name);
 }
 
 static void
-load_service(struct entry *entry, const struct rt_team *team,
+update_service(struct entry *entry, const struct rt_team *workspace,
     const struct rt_service *service)
 {
-	const struct rt_criteria wish = {
+	const struct rt_criteria criteria = {
 		.kind = RT_SERVICE,
-		.workspace = team->name,
+		.workspace = workspace->name,
 		.pool = service->pool,
 		.service = service->name,
 	};
 
-	load_lane(entry, &wish, "");
+	update_queue(entry, &criteria, "");
 }
 
 void
 gatekeeper_spoke(struct entry *entry, const struct rt_target *target)
 {
-	const struct rt_team *team = entry_team(entry, target->workspace);
+	const struct rt_team *workspace = entry_team(entry, target->workspace);
 	size_t i;
 
-	if (team == NULL)
+	if (workspace == NULL)
 		return;
-	for (i = 0; i < team->nmodels; i++) {
+	for (i = 0; i < workspace->nmodels; i++) {
 		if (target->kind == RT_ENGINE &&
-		    strcmp(team->models[i].pool, target->pool) == 0)
-			load_model(entry, team, &team->models[i]);
+		    strcmp(workspace->models[i].pool, target->pool) == 0)
+			update_model(entry, workspace, &workspace->models[i]);
 	}
-	for (i = 0; i < team->nservices; i++) {
+	for (i = 0; i < workspace->nservices; i++) {
 		if (target->kind == RT_SERVICE &&
-		    strcmp(team->services[i].name, target->service) == 0)
-			load_service(entry, team, &team->services[i]);
+		    strcmp(workspace->services[i].name, target->service) == 0)
+			update_service(
+			    entry, workspace, &workspace->services[i]);
 	}
 }
 
-/* What others run fades while their sides are silent: so do the loads. */
+/* The estimated number of requests of other entries decays while sidecars are
+ * not responding; passes the resulting load on to the queues. */
 static gboolean
 on_load_tick(gpointer data)
 {
 	struct entry *entry = ((struct gatekeeper *)data)->entry;
-	const struct rt_team *team;
+	const struct rt_team *workspace;
 	GHashTableIter iter;
 	gpointer value;
 	size_t i;
@@ -138,65 +143,68 @@
 	rt_fleet_refresh(entry->fleet, now_us());
 	g_hash_table_iter_init(&iter, entry->teams);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		team = value;
-		for (i = 0; i < team->nmodels; i++)
-			load_model(entry, team, &team->models[i]);
-		for (i = 0; i < team->nservices; i++)
-			load_service(entry, team, &team->services[i]);
+		workspace = value;
+		for (i = 0; i < workspace->nmodels; i++)
+			update_model(entry, workspace, &workspace->models[i]);
+		for (i = 0; i < workspace->nservices; i++)
+			update_service(
+			    entry, workspace, &workspace->services[i]);
 	}
 	return G_SOURCE_CONTINUE;
 }
 
 /* ------------------------------------------------------------------ */
-/* Teams                                                               */
+/* Workspaces                                                          */
 /* ------------------------------------------------------------------ */
 
-static struct gate_team *
-find_team(struct gatekeeper *g, const char *name)
+static struct gate_workspace *
+find_workspace(struct gatekeeper *g, const char *name)
 {
-	return g_hash_table_lookup(g->teams, name);
+	return g_hash_table_lookup(g->workspaces, name);
 }
 
 static void
-set_team(struct gatekeeper *g, struct gate_team *t, const struct rt_team *team)
+set_workspace(struct gatekeeper *g, struct gate_workspace *w,
+    const struct rt_team *workspace)
 {
 	unsigned int entries = live_entries(g->entry);
 
-	t->retry_permille = team->retry_budget_permille;
-	lim_set(t->limit, team->requests_s, entries, now_us());
-	adm_workspace_set(adm_workspace(g->adm, t->name), team->weight,
-	    (team->queue + entries - 1) / entries);
+	w->retry_permille = workspace->retry_budget_permille;
+	lim_set(w->limit, workspace->requests_s, entries, now_us());
+	adm_workspace_set(adm_workspace(g->adm, w->name), workspace->weight,
+	    (workspace->queue + entries - 1) / entries);
 }
 
 void
-gatekeeper_team(struct entry *entry, const struct rt_team *team)
+gatekeeper_team(struct entry *entry, const struct rt_team *workspace)
 {
 	struct gatekeeper *g = entry->gatekeeper;
-	struct gate_team *t = find_team(g, team->name);
+	struct gate_workspace *w = find_workspace(g, workspace->name);
 
-	if (t == NULL) {
-		t = g_new0(struct gate_team, 1);
-		g_strlcpy(t->name, team->name, sizeof(t->name));
-		t->limit = lim_new(now_us());
-		g_hash_table_insert(g->teams, t->name, t);
+	if (w == NULL) {
+		w = g_new0(struct gate_workspace, 1);
+		g_strlcpy(w->name, workspace->name, sizeof(w->name));
+		w->limit = lim_new(now_us());
+		g_hash_table_insert(g->workspaces, w->name, w);
 	}
-	set_team(g, t, team);
+	set_workspace(g, w, workspace);
 }
 
-/* The number of live entries changed: everybody's part does too. */
+/* The number of live entries changed, and with it the share of each. */
 void
 gatekeeper_members(struct entry *entry)
 {
 	struct gatekeeper *g = entry->gatekeeper;
 	GHashTableIter iter;
 	gpointer value;
-	const struct rt_team *team;
+	const struct rt_team *workspace;
 
-	g_hash_table_iter_init(&iter, g->teams);
+	g_hash_table_iter_init(&iter, g->workspaces);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		team = entry_team(entry, ((struct gate_team *)value)->name);
-		if (team != NULL)
-			set_team(g, value, team);
+		workspace =
+		    entry_team(entry, ((struct gate_workspace *)value)->name);
+		if (workspace != NULL)
+			set_workspace(g, value, workspace);
 	}
 }
 
@@ -206,24 +214,24 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, entry->gatekeeper->teams);
+	g_hash_table_iter_init(&iter, entry->gatekeeper->workspaces);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		lim_remove(((struct gate_team *)value)->limit, id);
+		lim_remove(((struct gate_workspace *)value)->limit, id);
 }
 
 void
 gatekeeper_told(struct entry *entry, const char *from, const struct msg *m)
 {
 	struct rt_demand demand;
-	struct gate_team *t;
+	struct gate_workspace *w;
 	char *name;
 
 	if (!msg_read(m, &rt_demand_desc, &demand, NULL))
 		return;
 	name = slice_dup(demand.team);
-	t = find_team(entry->gatekeeper, name);
-	if (t != NULL)
-		lim_reported(t->limit, from, demand.demand_milli_s, now_us());
+	w = find_workspace(entry->gatekeeper, name);
+	if (w != NULL)
+		lim_reported(w->limit, from, demand.demand_milli_s, now_us());
 	g_free(name);
 }
 
@@ -232,34 +240,34 @@
 /* ------------------------------------------------------------------ */
 
 bool
-gatekeeper_take(struct entry *entry, const char *team, struct err *err)
+gatekeeper_take(struct entry *entry, const char *workspace, struct err *err)
 {
-	struct gate_team *t = find_team(entry->gatekeeper, team);
+	struct gate_workspace *w = find_workspace(entry->gatekeeper, workspace);
 
-	if (t == NULL)
+	if (w == NULL)
 		return true;
-	if (!lim_take(t->limit, now_us(), err))
+	if (!lim_take(w->limit, now_us(), err))
 		return false;
-	bud_request(&t->budget, now_us());
+	bud_request(&w->budget, now_us());
 	return true;
 }
 
 bool
-gatekeeper_may_retry(struct entry *entry, const char *team)
+gatekeeper_may_retry(struct entry *entry, const char *workspace)
 {
-	struct gate_team *t = find_team(entry->gatekeeper, team);
+	struct gate_workspace *w = find_workspace(entry->gatekeeper, workspace);
 
-	return t != NULL &&
-	    bud_has_room(&t->budget, t->retry_permille, now_us());
+	return w != NULL &&
+	    bud_has_room(&w->budget, w->retry_permille, now_us());
 }
 
 void
-gatekeeper_retried(struct entry *entry, const char *team)
+gatekeeper_retried(struct entry *entry, const char *workspace)
 {
-	struct gate_team *t = find_team(entry->gatekeeper, team);
+	struct gate_workspace *w = find_workspace(entry->gatekeeper, workspace);
 
-	if (t != NULL)
-		bud_retry(&t->budget, now_us());
+	if (w != NULL)
+		bud_retry(&w->budget, now_us());
 }
 
 /* ------------------------------------------------------------------ */
@@ -282,14 +290,14 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, g->teams);
+	g_hash_table_iter_init(&iter, g->workspaces);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct gate_team *t = value;
-		struct rt_demand demand = { .team = slice_str(t->name) };
+		struct gate_workspace *w = value;
+		struct rt_demand demand = { .team = slice_str(w->name) };
 
-		if (!lim_report_due(t->limit, now_us()))
+		if (!lim_report_due(w->limit, now_us()))
 			continue;
-		demand.demand_milli_s = lim_demand(t->limit, now_us());
+		demand.demand_milli_s = lim_demand(w->limit, now_us());
 		peers_send_all(g->entry, &rt_demand_desc, &demand);
 	}
 	return G_SOURCE_CONTINUE;
@@ -302,7 +310,7 @@
 
 	g->entry = entry;
 	g->adm = adm_new(OPEN_MAX, request_adm_ops(), NULL);
-	g->teams = g_hash_table_new(g_str_hash, g_str_equal);
+	g->workspaces = g_hash_table_new(g_str_hash, g_str_equal);
 	g->adm_timer = g_timeout_add(ADM_TICK_MS, on_adm_tick, g);
 	g->lim_timer = g_timeout_add(LIM_TICK_MS, on_lim_tick, g);
 	g->load_timer = g_timeout_add(LOAD_TICK_MS, on_load_tick, g);
