--- a/programs/entry/explain.c
+++ b/programs/entry/explain.c
@@ -1,7 +1,8 @@
 /*
- * `currantchute explain ID FILE...`: the story of one request from the log
- * lines of several processes: every line about it, and what its gateways
- * believed of its targets and settings shortly before and meanwhile.
+ * `currantchute explain ID FILE...`: prints the log lines of several processes
+ * that explain the outcome of one request: every line about the request, and
+ * the changes of its targets and settings that its gateways logged shortly
+ * before and during it.
  */
 
 #include <stdio.h>
@@ -11,21 +12,22 @@
 #include "entry/cli.h"
 #include "shared/proc.h"
 
-/* Changes of belief so long before the request began may explain it. */
-#define BEFORE_S 3.0
+/* Lines logged up to this long before the request began may explain it. */
+#define CONTEXT_S 3.0
 #define LINE_BYTES 1024
 
 struct line {
 	double t;
 	char *node, *ev, *text;
-	bool own; /* it names the request */
+	bool names_request;
 };
 
-struct story {
+struct explanation {
 	const char *id;
 	GPtrArray *lines; /* struct line */
-	GHashTable *targets, *nodes; /* that the request's lines name */
-	double from, to;
+	GHashTable *targets; /* named in the lines about the request */
+	GHashTable *nodes; /* that logged them */
+	double from, to; /* times of the first and last line about it */
 };
 
 static void
@@ -39,46 +41,46 @@
 	g_free(l);
 }
 
-/* Value of "key=" in a line; NULL when absent. g_free. */
+/* Value of "key=" in a line; NULL if absent. Free with g_free(). */
 static char *
 value_of(const char *text, const char *key)
 {
 	char *pattern = g_strdup_printf(" %s=", key);
-	const char *at = strstr(text, pattern);
+	const char *start = strstr(text, pattern);
 	char *value = NULL;
 
-	if (at != NULL) {
-		at += strlen(pattern);
-		value = g_strndup(at, strcspn(at, " \r\n"));
+	if (start != NULL) {
+		start += strlen(pattern);
+		value = g_strndup(start, strcspn(start, " \r\n"));
 	}
 	g_free(pattern);
 	return value;
 }
 
-/* Lines may stand behind a prefix of whoever collected them. */
+/* Parses a line, without the prefix that a log collector may have added. */
 static struct line *
 read_line(const char *raw, const char *id)
 {
-	const char *at = strstr(raw, "t=");
+	const char *start = strstr(raw, "t=");
 	struct line *l;
 	char *req, *copy;
 
-	if (at == NULL || strstr(at, " ev=") == NULL)
+	if (start == NULL || strstr(start, " ev=") == NULL)
 		return NULL;
 	l = g_new0(struct line, 1);
-	l->t = g_ascii_strtod(at + 2, NULL);
-	copy = g_strndup(at, strcspn(at, "\r\n"));
+	l->t = g_ascii_strtod(start + 2, NULL);
+	copy = g_strndup(start, strcspn(start, "\r\n"));
 	l->text = copy;
 	l->node = value_of(copy, "node");
 	l->ev = value_of(copy, "ev");
 	req = value_of(copy, "req");
-	l->own = g_strcmp0(req, id) == 0;
+	l->names_request = g_strcmp0(req, id) == 0;
 	g_free(req);
 	return l;
 }
 
 static bool
-read_file(struct story *s, const char *path)
+read_file(struct explanation *s, const char *path)
 {
 	FILE *file = fopen(path, "r");
 	char raw[LINE_BYTES];
@@ -97,9 +99,9 @@
 	return true;
 }
 
-/* What the request's own lines name, and when. */
+/* Collects the nodes, targets and times of the lines about the request. */
 static void
-note_own(struct story *s)
+note_request_lines(struct explanation *s)
 {
 	char *target;
 	guint i;
@@ -107,7 +109,7 @@
 	for (i = 0; i < s->lines->len; i++) {
 		const struct line *l = s->lines->pdata[i];
 
-		if (!l->own)
+		if (!l->names_request)
 			continue;
 		s->from = s->from == 0 ? l->t : MIN(s->from, l->t);
 		s->to = MAX(s->to, l->t);
@@ -119,7 +121,7 @@
 }
 
 static bool
-is_about_settings(const char *ev)
+is_process_event(const char *ev)
 {
 	static const char *const names[] = { "start", "stop", "reload",
 		"store_lost", "store_back", "config", "version", "ready",
@@ -134,24 +136,24 @@
 }
 
 static bool
-belongs(const struct story *s, const struct line *l)
+is_relevant(const struct explanation *s, const struct line *l)
 {
 	char *target, *req;
-	bool about;
+	bool relevant;
 
-	if (l->own)
+	if (l->names_request)
 		return true;
-	if (l->t < s->from - BEFORE_S || l->t > s->to ||
+	if (l->t < s->from - CONTEXT_S || l->t > s->to ||
 	    !g_hash_table_contains(s->nodes, l->node))
 		return false;
 	req = value_of(l->text, "req");
 	target = value_of(l->text, "target");
-	about = is_about_settings(l->ev) ||
+	relevant = is_process_event(l->ev) ||
 	    (req == NULL && target != NULL &&
 		g_hash_table_contains(s->targets, target));
 	g_free(req);
 	g_free(target);
-	return about;
+	return relevant;
 }
 
 static gint
@@ -164,15 +166,15 @@
 }
 
 static void
-tell(const struct story *s)
+print_lines(const struct explanation *s)
 {
 	guint i;
 
 	for (i = 0; i < s->lines->len; i++) {
 		const struct line *l = s->lines->pdata[i];
 
-		if (belongs(s, l))
-			printf("%c %+8.3f %s\n", l->own ? '*' : ' ',
+		if (is_relevant(s, l))
+			printf("%c %+8.3f %s\n", l->names_request ? '*' : ' ',
 			    l->t - s->from, l->text);
 	}
 }
@@ -180,7 +182,7 @@
 int
 explain_main(int argc, char **argv)
 {
-	struct story s = { 0 };
+	struct explanation s = { 0 };
 	int i, rc = EXIT_OK;
 
 	if (argc < 4) {
@@ -200,12 +202,13 @@
 			rc = EXIT_USAGE;
 	}
 	g_ptr_array_sort(s.lines, by_time);
-	note_own(&s);
+	note_request_lines(&s);
 	if (g_hash_table_size(s.nodes) == 0) {
-		fprintf(stderr, "currantchute: no line about %s\n", s.id);
+		fprintf(stderr,
+		    "currantchute: no log line names the request %s\n", s.id);
 		rc = EXIT_REFUSED;
 	} else
-		tell(&s);
+		print_lines(&s);
 	g_ptr_array_unref(s.lines);
 	g_hash_table_unref(s.targets);
 	g_hash_table_unref(s.nodes);
