--- a/programs/entry/timeline.c
+++ b/programs/entry/timeline.c
@@ -1,6 +1,6 @@
 /*
- * The time line of all processes: every live member is asked for its events
- * over a connection of its own, and they are put in one order by stamp.
+ * The timeline of all processes: requests the events of every live member over
+ * a separate connection, and sorts them by their hybrid logical clock.
  */
 
 #include <json-glib/json-glib.h>
@@ -8,32 +8,33 @@
 
 #include "entry/entry.h"
 
-#define COLLECT_MS 1500 /* members that have not answered by then are named */
+/* Members that have not answered after this time are listed as such. */
+#define COLLECT_MS 1500
 
-struct collecting;
+struct collection;
 
-struct asked {
-	TAILQ_ENTRY(asked) link;
-	struct collecting *all;
+struct member_query {
+	TAILQ_ENTRY(member_query) link;
+	struct collection *all;
 	char id[MEM_ID_MAX + 1];
 	struct conn *conn;
 	bool answered;
 };
 
-TAILQ_HEAD(asked_list, asked);
+TAILQ_HEAD(member_queries, member_query);
 
-struct collecting {
+struct collection {
 	struct entry *entry;
 	SoupServerMessage *message;
-	struct asked_list asked;
+	struct member_queries queries;
 	JsonArray *events;
-	unsigned int open; /* connections that have not closed */
+	unsigned int open; /* connections not closed yet */
 	guint timer;
-	bool answered; /* the operator has the answer */
+	bool answered; /* the operator's request */
 };
 
 /* ------------------------------------------------------------------ */
-/* The answer                                                          */
+/* Answer                                                              */
 /* ------------------------------------------------------------------ */
 
 static gint
@@ -67,16 +68,16 @@
 }
 
 static void
-answer(struct collecting *all)
+answer(struct collection *all)
 {
 	JsonObject *o = json_object_new();
 	JsonArray *silent = json_array_new();
 	JsonNode *node = json_node_new(JSON_NODE_OBJECT);
-	const struct asked *a;
+	const struct member_query *query;
 
-	TAILQ_FOREACH (a, &all->asked, link) {
-		if (!a->answered)
-			json_array_add_string_element(silent, a->id);
+	TAILQ_FOREACH (query, &all->queries, link) {
+		if (!query->answered)
+			json_array_add_string_element(silent, query->id);
 	}
 	json_object_set_array_member(o, "events", sorted(all->events));
 	json_object_set_array_member(o, "silent", silent);
@@ -87,13 +88,13 @@
 }
 
 static void
-free_collecting(struct collecting *all)
+free_collection(struct collection *all)
 {
-	struct asked *a;
+	struct member_query *query;
 
-	while ((a = TAILQ_FIRST(&all->asked)) != NULL) {
-		TAILQ_REMOVE(&all->asked, a, link);
-		g_free(a);
+	while ((query = TAILQ_FIRST(&all->queries)) != NULL) {
+		TAILQ_REMOVE(&all->queries, query, link);
+		g_free(query);
 	}
 	json_array_unref(all->events);
 	g_object_unref(all->message);
@@ -101,7 +102,7 @@
 }
 
 static void
-end_if_done(struct collecting *all)
+finish_if_done(struct collection *all)
 {
 	if (all->open > 0)
 		return;
@@ -109,15 +110,15 @@
 		g_source_remove(all->timer);
 	if (!all->answered)
 		answer(all);
-	free_collecting(all);
+	free_collection(all);
 }
 
 /* ------------------------------------------------------------------ */
-/* Asking                                                              */
+/* Queries to members                                                  */
 /* ------------------------------------------------------------------ */
 
 static void
-add_events(struct collecting *all, const char *json, gssize len)
+add_events(struct collection *all, const char *json, gssize len)
 {
 	JsonParser *parser = json_parser_new();
 	JsonArray *events;
@@ -145,25 +146,25 @@
 static void
 on_message(struct conn *c, const struct msg *m, void *ctx)
 {
-	struct asked *a = ctx;
+	struct member_query *query = ctx;
 	struct rt_events events;
 
 	if (!msg_read(m, &rt_events_desc, &events, NULL))
 		return;
-	a->answered = true;
-	add_events(
-	    a->all, (const char *)events.json.data, (gssize)events.json.len);
+	query->answered = true;
+	add_events(query->all, (const char *)events.json.data,
+	    (gssize)events.json.len);
 	conn_close(c);
 }
 
 static void
 on_closed(struct conn *c, const struct err *why, void *ctx)
 {
-	struct asked *a = ctx;
+	struct member_query *query = ctx;
 
-	a->conn = NULL;
-	a->all->open--;
-	end_if_done(a->all);
+	query->conn = NULL;
+	query->all->open--;
+	finish_if_done(query->all);
 }
 
 static const struct conn_ops ops = {
@@ -173,33 +174,33 @@
 };
 
 static void
-ask(const struct mem_member *member, void *ctx)
+query_member(const struct mem_member *member, void *ctx)
 {
-	struct collecting *all = ctx;
-	struct asked *a;
+	struct collection *all = ctx;
+	struct member_query *query;
 
 	if (strcmp(member->node.id, all->entry->proc.node.id) == 0)
 		return;
-	a = g_new0(struct asked, 1);
-	a->all = all;
-	g_strlcpy(a->id, member->node.id, sizeof(a->id));
-	TAILQ_INSERT_TAIL(&all->asked, a, link);
+	query = g_new0(struct member_query, 1);
+	query->all = all;
+	g_strlcpy(query->id, member->node.id, sizeof(query->id));
+	TAILQ_INSERT_TAIL(&all->queries, query, link);
 	all->open++;
-	a->conn =
-	    conn_dial(&all->entry->proc.node, member->node.address, &ops, a);
+	query->conn = conn_dial(
+	    &all->entry->proc.node, member->node.address, &ops, query);
 }
 
 static gboolean
-on_time_up(gpointer data)
+on_timeout(gpointer data)
 {
-	struct collecting *all = data;
-	struct asked *a;
+	struct collection *all = data;
+	struct member_query *query;
 
 	all->timer = 0;
 	answer(all);
-	TAILQ_FOREACH (a, &all->asked, link) {
-		if (a->conn != NULL)
-			conn_close(a->conn);
+	TAILQ_FOREACH (query, &all->queries, link) {
+		if (query->conn != NULL)
+			conn_close(query->conn);
 	}
 	return G_SOURCE_REMOVE;
 }
@@ -207,18 +208,18 @@
 void
 timeline_collect(struct entry *entry, SoupServerMessage *message)
 {
-	struct collecting *all = g_new0(struct collecting, 1);
+	struct collection *all = g_new0(struct collection, 1);
 	uint64_t next;
-	char *own = proc_events_json(entry->proc.timeline, 0, &next);
+	char *local = proc_events_json(entry->proc.timeline, 0, &next);
 
 	all->entry = entry;
 	all->message = g_object_ref(message);
 	all->events = json_array_new();
-	TAILQ_INIT(&all->asked);
+	TAILQ_INIT(&all->queries);
 	soup_server_message_pause(message);
-	add_events(all, own, -1);
-	g_free(own);
-	all->timer = g_timeout_add(COLLECT_MS, on_time_up, all);
-	agr_each_member(entry->proc.agr, ask, all);
-	end_if_done(all);
+	add_events(all, local, -1);
+	g_free(local);
+	all->timer = g_timeout_add(COLLECT_MS, on_timeout, all);
+	agr_each_member(entry->proc.agr, query_member, all);
+	finish_if_done(all);
 }
