--- a/programs/entry/cli.c
+++ b/programs/entry/cli.c
@@ -8,13 +8,14 @@
 #include "entry/cli.h"
 #include "entry/entry.h"
 
-#define WAIT_MS 14000 /* the promise: in force everywhere within 14 s */
+/* Settings are guaranteed to be active at all nodes within 14 s. */
+#define WAIT_MS 14000
 #define WORDS_MAX 2
 
 struct command {
 	const char *words[WORDS_MAX];
 	int (*run)(const struct cli *cli, const char **args);
-	unsigned int args; /* how many are needed */
+	unsigned int args; /* number of required arguments */
 	const char *usage;
 	const char *example;
 };
@@ -73,13 +74,11 @@
 	    "(or CURRANTCHUTE_ENTRY)\n"
 	    "  --token TOKEN      operator's token (or CURRANTCHUTE_TOKEN)\n"
 	    "  --json             print the answer as JSON\n"
-	    "  --wait-ms N        how long to wait for the outcome "
-	    "(default %d)\n"
+	    "  --wait-ms N        timeout for the outcome (default %d)\n"
 	    "\n"
 	    "exit codes: 0 done; 1 refused; 2 wrong usage or settings; "
 	    "3 no entry answered;\n"
-	    "            4 accepted, but not in force or done everywhere in "
-	    "time\n",
+	    "            4 accepted, but not active or done everywhere in time\n",
 	    WAIT_MS);
 }
 
@@ -128,7 +127,7 @@
 	return c->run(cli, args + count_words(c));
 }
 
-/* What the options left open. */
+/* Environment variables and defaults for options that were not given. */
 static void
 read_environment(struct cli *cli)
 {
@@ -142,7 +141,7 @@
 		cli->token = strdup(token == NULL ? "" : token);
 }
 
-/* popt hands out strings that are the program's to free. */
+/* Strings from popt are owned by the caller. */
 static void
 free_options(struct cli *cli)
 {
--- a/programs/entry/cli.h
+++ b/programs/entry/cli.h
@@ -10,8 +10,8 @@
 struct cli {
 	char *entry; /* base URLs, comma-separated, tried in turn */
 	char *token;
-	int json; /* print the answer's JSON as it is */
-	int wait_ms; /* how long to wait for "in force" or "done" */
+	int json; /* print the answer as JSON */
+	int wait_ms; /* timeout until settings are active or a rollout done */
 	/* Options of single commands. */
 	char *root, *weights, *chunks, *pool, *domains, *policy, *out;
 	long long bytes, chunk_bytes;
@@ -20,32 +20,35 @@
 	int watch;
 };
 
-/* One call to an entry; ERR_UNAVAILABLE when none answered. `body` NULL:
- * none. The caller unrefs `*out` (may be NULL for an empty answer). */
+/* Calls the entries in turn until one answers; ERR_UNAVAILABLE if none does.
+ * `body` may be NULL. The caller unrefs `*out`, NULL for an empty answer. */
 bool cli_call(const struct cli *cli, const char *method, const char *path,
     const char *body, unsigned int *status, JsonNode **out, struct err *err);
-/* Prints why a call was refused; returns the exit code. */
+/* Prints the reason of a refusal; returns the exit code. */
 int cli_refused(unsigned int status, JsonNode *node);
-int cli_fail(const struct err *err); /* prints; returns the exit code */
+/* Prints the error; returns the exit code. */
+int cli_fail(const struct err *err);
 void cli_print_json(JsonNode *node);
-void cli_print_object(JsonObject *object); /* takes it over */
+void cli_print_object(JsonObject *object); /* takes ownership */
 
-/* JSON body of a write of a branch, with a fresh operation id; g_free. */
+/* JSON body that writes a branch, with a new operation id. Free with
+ * g_free(). */
 char *cli_put_body(const char *yaml, uint64_t if_version);
 
 struct cli_edit {
 	const char *path;
 	const char *value; /* YAML; NULL removes the key */
 };
-/* Edits a branch under a conditional write, again on a conflict, and waits
- * until it is in force everywhere. */
+/* Edits a branch by a conditional write, retries after a conflict, and waits
+ * until the new version is active at all nodes. */
 int cli_edit_branch(const struct cli *cli, const char *branch,
     struct cli_edit *(*edits)(const struct cfg *cfg, void *ctx, size_t *n),
     void *ctx);
 int cli_wait_in_force(
     const struct cli *cli, const char *branch, uint64_t version);
 
-/* Commands; `args` are the words after the command's own, NULL at the end. */
+/* Commands; `args` are the arguments after the command's name, terminated by
+ * NULL. */
 int cli_settings_check(const struct cli *cli, const char **args);
 int cli_settings_get(const struct cli *cli, const char **args);
 int cli_settings_set(const struct cli *cli, const char **args);
--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -1,4 +1,4 @@
-/* Calls of the operators' commands to an entry, and edits of a branch. */
+/* HTTP calls of operators' commands to an entry, and edits of a branch. */
 
 #include <libsoup/soup.h>
 #include <stdio.h>
@@ -7,11 +7,11 @@
 #include "entry/cli.h"
 
 #define CALL_TIMEOUT_S 10
-#define EDIT_TRIES 5 /* other operators may write in between */
+#define EDIT_ATTEMPTS 5 /* conflicts with writes of other operators */
 #define POLL_MS 200
 
 /* ------------------------------------------------------------------ */
-/* One call                                                            */
+/* Calls                                                               */
 /* ------------------------------------------------------------------ */
 
 static bool
@@ -42,7 +42,7 @@
 	g_free(url);
 	if (message == NULL) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "'%s' is not a URL of an entry", base);
+		    "'%s' is not a valid URL of an entry", base);
 	}
 	bearer = g_strconcat("Bearer ", cli->token, NULL);
 	soup_message_headers_replace(
@@ -80,7 +80,7 @@
 
 	*out = NULL;
 	/* A write may be sent to the next entry although the first may have
-	 * taken it: both carry the same operation id and conditional version. */
+	 * accepted it: both have the same operation id and condition. */
 	for (i = 0; entries[i] != NULL && !answered; i++)
 		answered = try_entry(cli, session, entries[i], method, path,
 		    body, status, out, err);
@@ -152,12 +152,12 @@
 /* ------------------------------------------------------------------ */
 
 static void
-print_in_force(JsonObject *o, uint64_t version)
+print_active(JsonObject *o, uint64_t version)
 {
 	JsonArray *overdue = json_object_get_array_member(o, "overdue");
 	guint i;
 
-	printf("version %" G_GUINT64_FORMAT " accepted, in force %d/%d",
+	printf("version %" G_GUINT64_FORMAT " accepted, active at %d/%d",
 	    version, (int)json_object_get_int_member(o, "in_force"),
 	    (int)json_object_get_int_member(o, "nodes"));
 	for (i = 0; i < json_array_get_length(overdue); i++)
@@ -197,7 +197,7 @@
 			if ((rc == EXIT_OK || last) && cli->json)
 				cli_print_json(node);
 			else if (rc == EXIT_OK || last)
-				print_in_force(o, version);
+				print_active(o, version);
 		}
 		json_node_unref(node);
 		if (rc == EXIT_OVERDUE && !last)
@@ -259,7 +259,8 @@
 	return text;
 }
 
-/* One read and one conditional write; true when it is over, with `rc`. */
+/* One read and one conditional write; false after a conflict, otherwise true
+ * with the exit code in `rc`. */
 static bool
 edit_once(const struct cli *cli, const char *branch, const char *path,
     struct cli_edit *(*edits)(const struct cfg *cfg, void *ctx, size_t *n),
@@ -313,14 +314,14 @@
     void *ctx)
 {
 	char *path = g_strconcat("/v1/settings/", branch, NULL);
-	int rc = EXIT_REFUSED, tries = 0;
+	int rc = EXIT_REFUSED, attempts = 0;
 
 	while (!edit_once(cli, branch, path, edits, ctx, &rc)) {
-		if (++tries < EDIT_TRIES)
+		if (++attempts < EDIT_ATTEMPTS)
 			continue;
 		fprintf(stderr,
-		    "currantchute: others keep changing branch %s; nothing "
-		    "was written\n",
+		    "currantchute: branch %s changed during each "
+		    "attempt; nothing was written\n",
 		    branch);
 		break;
 	}
--- a/programs/entry/cli_rollout.c
+++ b/programs/entry/cli_rollout.c
@@ -9,25 +9,26 @@
 
 #define POLL_MS 300
 #define EDITS_MAX 8
-#define CHUNK_BYTES (4u << 20) /* list of 200 GB: 1.6 MB */
+#define CHUNK_BYTES (4u << 20) /* the digest list of 200 GB takes 1.6 MB */
 
 /* ------------------------------------------------------------------ */
 /* Names and edits                                                     */
 /* ------------------------------------------------------------------ */
 
-/* "TEAM/MODEL" in two; false and a message when malformed. */
+/* Splits "TEAM/MODEL"; prints a message and returns false if malformed. */
 static bool
-split_model(const char *name, char **team, char **model)
+split_model(const char *name, char **workspace, char **model)
 {
 	char **part = g_strsplit(name, "/", 2);
 
 	if (g_strv_length(part) != 2 || !cfg_key_valid(part[0]) ||
 	    !cfg_key_valid(part[1])) {
-		fprintf(stderr, "currantchute: '%s' is not TEAM/MODEL\n", name);
+		fprintf(stderr,
+		    "currantchute: '%s' is not of the form TEAM/MODEL\n", name);
 		g_strfreev(part);
 		return false;
 	}
-	*team = g_strdup(part[0]);
+	*workspace = g_strdup(part[0]);
 	*model = g_strdup(part[1]);
 	g_strfreev(part);
 	return true;
@@ -125,7 +126,7 @@
 cli_model_add(const struct cli *cli, const char **args)
 {
 	struct model_edit e = { .cli = cli, .version = args[1] };
-	char *team, *model;
+	char *workspace, *model;
 	int rc;
 
 	if (cli->root == NULL || cli->weights == NULL || cli->chunks == NULL ||
@@ -133,14 +134,15 @@
 	    !cfg_key_valid(args[1])) {
 		fprintf(stderr,
 		    "currantchute: --root, --bytes, --chunk-bytes, --weights "
-		    "and --chunks are needed; `model digest` prints them\n");
+		    "and --chunks are required; `model digest` prints the first "
+		    "three\n");
 		return EXIT_USAGE;
 	}
-	if (!split_model(args[0], &team, &model))
+	if (!split_model(args[0], &workspace, &model))
 		return EXIT_USAGE;
 	e.model = model;
-	rc = cli_edit_branch(cli, team, edit_add, &e);
-	g_free(team);
+	rc = cli_edit_branch(cli, workspace, edit_add, &e);
+	g_free(workspace);
 	g_free(model);
 	return rc;
 }
@@ -176,14 +178,14 @@
 cli_rollout_start(const struct cli *cli, const char **args)
 {
 	struct model_edit e = { .cli = cli, .version = args[1] };
-	char *team, *model;
+	char *workspace, *model;
 	int rc;
 
-	if (!split_model(args[0], &team, &model))
+	if (!split_model(args[0], &workspace, &model))
 		return EXIT_USAGE;
 	e.model = model;
-	rc = cli_edit_branch(cli, team, edit_rollout, &e);
-	g_free(team);
+	rc = cli_edit_branch(cli, workspace, edit_rollout, &e);
+	g_free(workspace);
 	g_free(model);
 	if (rc == EXIT_OK && cli->watch)
 		rc = cli_rollout_status(cli, args);
@@ -225,15 +227,16 @@
 	}
 }
 
-/* One look; true when every place has it loaded. */
+/* Prints the progress; true when the version is loaded at every host where it
+ * is to run. */
 static bool
 show_progress(const struct cli *cli, JsonNode *node, bool last)
 {
 	JsonObject *o = json_node_get_object(node);
 	JsonArray *hosts = json_object_get_array_member(o, "hosts");
-	int places = (int)json_object_get_int_member(o, "places");
+	int placements = (int)json_object_get_int_member(o, "places");
 	int loaded = (int)json_object_get_int_member(o, "loaded");
-	bool done = places > 0 && loaded == places;
+	bool done = placements > 0 && loaded == placements;
 	bool terminal = isatty(STDOUT_FILENO);
 
 	if (cli->json) {
@@ -245,7 +248,7 @@
 		return false;
 	printf("%s%s: loaded %d/%d, %.0f%% of the chunks%s",
 	    terminal ? "\r" : "", json_object_get_string_member(o, "version"),
-	    loaded, places, percent_done(hosts), last || done ? "\n" : "");
+	    loaded, placements, percent_done(hosts), last || done ? "\n" : "");
 	fflush(stdout);
 	if (last && !done)
 		print_hosts(hosts);
--- a/programs/entry/cli_settings.c
+++ b/programs/entry/cli_settings.c
@@ -5,10 +5,11 @@
 
 #include "entry/cli.h"
 
-/* What `settings get` puts before the text, and `settings set` reads. */
+/* Precedes the text in the output of `settings get`; read by `settings set`. */
 #define VERSION_LINE "# version "
 
-/* A process's file has `node`, the root branch team `platform`. */
+/* The settings file of a process has `node`; the root branch has the workspace
+ * `platform`. */
 static const struct cfg_schema *
 schema_for(const char *text, size_t len)
 {
@@ -104,7 +105,7 @@
 	return rc;
 }
 
-/* The text without the line that `settings get` put before it. */
+/* The text without the version line of `settings get`. */
 static const char *
 skip_version_line(const char *text)
 {
@@ -114,8 +115,8 @@
 								   : text;
 }
 
-/* The version that an edited file is based on: what `settings get` wrote in
- * its first line, or what is there now when the file has none. */
+/* The version that an edited file is based on: from the first line, which
+ * `settings get` writes, or else the current version. */
 static bool
 base_version(const struct cli *cli, const char *path, const char *text,
     uint64_t *version, struct err *err)
@@ -138,9 +139,10 @@
 	return true;
 }
 
-/* Both sides of a conflict: what is there now, and what was not written. */
+/* Prints both texts of a conflict: the current one and the rejected one. */
 static int
-show_conflict(const char *name, const char *mine, uint64_t base, JsonNode *node)
+show_conflict(
+    const char *name, const char *rejected, uint64_t base, JsonNode *node)
 {
 	JsonObject *o = json_node_get_object(node);
 
@@ -149,7 +151,8 @@
 	    "; nothing was written\n"
 	    "--- now, version %d\n%s--- yours\n%s",
 	    name, base, (int)json_object_get_int_member(o, "version"),
-	    json_object_get_string_member_with_default(o, "yaml", ""), mine);
+	    json_object_get_string_member_with_default(o, "yaml", ""),
+	    rejected);
 	return EXIT_REFUSED;
 }
 
--- a/programs/entry/cli_status.c
+++ b/programs/entry/cli_status.c
@@ -5,7 +5,8 @@
 
 #include "entry/cli.h"
 
-#define HLC_COUNTER_BITS 16 /* the stamp's upper bits are milliseconds */
+/* The upper bits of a hybrid logical clock are milliseconds. */
+#define HLC_COUNTER_BITS 16
 
 static int
 fetch(const struct cli *cli, const char *path, JsonNode **node)
--- a/programs/entry/main.c
+++ b/programs/entry/main.c
@@ -1,4 +1,7 @@
-/* currantchute: `entry` and `gateway` serve, `explain` reads logs; every other command is an operator's. */
+/*
+ * currantchute: `entry` and `gateway` run servers, `explain` reads log files;
+ * every other command is an operator's and calls an entry.
+ */
 
 #include <stdio.h>
 #include <string.h>
@@ -6,7 +9,7 @@
 #include "entry/entry.h"
 #include "entry/gateway.h"
 
-/* The commands that serve, each with its settings file. */
+/* Commands that run a server; each takes a settings file. */
 static const struct {
 	const char *name;
 	int (*run)(const char *settings);
