--- a/programs/entry/gateway_views.c
+++ b/programs/entry/gateway_views.c
@@ -7,10 +7,10 @@
 
 /*
  * Without a change each gateway repeats the desired state to each sidecar at
- * these intervals, as a sign of life and to make up for lost messages. It does so
- * less often to remote regions, as these messages cross a slow link for every
- * pair of a gateway and a sidecar; sidecars report to each gateway that they
- * received one from in the last three seconds.
+ * these intervals, as a sign of life and to make up for lost messages. It does
+ * so less often to remote regions, as these messages cross a slow link for
+ * every pair of a gateway and a sidecar; sidecars report to each gateway that
+ * they received one from in the last three seconds.
  */
 #define DESIRED_LOCAL_US 400000
 #define DESIRED_REMOTE_US 1000000
