--- a/programs/entry/cli.h
+++ b/programs/entry/cli.h
@@ -44,7 +44,7 @@
 int cli_edit_branch(const struct cli *cli, const char *branch,
     struct cli_edit *(*edits)(const struct cfg *cfg, void *ctx, size_t *n),
     void *ctx);
-int cli_wait_in_force(
+int cli_wait_active(
     const struct cli *cli, const char *branch, uint64_t version);
 
 /* Commands; `args` are the arguments after the command's name, terminated by
--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -167,7 +167,7 @@
 }
 
 int
-cli_wait_in_force(const struct cli *cli, const char *branch, uint64_t version)
+cli_wait_active(const struct cli *cli, const char *branch, uint64_t version)
 {
 	char *path = g_strconcat("/v1/settings/", branch, NULL);
 	int64_t until = g_get_monotonic_time() + cli->wait_ms * 1000LL;
@@ -298,7 +298,7 @@
 	} else if (status == SOUP_STATUS_OK) {
 		version = (uint64_t)json_object_get_int_member(
 		    json_node_get_object(node), "version");
-		*rc = cli_wait_in_force(cli, branch, version);
+		*rc = cli_wait_active(cli, branch, version);
 	} else if (status != SOUP_STATUS_CONFLICT) {
 		*rc = cli_refused(status, node);
 	}
--- a/programs/entry/cli_settings.c
+++ b/programs/entry/cli_settings.c
@@ -181,7 +181,7 @@
 		else if (status != 200)
 			rc = cli_refused(status, node);
 		else
-			rc = cli_wait_in_force(cli, args[0],
+			rc = cli_wait_active(cli, args[0],
 			    (uint64_t)json_object_get_int_member(
 				json_node_get_object(node), "version"));
 	}
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -166,14 +166,15 @@
 
 /* gatekeeper.c: limits, queues and the retry budget. */
 void gatekeeper_open(struct entry *entry);
-void gatekeeper_team(struct entry *entry, const struct rt_team *team);
-void gatekeeper_members(struct entry *entry);
+void gatekeeper_set_workspace(struct entry *entry, const struct rt_team *team);
+void gatekeeper_members_changed(struct entry *entry);
 void gatekeeper_entry_gone(struct entry *entry, const char *id);
-void gatekeeper_told(
+void gatekeeper_demand_received(
     struct entry *entry, const char *from, const struct msg *m);
 /* A target's side said something new of it. */
-void gatekeeper_spoke(struct entry *entry, const struct rt_target *target);
-struct adm_queue *gatekeeper_lane(struct entry *entry, const char *team,
+void gatekeeper_target_changed(
+    struct entry *entry, const struct rt_target *target);
+struct adm_queue *gatekeeper_queue(struct entry *entry, const char *team,
     const char *model, const char *service);
 /* Takes one request from the team's limit; ERR_OVERLOADED when over it. */
 bool gatekeeper_take(struct entry *entry, const char *team, struct err *err);
--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -45,7 +45,7 @@
 /* One admission queue per model or plain service of a workspace: its requests
  * compete for the same targets. */
 struct adm_queue *
-gatekeeper_lane(struct entry *entry, const char *workspace, const char *model,
+gatekeeper_queue(struct entry *entry, const char *workspace, const char *model,
     const char *service)
 {
 	char name[2 * RT_NAME_MAX];
@@ -70,7 +70,7 @@
 	struct adm_load load = { .gateways = live_entries(entry) };
 
 	rt_fleet_load(entry->fleet, criteria, &load.slots, &load.running);
-	adm_queue_load(gatekeeper_lane(entry, criteria->workspace, model,
+	adm_queue_load(gatekeeper_queue(entry, criteria->workspace, model,
 			   criteria->service),
 	    &load, now_us());
 }
@@ -109,7 +109,7 @@
 }
 
 void
-gatekeeper_spoke(struct entry *entry, const struct rt_target *target)
+gatekeeper_target_changed(struct entry *entry, const struct rt_target *target)
 {
 	const struct rt_team *workspace = entry_team(entry, target->workspace);
 	size_t i;
@@ -176,7 +176,7 @@
 }
 
 void
-gatekeeper_team(struct entry *entry, const struct rt_team *workspace)
+gatekeeper_set_workspace(struct entry *entry, const struct rt_team *workspace)
 {
 	struct gatekeeper *g = entry->gatekeeper;
 	struct gate_workspace *w = find_workspace(g, workspace->name);
@@ -192,7 +192,7 @@
 
 /* The number of live entries changed, and with it the share of each. */
 void
-gatekeeper_members(struct entry *entry)
+gatekeeper_members_changed(struct entry *entry)
 {
 	struct gatekeeper *g = entry->gatekeeper;
 	GHashTableIter iter;
@@ -220,7 +220,8 @@
 }
 
 void
-gatekeeper_told(struct entry *entry, const char *from, const struct msg *m)
+gatekeeper_demand_received(
+    struct entry *entry, const char *from, const struct msg *m)
 {
 	struct rt_demand demand;
 	struct gate_workspace *w;
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -56,7 +56,7 @@
 	/* Without settings no desired state was sent: sidecars that have just
 	 * started would wait for the next periodic one, up to 0.4 s. */
 	if (before == NULL)
-		gateway_views_news(g);
+		gateway_desired_changed(g);
 }
 
 static void
@@ -80,7 +80,8 @@
 };
 
 struct tgt *
-gateway_renew(struct gateway *g, const struct tgt *before, struct tgt *now)
+gateway_target_replaced(
+    struct gateway *g, const struct tgt *before, struct tgt *now)
 {
 	if (before == NULL || before == now)
 		return now;
@@ -98,7 +99,7 @@
 	const struct tgt *before = tgt_find(g->set, record->id);
 	bool is_new = before == NULL;
 
-	gateway_renew(
+	gateway_target_replaced(
 	    g, before, tgt_put(g->set, record, evl_now_us(g->st.loop)));
 	evt(EVT_TARGET,
 	    "target=%s service=%s address=%s state=%s model_version=%" G_GINT64_FORMAT
@@ -107,7 +108,7 @@
 	    record->leaving ? "leaving" : "ready", record->model_version,
 	    store_cache_revision(g->targets));
 	if (is_new)
-		gateway_views_greet(g);
+		gateway_desired_new_target(g);
 	g_free(record);
 	fwd_pump(g->fwd);
 }
@@ -140,13 +141,13 @@
 	struct gateway *g = ctx;
 	struct sv_version *v = value;
 
-	if (vers_announced(g->named, v,
+	if (vers_announced(g->announced, v,
 		g->versions == NULL || !store_cache_synced(g->versions),
 		evl_now_us(g->st.loop)))
 		evt(EVT_VERSION, "model=%s version=%" G_GINT64_FORMAT, v->model,
 		    v->version);
 	g_free(v);
-	gateway_views_news(g);
+	gateway_desired_changed(g);
 }
 
 static void
@@ -232,10 +233,10 @@
 {
 	bool down = store_down_since_us(g->store) != 0;
 
-	if (down == g->store_away)
+	if (down == g->store_down)
 		return;
-	g->store_away = down;
-	gateway_views_news(g);
+	g->store_down = down;
+	gateway_desired_changed(g);
 }
 
 /*
@@ -252,9 +253,9 @@
 {
 	int64_t down_since_us = store_down_since_us(g->store);
 
-	if (down_since_us != 0 && g->all_away_us != 0 &&
-	    now_us - g->all_away_us < ALL_DOWN_VALID_US)
-		vers_extend(g->named, down_since_us, now_us);
+	if (down_since_us != 0 && g->all_down_us != 0 &&
+	    now_us - g->all_down_us < ALL_DOWN_VALID_US)
+		vers_extend(g->announced, down_since_us, now_us);
 }
 
 static int64_t
@@ -410,13 +411,13 @@
 
 	g->gateways = (unsigned int)cfg_int(cfg, "policy.gateways");
 	g->set = tgt_set_new(cfg_str(cfg, "node.region"), &none);
-	g->named = vers_new(cfg_int(cfg, "bounds.version_ms") * 1000,
+	g->announced = vers_new(cfg_int(cfg, "bounds.version_ms") * 1000,
 	    evl_now_us(g->st.loop) + cfg_int(cfg, "bounds.stable_ms") * 1000);
 	conf.targets = g->set;
-	conf.versions = g->named;
+	conf.versions = g->announced;
 	random_bytes(&conf.seed, sizeof(conf.seed));
 	random_bytes(&g->seed, sizeof(g->seed));
-	conf.tell_ends = gateway_ends_tell;
+	conf.tell_ends = gateway_terminations_send;
 	conf.tell_ctx = g;
 	g->fwd = fwd_new(&conf);
 	apply_settings(g);
--- a/programs/entry/gateway.h
+++ b/programs/entry/gateway.h
@@ -18,45 +18,45 @@
 	struct store *store;
 	struct store_cache *config, *targets, *versions;
 	struct tgt_set *set;
-	struct vers *named;
+	struct vers *announced;
 	struct fwd *fwd;
 	struct hlimits limits;
 	struct hserver *callers, *ready;
 	struct dgram *peers;
-	struct evl_timer tick, tell, relay, ends;
+	struct evl_timer tick, desired_timer, relay_timer, terminations_timer;
 	/* Last time the desired state was sent to the sidecars of the local and
 	 * of the remote regions. */
-	int64_t told_near_us, told_far_us;
-	bool store_away; /* as last sent to the sidecars */
+	int64_t desired_local_us, desired_remote_us;
+	bool store_down; /* as last sent to the sidecars */
 	/* The desired state must be sent to all sidecars at the end of this
 	 * wake-up. */
-	bool news;
+	bool desired_changed;
 	GHashTable *rosters; /* model -> struct roster */
 	/* Of remote regions: address -> struct gateway_remote. */
-	GHashTable *mates;
+	GHashTable *remote_gateways;
 	uint64_t seed; /* random; differs between gateways */
 	bool is_ready;
 	int64_t stopping_us; /* start of the planned stop; 0: none */
 	/* Gateways that share the targets, as sidecars report. */
 	unsigned int gateways;
-	unsigned int near_gateways; /* of these, in this region */
+	unsigned int local_gateways; /* of these, in this region */
 	/* Last report of a sidecar that no gateway has a working connection to
 	 * the store. */
-	int64_t all_away_us;
+	int64_t all_down_us;
 };
 
 /* gateway_views.c: the desired state and rosters, sent to sidecars */
-void gateway_views_open(struct gateway *g);
+void gateway_desired_open(struct gateway *g);
 /* The desired state has changed: it is sent to all sidecars once, after all
  * events of this wake-up. */
-void gateway_views_news(struct gateway *g);
+void gateway_desired_changed(struct gateway *g);
 /* Sidecars that were sent no desired state yet get it after all events of this
  * wake-up. */
-void gateway_views_greet(struct gateway *g);
-void gateway_views_asked(
+void gateway_desired_new_target(struct gateway *g);
+void gateway_roster_requested(
     struct gateway *g, const char *from, const struct side_roster_request *ask);
 /* Address that a target's sidecar has, whether there is one or not. */
-bool gateway_keeper_of(
+bool gateway_sidecar_address(
     const struct gateway *g, const struct tgt *t, char to[SV_ADDRESS_MAX]);
 /* Root digest of a version on which enough sidecars agree; none otherwise. */
 struct digest gateway_agreed_root(
@@ -70,29 +70,31 @@
 /* gateway_relay.c: load of this region's engines, relayed to other regions */
 void gateway_relay_open(struct gateway *g);
 /* A sidecar of this region reports a gateway of a remote one. */
-void gateway_relay_mate(struct gateway *g, const struct side_report *load);
-void gateway_relay_take(struct gateway *g, const struct side_relay *loads);
+void gateway_relay_add_gateway(
+    struct gateway *g, const struct side_report *load);
+void gateway_relay_received(struct gateway *g, const struct side_relay *loads);
 
 /* gateway_rate.c: rate limits of targets, and permits issued by sidecars */
 void gateway_rate_open(struct gateway *g);
-void gateway_rate_load(
+void gateway_rate_reported(
     struct gateway *g, struct tgt *t, const struct side_report *load);
 /* A sidecar relays the limit of a target that has no sidecar. */
-void gateway_rate_told(struct gateway *g, const struct side_rate *rate);
+void gateway_rate_relayed(struct gateway *g, const struct side_rate *rate);
 void gateway_rate_permit(struct gateway *g, const struct side_permit *permit);
 
 /* gateway_peers.c: messages from sidecars and other gateways */
 bool gateway_peers_open(struct gateway *g, struct err *err);
 
 /* gateway_ends.c: terminations of targets, and the requests in flight there */
-void gateway_ends_open(struct gateway *g);
-void gateway_ends_tell(const struct sus_end *ends, size_t n, void *ctx);
-void gateway_ends_take(struct gateway *g, const struct side_terminations *ends);
+void gateway_terminations_open(struct gateway *g);
+void gateway_terminations_send(const struct sus_end *ends, size_t n, void *ctx);
+void gateway_terminations_received(
+    struct gateway *g, const struct side_terminations *ends);
 
 /* gateway.c */
 /* `now` has replaced `before` (NULL: it is new). Pooled connections to the
  * previous start of a target are dead, and answers on them match no request. */
-struct tgt *gateway_renew(
+struct tgt *gateway_target_replaced(
     struct gateway *g, const struct tgt *before, struct tgt *now);
 int gateway_main(const char *settings);
 
--- a/programs/entry/gateway_ends.c
+++ b/programs/entry/gateway_ends.c
@@ -24,13 +24,13 @@
 	n = tgt_sides(
 	    g->set, fingerprint, evl_now_us(g->st.loop), at, COUNTERS);
 	for (i = 0; i < n; i++) {
-		if (gateway_keeper_of(g, at[i], to))
+		if (gateway_sidecar_address(g, at[i], to))
 			dgram_send(g->peers, to, &side_terminations_desc, ends);
 	}
 }
 
 void
-gateway_ends_tell(const struct sus_end *ends, size_t n, void *ctx)
+gateway_terminations_send(const struct sus_end *ends, size_t n, void *ctx)
 {
 	struct gateway *g = ctx;
 	GByteArray *entry = g_byte_array_new();
@@ -73,22 +73,24 @@
 static void
 on_refresh(struct evl_timer *timer)
 {
-	struct gateway *g = CONTAINER_OF(timer, struct gateway, ends);
+	struct gateway *g =
+	    CONTAINER_OF(timer, struct gateway, terminations_timer);
 
 	refresh(g);
 	evl_timer_set(g->st.loop, timer, evl_now_us(g->st.loop) + REFRESH_US);
 }
 
 void
-gateway_ends_open(struct gateway *g)
+gateway_terminations_open(struct gateway *g)
 {
-	g->ends.fire = on_refresh;
-	evl_timer_set(
-	    g->st.loop, &g->ends, evl_now_us(g->st.loop) + REFRESH_US);
+	g->terminations_timer.fire = on_refresh;
+	evl_timer_set(g->st.loop, &g->terminations_timer,
+	    evl_now_us(g->st.loop) + REFRESH_US);
 }
 
 void
-gateway_ends_take(struct gateway *g, const struct side_terminations *ends)
+gateway_terminations_received(
+    struct gateway *g, const struct side_terminations *ends)
 {
 	struct sus_end end;
 	size_t i;
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -83,7 +83,7 @@
 
 	if (version <= GATEWAY_FIRST_VERSION)
 		return;
-	if (vers_reported(g->named, model, (int64_t)version, announced_us))
+	if (vers_reported(g->announced, model, (int64_t)version, announced_us))
 		evt(EVT_VERSION,
 		    "model=%s version=%" G_GUINT64_FORMAT
 		    " from=keeper age_ms=%" G_GUINT64_FORMAT,
@@ -121,26 +121,26 @@
 	t = tgt_by_address(g->set, address);
 	if (t == NULL)
 		return;
-	t = gateway_renew(
+	t = gateway_target_replaced(
 	    g, t, tgt_side_started(g->set, t, (int64_t)report->start_ms));
 	note_engine(g, t, report);
 	tgt_side_reported(t, (uint32_t)report->seq, now_us);
 	tgt_set_load(
 	    t, (unsigned int)(report->running + report->waiting), now_us);
-	gateway_rate_load(g, t, report);
+	gateway_rate_reported(g, t, report);
 	note_gateways(g, (unsigned int)report->gateways);
 	t->region_gateways = (unsigned int)report->local_gateways;
 	t->slow_link = report->slow_link != 0;
 	if (t->local) {
-		g->near_gateways = (unsigned int)report->local_gateways;
-		gateway_relay_mate(g, report);
+		g->local_gateways = (unsigned int)report->local_gateways;
+		gateway_relay_add_gateway(g, report);
 	}
 	if (report->gateways >= ALL_DOWN_MIN_GATEWAYS &&
 	    report->without_store == report->gateways)
-		g->all_away_us = now_us;
+		g->all_down_us = now_us;
 	note_wanted(g, t->service, report);
 	if (note_root(t, report) && completes_votes(g, t))
-		gateway_views_news(g);
+		gateway_desired_changed(g);
 }
 
 static void
@@ -157,15 +157,15 @@
 	if (msg_read(m, &side_report_desc, &report, NULL))
 		take_report(g, &report);
 	else if (msg_read(m, &side_relay_desc, &relay, NULL))
-		gateway_relay_take(g, &relay);
+		gateway_relay_received(g, &relay);
 	else if (msg_read(m, &side_permit_desc, &permit, NULL))
 		gateway_rate_permit(g, &permit);
 	else if (msg_read(m, &side_rate_desc, &rate, NULL))
-		gateway_rate_told(g, &rate);
+		gateway_rate_relayed(g, &rate);
 	else if (msg_read(m, &side_terminations_desc, &terminations, NULL))
-		gateway_ends_take(g, &terminations);
+		gateway_terminations_received(g, &terminations);
 	else if (msg_read(m, &side_roster_request_desc, &request, NULL))
-		gateway_views_asked(g, from, &request);
+		gateway_roster_requested(g, from, &request);
 	fwd_pump(g->fwd);
 }
 
@@ -174,9 +174,9 @@
 {
 	g->peers = dgram_open(&g->st.node, cfg_str(g->st.cfg, "listen.peers"),
 	    on_message, g, err);
-	gateway_views_open(g);
+	gateway_desired_open(g);
 	gateway_relay_open(g);
 	gateway_rate_open(g);
-	gateway_ends_open(g);
+	gateway_terminations_open(g);
 	return g->peers != NULL;
 }
--- a/programs/entry/gateway_rate.c
+++ b/programs/entry/gateway_rate.c
@@ -36,7 +36,7 @@
 	    rate_report(t, want_permit, evl_now_us(g->st.loop));
 	char to[SV_ADDRESS_MAX];
 
-	if (!gateway_keeper_of(g, at, to))
+	if (!gateway_sidecar_address(g, at, to))
 		return;
 	if (want_permit)
 		ctr_add(ctr_get(g->st.counters, "permits_asked"), 1);
@@ -53,7 +53,7 @@
 }
 
 void
-gateway_rate_load(
+gateway_rate_reported(
     struct gateway *g, struct tgt *t, const struct side_report *report)
 {
 	double before = t->rate.limit;
@@ -67,7 +67,7 @@
 }
 
 void
-gateway_rate_told(struct gateway *g, const struct side_rate *rate)
+gateway_rate_relayed(struct gateway *g, const struct side_rate *rate)
 {
 	double limit = rate_of_milli(rate->limit_milli), before;
 	char address[SV_ADDRESS_MAX];
--- a/programs/entry/gateway_relay.c
+++ b/programs/entry/gateway_relay.c
@@ -24,7 +24,7 @@
 };
 
 void
-gateway_relay_mate(struct gateway *g, const struct side_report *report)
+gateway_relay_add_gateway(struct gateway *g, const struct side_report *report)
 {
 	struct gateway_remote *remote;
 	char address[SV_ADDRESS_MAX];
@@ -32,10 +32,11 @@
 	if (report->remote_gateway.len == 0)
 		return;
 	slice_copy(report->remote_gateway, address, sizeof(address));
-	remote = g_hash_table_lookup(g->mates, address);
+	remote = g_hash_table_lookup(g->remote_gateways, address);
 	if (remote == NULL) {
 		remote = g_new0(struct gateway_remote, 1);
-		g_hash_table_insert(g->mates, g_strdup(address), remote);
+		g_hash_table_insert(
+		    g->remote_gateways, g_strdup(address), remote);
 	}
 	remote->reported_us = evl_now_us(g->st.loop);
 }
@@ -65,7 +66,7 @@
 	if (entries->len == 0)
 		return;
 	packed = dgram_pack(g->peers, &side_relay_desc, &relay);
-	g_hash_table_iter_init(&iter, g->mates);
+	g_hash_table_iter_init(&iter, g->remote_gateways);
 	while (packed != NULL && g_hash_table_iter_next(&iter, &address, NULL))
 		dgram_send_packed(g->peers, address, &side_relay_desc, packed);
 	if (packed != NULL)
@@ -111,20 +112,21 @@
 {
 	double spread = 1 - TURN_SPREAD / 2 + TURN_SPREAD * g_random_double();
 
-	return (int64_t)(TURN_US * spread) * (int64_t)MAX(1, g->near_gateways);
+	return (int64_t)(TURN_US * spread) * (int64_t)MAX(1, g->local_gateways);
 }
 
 static void
 on_turn(struct evl_timer *timer)
 {
-	struct gateway *g = CONTAINER_OF(timer, struct gateway, relay);
+	struct gateway *g = CONTAINER_OF(timer, struct gateway, relay_timer);
 	const struct sv_config *config;
 	const struct tgt_service *service;
 	size_t i;
 
 	evl_timer_set(g->st.loop, timer, evl_now_us(g->st.loop) + turn_us(g));
-	g_hash_table_foreach_remove(g->mates, has_timed_out, g);
-	if (fwd_routes(g->fwd) == NULL || g_hash_table_size(g->mates) == 0)
+	g_hash_table_foreach_remove(g->remote_gateways, has_timed_out, g);
+	if (fwd_routes(g->fwd) == NULL ||
+	    g_hash_table_size(g->remote_gateways) == 0)
 		return;
 	config = rtab_config(fwd_routes(g->fwd));
 	for (i = 0; i < config->nservices; i++) {
@@ -139,7 +141,7 @@
 /* ------------------------------------------------------------------ */
 
 void
-gateway_relay_take(struct gateway *g, const struct side_relay *relay)
+gateway_relay_received(struct gateway *g, const struct side_relay *relay)
 {
 	struct side_relayed entry;
 	struct tgt *t;
@@ -156,10 +158,10 @@
 void
 gateway_relay_open(struct gateway *g)
 {
-	g->mates =
+	g->remote_gateways =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g->near_gateways = 1;
-	g->relay.fire = on_turn;
+	g->local_gateways = 1;
+	g->relay_timer.fire = on_turn;
 	evl_timer_set(
-	    g->st.loop, &g->relay, evl_now_us(g->st.loop) + turn_us(g));
+	    g->st.loop, &g->relay_timer, evl_now_us(g->st.loop) + turn_us(g));
 }
--- a/programs/entry/gateway_views.c
+++ b/programs/entry/gateway_views.c
@@ -40,7 +40,7 @@
 }
 
 bool
-gateway_keeper_of(
+gateway_sidecar_address(
     const struct gateway *g, const struct tgt *t, char to[SV_ADDRESS_MAX])
 {
 	struct sockaddr_in at;
@@ -88,7 +88,7 @@
 }
 
 void
-gateway_views_asked(struct gateway *g, const char *from,
+gateway_roster_requested(struct gateway *g, const char *from,
     const struct side_roster_request *request)
 {
 	GByteArray *bytes = g_byte_array_new();
@@ -129,7 +129,7 @@
 static int64_t
 desired_version(struct gateway *g, const struct tgt_service *service)
 {
-	int64_t version = vers_newest(g->named, service->engine.model);
+	int64_t version = vers_newest(g->announced, service->engine.model);
 	const struct tgt *t;
 
 	TAILQ_FOREACH (t, &service->targets, link) {
@@ -192,7 +192,7 @@
     struct side_desired *desired)
 {
 	const struct sv_engine *e = &service->engine;
-	int64_t announced_us = vers_announced_us(g->named, e->model);
+	int64_t announced_us = vers_announced_us(g->announced, e->model);
 	const struct sv_service *origin =
 	    origin_of(rtab_config(fwd_routes(g->fwd)));
 	int64_t now_us = evl_now_us(g->st.loop);
@@ -206,8 +206,8 @@
 	desired->root = known_root(service, (int64_t)desired->version);
 	desired->age_ms =
 	    announced_us == 0 ? 0 : (uint64_t)(now_us - announced_us) / 1000;
-	desired->older =
-	    (uint64_t)vers_pending(g->named, e->model, now_us, &announced_us);
+	desired->older = (uint64_t)vers_pending(
+	    g->announced, e->model, now_us, &announced_us);
 	if (desired->older != 0)
 		desired->older_age_ms =
 		    (uint64_t)(now_us - announced_us) / 1000;
@@ -221,7 +221,7 @@
 	desired->chunks = e->chunks;
 	desired->chunk_bytes = e->chunk_bytes;
 	desired->slots = e->slots;
-	desired->store_down = g->store_away;
+	desired->store_down = g->store_down;
 	desired->may_cut =
 	    sv_config_may_cut(rtab_config(fwd_routes(g->fwd)), service->name);
 	desired->roster_revision = (uint64_t)roster.revision;
@@ -280,24 +280,24 @@
 {
 	int64_t now_us = evl_now_us(g->st.loop);
 	struct recipients recipients = {
-		.local =
-		    g->news || now_us - g->told_near_us >= DESIRED_LOCAL_US,
-		.remote =
-		    g->news || now_us - g->told_far_us >= DESIRED_REMOTE_US,
+		.local = g->desired_changed ||
+		    now_us - g->desired_local_us >= DESIRED_LOCAL_US,
+		.remote = g->desired_changed ||
+		    now_us - g->desired_remote_us >= DESIRED_REMOTE_US,
 	};
 
-	g->news = false;
+	g->desired_changed = false;
 	if (recipients.local)
-		g->told_near_us = now_us;
+		g->desired_local_us = now_us;
 	if (recipients.remote)
-		g->told_far_us = now_us;
+		g->desired_remote_us = now_us;
 	return recipients;
 }
 
 static void
 on_desired_timer(struct evl_timer *timer)
 {
-	struct gateway *g = CONTAINER_OF(timer, struct gateway, tell);
+	struct gateway *g = CONTAINER_OF(timer, struct gateway, desired_timer);
 	const struct sv_config *config;
 	struct tgt_service *service;
 	struct recipients recipients;
@@ -325,16 +325,16 @@
  * target from the roster in the next periodic message.
  */
 void
-gateway_views_greet(struct gateway *g)
+gateway_desired_new_target(struct gateway *g)
 {
-	evl_timer_set(g->st.loop, &g->tell, evl_now_us(g->st.loop));
+	evl_timer_set(g->st.loop, &g->desired_timer, evl_now_us(g->st.loop));
 }
 
 void
-gateway_views_news(struct gateway *g)
+gateway_desired_changed(struct gateway *g)
 {
-	g->news = true;
-	gateway_views_greet(g);
+	g->desired_changed = true;
+	gateway_desired_new_target(g);
 }
 
 static void
@@ -344,11 +344,11 @@
 }
 
 void
-gateway_views_open(struct gateway *g)
+gateway_desired_open(struct gateway *g)
 {
 	g->rosters =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_roster);
-	g->tell.fire = on_desired_timer;
-	evl_timer_set(
-	    g->st.loop, &g->tell, evl_now_us(g->st.loop) + DESIRED_LOCAL_US);
+	g->desired_timer.fire = on_desired_timer;
+	evl_timer_set(g->st.loop, &g->desired_timer,
+	    evl_now_us(g->st.loop) + DESIRED_LOCAL_US);
 }
--- a/programs/entry/request.c
+++ b/programs/entry/request.c
@@ -424,7 +424,7 @@
 offer(struct request *r, unsigned int tokens)
 {
 	struct adm_queue *lane =
-	    gatekeeper_lane(r->entry, r->team, r->model, r->service);
+	    gatekeeper_queue(r->entry, r->team, r->model, r->service);
 	int64_t now_us = clk_now_us(clk_system());
 
 	r->ticket.priority = r->priority;
--- a/programs/entry/serve.c
+++ b/programs/entry/serve.c
@@ -55,7 +55,7 @@
 	if (m->type == RT_EVENTS_GET)
 		send_events(entry, c, m);
 	else if (m->type == RT_DEMAND)
-		gatekeeper_told(entry, conn_peer(c), m);
+		gatekeeper_demand_received(entry, conn_peer(c), m);
 	else if (m->type == RT_CLAIM || m->type == RT_CLAIM_SETTLE)
 		claims_message(entry, conn_peer(c), m);
 	else if (m->type == RT_CLAIM_ANSWER)
@@ -117,7 +117,7 @@
 	if (n == entry->live_entries)
 		return;
 	entry->live_entries = n;
-	gatekeeper_members(entry);
+	gatekeeper_members_changed(entry);
 	claims_members(entry);
 }
 
@@ -151,7 +151,7 @@
 	}
 	g_hash_table_replace(entry->teams, g_strdup(branch->name),
 	    rt_team_read(cfg, branch->version));
-	gatekeeper_team(entry, entry_team(entry, branch->name));
+	gatekeeper_set_workspace(entry, entry_team(entry, branch->name));
 	lead_teams_changed(entry);
 }
 
--- a/programs/entry/sides.c
+++ b/programs/entry/sides.c
@@ -78,7 +78,7 @@
 	rt_fleet_update(side->entry->fleet, t);
 	rt_target_reported(
 	    t, (unsigned int)told.running, clk_now_us(clk_system()));
-	gatekeeper_spoke(side->entry, t);
+	gatekeeper_target_changed(side->entry, t);
 	lead_wake(side->entry);
 }
 
@@ -94,7 +94,7 @@
 			continue;
 		t->accepting = accepting;
 		rt_fleet_update(entry->fleet, t);
-		gatekeeper_spoke(entry, t);
+		gatekeeper_target_changed(entry, t);
 	}
 }
 
@@ -110,7 +110,7 @@
 		/* Requests hold pointers to the targets they tried, so a
 		 * target stays and is only out of reach. */
 		rt_target_disconnected(side->entry->fleet, t);
-		gatekeeper_spoke(side->entry, t);
+		gatekeeper_target_changed(side->entry, t);
 	}
 }
 
@@ -152,7 +152,7 @@
 	rt_target_reported(
 	    target, (unsigned int)end->running + 1, clk_now_us(clk_system()));
 	request_end(r, &err);
-	gatekeeper_spoke(side->entry, target);
+	gatekeeper_target_changed(side->entry, target);
 }
 
 static void
