--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -18,7 +18,7 @@
 struct gatekeeper {
 	struct entry *entry;
 	struct adm *adm;
-	GHashTable *workspaces; /* name -> struct gate_team */
+	GHashTable *workspaces; /* name -> struct gate_workspace */
 	guint adm_timer;
 	guint lim_timer;
 	guint load_timer;
--- a/programs/entry/gateway.h
+++ b/programs/entry/gateway.h
@@ -53,8 +53,8 @@
 /* Sidecars that were sent no desired state yet get it after all events of this
  * wake-up. */
 void gateway_desired_new_target(struct gateway *g);
-void gateway_roster_requested(
-    struct gateway *g, const char *from, const struct side_roster_request *ask);
+void gateway_roster_requested(struct gateway *g, const char *from,
+    const struct side_roster_request *request);
 /* Address that a target's sidecar has, whether there is one or not. */
 bool gateway_sidecar_address(
     const struct gateway *g, const struct tgt *t, char to[SV_ADDRESS_MAX]);
@@ -71,13 +71,13 @@
 void gateway_relay_open(struct gateway *g);
 /* A sidecar of this region reports a gateway of a remote one. */
 void gateway_relay_add_gateway(
-    struct gateway *g, const struct side_report *load);
-void gateway_relay_received(struct gateway *g, const struct side_relay *loads);
+    struct gateway *g, const struct side_report *report);
+void gateway_relay_received(struct gateway *g, const struct side_relay *relay);
 
 /* gateway_rate.c: rate limits of targets, and permits issued by sidecars */
 void gateway_rate_open(struct gateway *g);
 void gateway_rate_reported(
-    struct gateway *g, struct tgt *t, const struct side_report *load);
+    struct gateway *g, struct tgt *t, const struct side_report *report);
 /* A sidecar relays the limit of a target that has no sidecar. */
 void gateway_rate_relayed(struct gateway *g, const struct side_rate *rate);
 void gateway_rate_permit(struct gateway *g, const struct side_permit *permit);
--- a/programs/entry/gateway_views.c
+++ b/programs/entry/gateway_views.c
@@ -31,7 +31,7 @@
 
 /* A sidecar runs on the host of its engine and listens on the peers' port. */
 static bool
-keeper_address(const struct tgt *t, unsigned int port, struct sockaddr_in *out)
+sidecar_address(const struct tgt *t, unsigned int port, struct sockaddr_in *out)
 {
 	if (!sock_address(t->record.address, out))
 		return false;
@@ -45,7 +45,7 @@
 {
 	struct sockaddr_in at;
 
-	if (!keeper_address(t, peers_port(g), &at))
+	if (!sidecar_address(t, peers_port(g), &at))
 		return false;
 	sock_text(&at, to, SV_ADDRESS_MAX);
 	return true;
@@ -76,7 +76,7 @@
 	TAILQ_FOREACH (t, &service->targets, link) {
 		struct roster_peer peer = { 0 };
 
-		if (!keeper_address(t, port, &at))
+		if (!sidecar_address(t, port, &at))
 			continue;
 		memcpy(peer.ip, &at.sin_addr.s_addr, sizeof(peer.ip));
 		peer.port = at.sin_port;
@@ -114,7 +114,7 @@
 
 /* The service that is the origin of weights; NULL: there is none. */
 static const struct sv_service *
-origin_of(const struct sv_config *config)
+find_origin(const struct sv_config *config)
 {
 	size_t i;
 
@@ -163,7 +163,7 @@
 /* Sidecars report only the root of the newest version; the root of the previous
  * one is retained for sidecars that start now. */
 static void
-note_agreed(struct tgt_service *service, int64_t version)
+update_agreed_root(struct tgt_service *service, int64_t version)
 {
 	struct digest root = gateway_agreed_root(service, version);
 
@@ -194,7 +194,7 @@
 	const struct sv_engine *e = &service->engine;
 	int64_t announced_us = vers_announced_us(g->announced, e->model);
 	const struct sv_service *origin =
-	    origin_of(rtab_config(fwd_routes(g->fwd)));
+	    find_origin(rtab_config(fwd_routes(g->fwd)));
 	int64_t now_us = evl_now_us(g->st.loop);
 	struct roster_id roster = roster_id(roster_of(g, service));
 
@@ -202,7 +202,7 @@
 	desired->start = g->seed;
 	desired->model = slice_str(e->model);
 	desired->version = (uint64_t)desired_version(g, service);
-	note_agreed(service, (int64_t)desired->version);
+	update_agreed_root(service, (int64_t)desired->version);
 	desired->root = known_root(service, (int64_t)desired->version);
 	desired->age_ms =
 	    announced_us == 0 ? 0 : (uint64_t)(now_us - announced_us) / 1000;
@@ -248,7 +248,7 @@
 		if (t->gateway_announced &&
 		    !(t->local ? recipients->local : recipients->remote))
 			continue;
-		if (!keeper_address(t, port, &at))
+		if (!sidecar_address(t, port, &at))
 			continue;
 		sock_text(&at, to, sizeof(to));
 		dgram_send_packed(g->peers, to, &side_desired_desc, packed);
