--- a/programs/entry/cli.c
+++ b/programs/entry/cli.c
@@ -8,12 +8,12 @@
 #include "entry/cli.h"
 #include "entry/entry.h"
 
-/* Settings are guaranteed to be active at all nodes within 14 s. */
+/* Settings are guaranteed to become active at all nodes within 14 s. */
 #define WAIT_MS 14000
-#define WORDS_MAX 2
+#define KEYWORDS_MAX 2
 
 struct command {
-	const char *words[WORDS_MAX];
+	const char *keywords[KEYWORDS_MAX];
 	int (*run)(const struct cli *cli, const char **args);
 	unsigned int args; /* number of required arguments */
 	const char *usage;
@@ -83,9 +83,9 @@
 }
 
 static size_t
-count_words(const struct command *c)
+count_keywords(const struct command *c)
 {
-	return c->words[1] == NULL ? 1 : 2;
+	return c->keywords[1] == NULL ? 1 : 2;
 }
 
 static const struct command *
@@ -94,13 +94,13 @@
 	size_t i, w;
 
 	for (i = 0; i < G_N_ELEMENTS(commands); i++) {
-		size_t words = count_words(&commands[i]);
+		size_t keywords = count_keywords(&commands[i]);
 
-		for (w = 0; w < words && w < n; w++) {
-			if (strcmp(commands[i].words[w], args[w]) != 0)
+		for (w = 0; w < keywords && w < n; w++) {
+			if (strcmp(commands[i].keywords[w], args[w]) != 0)
 				break;
 		}
-		if (w == words)
+		if (w == keywords)
 			return &commands[i];
 	}
 	return NULL;
@@ -119,12 +119,12 @@
 		print_usage(stderr);
 		return EXIT_USAGE;
 	}
-	if (n != count_words(c) + c->args) {
+	if (n != count_keywords(c) + c->args) {
 		fprintf(stderr, "usage: currantchute %s\nexample: %s\n",
 		    c->usage, c->example);
 		return EXIT_USAGE;
 	}
-	return c->run(cli, args + count_words(c));
+	return c->run(cli, args + count_keywords(c));
 }
 
 /* Environment variables and defaults for options that were not given. */
--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -7,7 +7,7 @@
 #include "entry/cli.h"
 
 #define CALL_TIMEOUT_S 10
-#define EDIT_ATTEMPTS 5 /* conflicts with writes of other operators */
+#define EDIT_ATTEMPTS 5 /* limits retries after conflicts */
 #define POLL_MS 200
 
 /* ------------------------------------------------------------------ */
--- a/programs/entry/cli_status.c
+++ b/programs/entry/cli_status.c
@@ -89,14 +89,14 @@
 print_timeline(JsonObject *o)
 {
 	JsonArray *events = json_object_get_array_member(o, "events");
-	JsonArray *silent = json_object_get_array_member(o, "silent");
+	JsonArray *unresponsive = json_object_get_array_member(o, "silent");
 	guint i;
 
 	for (i = 0; i < json_array_get_length(events); i++)
 		print_event(json_array_get_object_element(events, i));
-	for (i = 0; i < json_array_get_length(silent); i++)
+	for (i = 0; i < json_array_get_length(unresponsive); i++)
 		fprintf(stderr, "no events from %s\n",
-		    json_array_get_string_element(silent, i));
+		    json_array_get_string_element(unresponsive, i));
 }
 
 int
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -13,7 +13,7 @@
  * start or stop, and for windows not aligned with this process's slots. */
 #define BUDGET_USED 0.8
 /* Descriptors reserved for files and for calls to targets. */
-#define DESCRIPTORS_KEPT 1200
+#define DESCRIPTORS_RESERVED 1200
 /* Share of the memory that request bodies may take. */
 #define BODIES_SHARE 0.25
 
@@ -398,7 +398,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-open_policy(struct gateway *g)
+open_routing(struct gateway *g)
 {
 	const struct cfg *cfg = g->st.cfg;
 	static const struct tgt_policy none;
@@ -456,7 +456,7 @@
 		.address = cfg_str(cfg, "listen.callers"),
 		.limits = &g->limits,
 		.connections_max = (unsigned int)MAX(
-		    descriptors / 2, descriptors - DESCRIPTORS_KEPT),
+		    descriptors / 2, descriptors - DESCRIPTORS_RESERVED),
 		.bodies_max =
 		    (size_t)((double)cfg_int(cfg, "limits.memory_mb") * 1e6 *
 			BODIES_SHARE),
@@ -491,7 +491,7 @@
 	g->st.ctx = g;
 	if (!station_open(&g->st, "gateway", err))
 		return false;
-	open_policy(g);
+	open_routing(g);
 	if (!open_servers(g, err) || !gateway_peers_open(g, err))
 		return false;
 	open_store(g);
--- a/programs/entry/gateway.h
+++ b/programs/entry/gateway.h
@@ -87,9 +87,10 @@
 
 /* gateway_ends.c: terminations of targets, and the requests in flight there */
 void gateway_terminations_open(struct gateway *g);
-void gateway_terminations_send(const struct sus_end *ends, size_t n, void *ctx);
+void gateway_terminations_send(
+    const struct sus_end *terminations, size_t n, void *ctx);
 void gateway_terminations_received(
-    struct gateway *g, const struct side_terminations *ends);
+    struct gateway *g, const struct side_terminations *terminations);
 
 /* gateway.c */
 /* `now` has replaced `before` (NULL: it is new). Pooled connections to the
--- a/programs/entry/gateway_ends.c
+++ b/programs/entry/gateway_ends.c
@@ -15,7 +15,7 @@
 
 static void
 send_terminations(struct gateway *g, uint64_t fingerprint,
-    const struct side_terminations *ends)
+    const struct side_terminations *terminations)
 {
 	const struct tgt *at[COUNTERS];
 	char to[SV_ADDRESS_MAX];
@@ -25,23 +25,26 @@
 	    g->set, fingerprint, evl_now_us(g->st.loop), at, COUNTERS);
 	for (i = 0; i < n; i++) {
 		if (gateway_sidecar_address(g, at[i], to))
-			dgram_send(g->peers, to, &side_terminations_desc, ends);
+			dgram_send(g->peers, to, &side_terminations_desc,
+			    terminations);
 	}
 }
 
 void
-gateway_terminations_send(const struct sus_end *ends, size_t n, void *ctx)
+gateway_terminations_send(
+    const struct sus_end *terminations, size_t n, void *ctx)
 {
 	struct gateway *g = ctx;
 	GByteArray *entry = g_byte_array_new();
-	struct side_terminations one;
+	struct side_terminations message;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
 		g_byte_array_set_size(entry, 0);
-		side_termination_put(entry, &ends[i], evl_now_us(g->st.loop));
-		one.entries = (struct slice){ entry->data, entry->len };
-		send_terminations(g, ends[i].content, &one);
+		side_termination_put(
+		    entry, &terminations[i], evl_now_us(g->st.loop));
+		message.entries = (struct slice){ entry->data, entry->len };
+		send_terminations(g, terminations[i].content, &message);
 	}
 	g_byte_array_unref(entry);
 }
@@ -50,24 +53,27 @@
 static void
 refresh(struct gateway *g)
 {
-	GArray *ends = g_array_new(FALSE, FALSE, sizeof(struct sus_end));
+	GArray *terminations =
+	    g_array_new(FALSE, FALSE, sizeof(struct sus_end));
 	GByteArray *entries = g_byte_array_new();
-	const struct sus_end *end;
+	const struct sus_end *termination;
 	struct side_terminations message;
 	guint i;
 
-	fwd_held_ends(g->fwd, ends);
-	for (i = 0; i < ends->len; i++) {
-		end = &g_array_index(ends, struct sus_end, i);
-		side_termination_put(entries, end, evl_now_us(g->st.loop));
-		if (i + 1 < ends->len && end[1].content == end->content)
+	fwd_held_ends(g->fwd, terminations);
+	for (i = 0; i < terminations->len; i++) {
+		termination = &g_array_index(terminations, struct sus_end, i);
+		side_termination_put(
+		    entries, termination, evl_now_us(g->st.loop));
+		if (i + 1 < terminations->len &&
+		    termination[1].content == termination->content)
 			continue;
 		message.entries = (struct slice){ entries->data, entries->len };
-		send_terminations(g, end->content, &message);
+		send_terminations(g, termination->content, &message);
 		g_byte_array_set_size(entries, 0);
 	}
 	g_byte_array_unref(entries);
-	g_array_unref(ends);
+	g_array_unref(terminations);
 }
 
 static void
@@ -90,13 +96,14 @@
 
 void
 gateway_terminations_received(
-    struct gateway *g, const struct side_terminations *ends)
+    struct gateway *g, const struct side_terminations *terminations)
 {
-	struct sus_end end;
+	struct sus_end termination;
 	size_t i;
 
-	for (i = 0; i < side_terminations_count(ends); i++) {
-		side_termination_get(ends, i, evl_now_us(g->st.loop), &end);
-		fwd_told_end(g->fwd, &end);
+	for (i = 0; i < side_terminations_count(terminations); i++) {
+		side_termination_get(
+		    terminations, i, evl_now_us(g->st.loop), &termination);
+		fwd_told_end(g->fwd, &termination);
 	}
 }
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -98,7 +98,7 @@
  * announcements from other gateways.
  */
 static void
-note_wanted(struct gateway *g, const struct tgt_service *service,
+note_announcements(struct gateway *g, const struct tgt_service *service,
     const struct side_report *report)
 {
 	const char *model = service->engine.model;
@@ -138,7 +138,7 @@
 	if (report->gateways >= ALL_DOWN_MIN_GATEWAYS &&
 	    report->without_store == report->gateways)
 		g->all_down_us = now_us;
-	note_wanted(g, t->service, report);
+	note_announcements(g, t->service, report);
 	if (note_root(t, report) && completes_votes(g, t))
 		gateway_desired_changed(g);
 }
--- a/programs/entry/main.c
+++ b/programs/entry/main.c
@@ -1,6 +1,6 @@
 /*
  * currantchute: `entry` and `gateway` run servers, `explain` reads log files;
- * every other command is an operator's and calls an entry.
+ * all other commands are for operators.
  */
 
 #include <stdio.h>
--- a/programs/entry/timeline.c
+++ b/programs/entry/timeline.c
@@ -71,16 +71,16 @@
 answer(struct collection *all)
 {
 	JsonObject *o = json_object_new();
-	JsonArray *silent = json_array_new();
+	JsonArray *unresponsive = json_array_new();
 	JsonNode *node = json_node_new(JSON_NODE_OBJECT);
 	const struct member_query *query;
 
 	TAILQ_FOREACH (query, &all->queries, link) {
 		if (!query->answered)
-			json_array_add_string_element(silent, query->id);
+			json_array_add_string_element(unresponsive, query->id);
 	}
 	json_object_set_array_member(o, "events", sorted(all->events));
-	json_object_set_array_member(o, "silent", silent);
+	json_object_set_array_member(o, "silent", unresponsive);
 	json_node_take_object(node, o);
 	answer_json(all->message, SOUP_STATUS_OK, node);
 	soup_server_message_unpause(all->message);
