--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -7,7 +7,8 @@
 #include "entry/cli.h"
 
 #define CALL_TIMEOUT_S 10
-#define EDIT_ATTEMPTS 5 /* limits retries after conflicts */
+/* An edit conflicts if another operator writes between its read and write. */
+#define EDIT_ATTEMPTS 5
 #define POLL_MS 200
 
 /* ------------------------------------------------------------------ */
