--- a/programs/entry/cli.c
+++ b/programs/entry/cli.c
@@ -8,13 +8,14 @@
 #include "entry/cli.h"
 #include "entry/entry.h"
 
-#define WAIT_MS 14000 /* the promise: in force everywhere within 14 s */
-#define WORDS_MAX 2
+/* Settings are guaranteed to become active at all nodes within 14 s. */
+#define WAIT_MS 14000
+#define KEYWORDS_MAX 2
 
 struct command {
-	const char *words[WORDS_MAX];
+	const char *keywords[KEYWORDS_MAX];
 	int (*run)(const struct cli *cli, const char **args);
-	unsigned int args; /* how many are needed */
+	unsigned int args; /* number of required arguments */
 	const char *usage;
 	const char *example;
 };
@@ -73,20 +74,18 @@
 	    "(or CURRANTCHUTE_ENTRY)\n"
 	    "  --token TOKEN      operator's token (or CURRANTCHUTE_TOKEN)\n"
 	    "  --json             print the answer as JSON\n"
-	    "  --wait-ms N        how long to wait for the outcome "
-	    "(default %d)\n"
+	    "  --wait-ms N        timeout for the outcome (default %d)\n"
 	    "\n"
 	    "exit codes: 0 done; 1 refused; 2 wrong usage or settings; "
 	    "3 no entry answered;\n"
-	    "            4 accepted, but not in force or done everywhere in "
-	    "time\n",
+	    "            4 accepted, but not active or done everywhere in time\n",
 	    WAIT_MS);
 }
 
 static size_t
-count_words(const struct command *c)
+count_keywords(const struct command *c)
 {
-	return c->words[1] == NULL ? 1 : 2;
+	return c->keywords[1] == NULL ? 1 : 2;
 }
 
 static const struct command *
@@ -95,13 +94,13 @@
 	size_t i, w;
 
 	for (i = 0; i < G_N_ELEMENTS(commands); i++) {
-		size_t words = count_words(&commands[i]);
+		size_t keywords = count_keywords(&commands[i]);
 
-		for (w = 0; w < words && w < n; w++) {
-			if (strcmp(commands[i].words[w], args[w]) != 0)
+		for (w = 0; w < keywords && w < n; w++) {
+			if (strcmp(commands[i].keywords[w], args[w]) != 0)
 				break;
 		}
-		if (w == words)
+		if (w == keywords)
 			return &commands[i];
 	}
 	return NULL;
@@ -120,15 +119,15 @@
 		print_usage(stderr);
 		return EXIT_USAGE;
 	}
-	if (n != count_words(c) + c->args) {
+	if (n != count_keywords(c) + c->args) {
 		fprintf(stderr, "usage: currantchute %s\nexample: %s\n",
 		    c->usage, c->example);
 		return EXIT_USAGE;
 	}
-	return c->run(cli, args + count_words(c));
+	return c->run(cli, args + count_keywords(c));
 }
 
-/* What the options left open. */
+/* Environment variables and defaults for options that were not given. */
 static void
 read_environment(struct cli *cli)
 {
@@ -142,7 +141,7 @@
 		cli->token = strdup(token == NULL ? "" : token);
 }
 
-/* popt hands out strings that are the program's to free. */
+/* Strings from popt are owned by the caller. */
 static void
 free_options(struct cli *cli)
 {
--- a/programs/entry/cli_status.c
+++ b/programs/entry/cli_status.c
@@ -5,7 +5,8 @@
 
 #include "entry/cli.h"
 
-#define HLC_COUNTER_BITS 16 /* the stamp's upper bits are milliseconds */
+/* The upper bits of a hybrid logical clock are milliseconds. */
+#define HLC_COUNTER_BITS 16
 
 static int
 fetch(const struct cli *cli, const char *path, JsonNode **node)
@@ -88,14 +89,14 @@
 print_timeline(JsonObject *o)
 {
 	JsonArray *events = json_object_get_array_member(o, "events");
-	JsonArray *silent = json_object_get_array_member(o, "silent");
+	JsonArray *unresponsive = json_object_get_array_member(o, "silent");
 	guint i;
 
 	for (i = 0; i < json_array_get_length(events); i++)
 		print_event(json_array_get_object_element(events, i));
-	for (i = 0; i < json_array_get_length(silent); i++)
+	for (i = 0; i < json_array_get_length(unresponsive); i++)
 		fprintf(stderr, "no events from %s\n",
-		    json_array_get_string_element(silent, i));
+		    json_array_get_string_element(unresponsive, i));
 }
 
 int
