--- a/lib/common/common_internal.h
+++ b/lib/common/common_internal.h
@@ -1,19 +1,20 @@
 #ifndef COMMON_INTERNAL_H
 #define COMMON_INTERNAL_H
 
-/* Shared by the files of the common package only. */
+/* Internal to the common package. */
 
 #include <gio/gio.h>
 
 #include "common/common.h"
 
-/* Parses "ip:port" or "[ip6]:port". NULL and an error when malformed. */
+/* Parses "ip:port" or "[ip6]:port". Returns NULL and sets `err` if the text is
+ * malformed. */
 GSocketAddress *net_address(const char *text, struct err *err);
-/* A non-blocking socket of the address's family. */
+/* Creates a non-blocking socket of the address's family. */
 GSocket *net_socket(GSocketAddress *address, GSocketType type, struct err *err);
 
 /* ------------------------------------------------------------------ */
-/* Proof of the shared key, before anything else on a connection        */
+/* Authentication with the shared key, when a connection opens          */
 /* ------------------------------------------------------------------ */
 
 #define CONN_NONCE_BYTES 32
@@ -32,9 +33,9 @@
 extern const struct msg_desc conn_proof_desc;
 
 /*
- * The prover's proof over both names and nonces. A label differs by
- * direction, or a peer could send our own proof back to us on a second
- * connection and be believed.
+ * Computes the prover's HMAC over both names and nonces. It includes a label
+ * that depends on the direction, since otherwise a peer could authenticate
+ * itself by reflecting this node's own proof on a second connection.
  */
 void conn_make_proof(const struct conn_node *node, bool by_dialler,
     const char *prover, const uint8_t *prover_nonce, const char *checker,
