--- a/lib/common/cfg.c
+++ b/lib/common/cfg.c
@@ -1,4 +1,4 @@
-/* Settings tree: from YAML text to a tree of nodes. */
+/* Settings tree: builds the tree from YAML text. */
 
 #include <errno.h>
 #include <stdarg.h>
@@ -13,7 +13,7 @@
 	const char *name;
 	struct cfg_node *root;
 	struct cfg_node *open; /* innermost open map or list, or NULL */
-	char *key; /* read, its value still to come */
+	char *key; /* last key read, until its value is read; or NULL */
 	int key_line;
 	unsigned int depth;
 	unsigned int nodes;
@@ -22,10 +22,11 @@
 
 #define KEY_ALLOWED "1 to 64 letters, digits, _ and -"
 
-/* err_set would cut a long message anywhere, also within a character, and the
- * answer in JSON that carries it would then be refused by its reader. */
+/* Truncates a long message at a character boundary. err_set would truncate it
+ * within a UTF-8 character, and clients would refuse the JSON response that
+ * contains it. */
 static void
-cut_message(GString *text)
+truncate_message(GString *text)
 {
 	size_t len = ERR_MESSAGE_MAX - sizeof("...");
 
@@ -46,7 +47,7 @@
 	g_string_printf(text, "%s:%d: key '%s': %s", name, line, path, what);
 	if (allowed != NULL)
 		g_string_append_printf(text, "; allowed: %s", allowed);
-	cut_message(text);
+	truncate_message(text);
 	err_set(err, ERR_INVALID, VERDICT_NOT_RUN, "%s", text->str);
 	g_string_free(text, TRUE);
 	return false;
@@ -72,7 +73,7 @@
 	return (int)mark.line + 1;
 }
 
-/* Fails about the value or key being read. */
+/* Sets an error about the key or value that is being read. */
 static bool
 build_fail(
     struct builder *b, yaml_mark_t mark, const char *allowed, const char *what)
@@ -99,7 +100,8 @@
 	return false;
 }
 
-/* Anchors with aliases can grow a small document without end. */
+/* Refuses anchors, because their aliases can expand a small document without
+ * bound, and tags. */
 static bool
 check_plain(struct builder *b, const yaml_event_t *event,
     const yaml_char_t *anchor, const yaml_char_t *tag)
@@ -126,7 +128,7 @@
 		b->root = node;
 		return true;
 	}
-	if (b->key != NULL) /* a block value begins on a later line */
+	if (b->key != NULL) /* a block value starts on a later line */
 		node->line = b->key_line;
 	cfg_node_add(b->open, b->key, node);
 	g_clear_pointer(&b->key, g_free);
@@ -134,17 +136,17 @@
 }
 
 static bool
-wants_key(const struct builder *b)
+expects_key(const struct builder *b)
 {
 	return b->open != NULL && b->open->type == CFG_MAP && b->key == NULL;
 }
 
 static bool
-take_key(struct builder *b, const yaml_event_t *event)
+add_key(struct builder *b, const yaml_event_t *event)
 {
 	const char *key = (const char *)event->data.scalar.value;
 
-	/* An embedded NUL would hide the rest of the key. */
+	/* An embedded NUL would truncate the key. */
 	if (strlen(key) != event->data.scalar.length || !cfg_key_valid(key))
 		return build_fail(b, event->start_mark, KEY_ALLOWED,
 		    strchr(key, '.') != NULL ? "holds a key with a dot"
@@ -157,7 +159,7 @@
 }
 
 static bool
-take_scalar(struct builder *b, const yaml_event_t *event)
+add_scalar(struct builder *b, const yaml_event_t *event)
 {
 	const char *text = (const char *)event->data.scalar.value;
 	struct cfg_node *node;
@@ -165,8 +167,8 @@
 	if (!check_plain(
 		b, event, event->data.scalar.anchor, event->data.scalar.tag))
 		return false;
-	if (wants_key(b))
-		return take_key(b, event);
+	if (expects_key(b))
+		return add_key(b, event);
 	if (strlen(text) != event->data.scalar.length)
 		return build_fail(b, event->start_mark, "text without NUL",
 		    "holds a NUL character");
@@ -177,15 +179,15 @@
 }
 
 static bool
-take_start(struct builder *b, const yaml_event_t *event, enum cfg_type type)
+open_container(struct builder *b, const yaml_event_t *event, enum cfg_type type)
 {
 	struct cfg_node *node;
 
-	if (wants_key(b))
+	if (expects_key(b))
 		return build_fail(b, event->start_mark, KEY_ALLOWED,
 		    "holds a map or list as a key");
-	/* The tree is walked by recursion: without the bound a document of
-	 * opening brackets would exhaust the stack. */
+	/* The tree is traversed recursively: without a depth limit a document
+	 * of opening brackets would overflow the stack. */
 	if (b->depth == CFG_DEPTH_MAX)
 		return build_fail(
 		    b, event->start_mark, "16 levels", "nested too deep");
@@ -198,14 +200,14 @@
 }
 
 static void
-take_end(struct builder *b)
+close_container(struct builder *b)
 {
 	b->open = b->open->parent;
 	b->depth--;
 }
 
 static bool
-take_document(struct builder *b, const yaml_event_t *event)
+check_single_document(struct builder *b, const yaml_event_t *event)
 {
 	if (b->root != NULL)
 		return build_fail(
@@ -214,24 +216,24 @@
 }
 
 static bool
-take_event(struct builder *b, const yaml_event_t *event)
+handle_event(struct builder *b, const yaml_event_t *event)
 {
 	switch (event->type) {
 	case YAML_DOCUMENT_START_EVENT:
-		return take_document(b, event);
+		return check_single_document(b, event);
 	case YAML_SCALAR_EVENT:
-		return take_scalar(b, event);
+		return add_scalar(b, event);
 	case YAML_MAPPING_START_EVENT:
 		return check_plain(b, event, event->data.mapping_start.anchor,
 			   event->data.mapping_start.tag) &&
-		    take_start(b, event, CFG_MAP);
+		    open_container(b, event, CFG_MAP);
 	case YAML_SEQUENCE_START_EVENT:
 		return check_plain(b, event, event->data.sequence_start.anchor,
 			   event->data.sequence_start.tag) &&
-		    take_start(b, event, CFG_LIST);
+		    open_container(b, event, CFG_LIST);
 	case YAML_MAPPING_END_EVENT:
 	case YAML_SEQUENCE_END_EVENT:
-		take_end(b);
+		close_container(b);
 		return true;
 	case YAML_ALIAS_EVENT:
 		return build_fail(
@@ -252,7 +254,7 @@
 		if (yaml_parser_parse(&b->parser, &event) == 0)
 			return syntax_fail(b);
 		ended = event.type == YAML_STREAM_END_EVENT;
-		ok = take_event(b, &event);
+		ok = handle_event(b, &event);
 		yaml_event_delete(&event);
 	}
 	return ok;
@@ -293,7 +295,7 @@
 	ok = read_events(&b);
 	yaml_parser_delete(&b.parser);
 	g_free(b.key);
-	if (ok && b.root == NULL) /* nothing but comments */
+	if (ok && b.root == NULL) /* an empty document or only comments */
 		b.root = cfg_node_new(CFG_MAP, 1);
 	if (ok)
 		return b.root;
@@ -320,7 +322,8 @@
 	return NULL;
 }
 
-/* Reads one byte past the bound at most, so that cfg_parse sees the excess. */
+/* Reads at most one byte more than CFG_DOCUMENT_MAX, so that cfg_parse detects
+ * and refuses a file that is too large. */
 static char *
 read_file(const char *path, size_t *len, struct err *err)
 {
@@ -368,18 +371,19 @@
 	g_free(cfg);
 }
 
+/* Line of the node at `path` or of its nearest present parent. */
 static int
 nearest_line(const struct cfg *cfg, const char *path)
 {
-	char *left = g_strdup(path);
-	struct cfg_node *node = cfg_node_find(cfg, left);
+	char *prefix = g_strdup(path);
+	struct cfg_node *node = cfg_node_find(cfg, prefix);
 	char *dot;
 
-	while (node == NULL && (dot = strrchr(left, '.')) != NULL) {
+	while (node == NULL && (dot = strrchr(prefix, '.')) != NULL) {
 		*dot = '\0';
-		node = cfg_node_find(cfg, left);
+		node = cfg_node_find(cfg, prefix);
 	}
-	g_free(left);
+	g_free(prefix);
 	return node != NULL ? node->line : cfg->root->line;
 }
 
--- a/lib/common/cfg_schema.h
+++ b/lib/common/cfg_schema.h
@@ -1,7 +1,7 @@
 #ifndef CFG_SCHEMA_H
 #define CFG_SCHEMA_H
 
-/* Bounds shared by the settings' schemas. */
+/* Bounds that several settings schemas use. */
 
 #include "common/common.h"
 
