--- a/lib/common/cfg_check.c
+++ b/lib/common/cfg_check.c
@@ -20,7 +20,8 @@
 	[CFG_DECIMAL] = "a number such as 0.19",
 };
 
-/* The last segment of a rule that is a direct child of `pattern`, or NULL. */
+/* Last path segment of the rule if it is a direct child of `pattern`, else
+ * NULL. */
 static const char *
 child_segment(const struct cfg_rule *rule, const char *pattern)
 {
@@ -35,12 +36,12 @@
 	return strchr(rest, '.') == NULL ? rest : NULL;
 }
 
-/* The rule for `key` below `pattern`: its own, or the one for any key. */
+/* The rule of `key` below `pattern`: the exact one, else that of `*`. */
 static const struct cfg_rule *
 child_rule(
     const struct cfg_schema *schema, const char *pattern, const char *key)
 {
-	const struct cfg_rule *any = NULL;
+	const struct cfg_rule *wildcard = NULL;
 	const char *segment;
 	size_t i;
 
@@ -51,9 +52,9 @@
 		if (strcmp(segment, key) == 0)
 			return &schema->rules[i];
 		if (strcmp(segment, "*") == 0)
-			any = &schema->rules[i];
+			wildcard = &schema->rules[i];
 	}
-	return any;
+	return wildcard;
 }
 
 static bool
@@ -187,7 +188,8 @@
 	return !is_bounded(rule) || (value >= rule->min && value <= rule->max);
 }
 
-/* Decimal without a leading zero, which YAML 1.1 reads as octal. */
+/* Accepts decimal numbers without a leading zero, because YAML 1.1 reads such
+ * numbers as octal. */
 static bool
 read_int(const struct cfg_node *node, int64_t *value)
 {
@@ -297,7 +299,7 @@
 	return fail(c, node, rule, "not a boolean");
 }
 
-/* The value is not shown: it may be a key or token. */
+/* Errors omit the value, because it may be a key or token. */
 static bool
 check_string(const struct checker *c, const struct cfg_node *node,
     const struct cfg_rule *rule)
@@ -348,8 +350,9 @@
 	return row[len];
 }
 
-#define NEAR_MAX 2 /* edits; more is rarely a typing error */
+#define SUGGEST_DISTANCE_MAX 2 /* a larger distance is rarely a typing error */
 
+/* Sets an error that lists the allowed keys and suggests the nearest one. */
 static bool
 fail_unknown(
     const struct checker *c, const struct cfg_node *node, const char *pattern)
@@ -357,7 +360,7 @@
 	GString *allowed = g_string_new(NULL);
 	GString *what = g_string_new("unknown key");
 	const char *nearest = NULL;
-	unsigned int best = NEAR_MAX + 1;
+	unsigned int best = SUGGEST_DISTANCE_MAX + 1;
 	const char *segment;
 	char *path;
 	size_t i;
