--- a/lib/common/cfg_edit.c
+++ b/lib/common/cfg_edit.c
@@ -1,4 +1,4 @@
-/* Settings tree: a copy of a document with one value changed, as text. */
+/* Settings tree: copies a document with one value changed and prints it. */
 
 #include <string.h>
 #include <yaml.h>
@@ -15,7 +15,7 @@
 static void
 emit(yaml_emitter_t *emitter, yaml_event_t *event, int initialised)
 {
-	/* Only memory can fail: the tree is well-formed. */
+	/* The tree is well-formed: only a failed allocation is possible. */
 	if (initialised == 0 || yaml_emitter_emit(emitter, event) == 0)
 		g_error("yaml: %s",
 		    emitter->problem != NULL ? emitter->problem : "no memory");
@@ -133,20 +133,21 @@
 	return node;
 }
 
-/* Adds `child` to `parent`; frees it and fails where there is no such place. */
+/* Adds `child` to `parent` at the path segment. If that is neither a valid key
+ * of a map nor the next index of a list, frees `child` and fails. */
 static bool
-place_child(const struct cfg *cfg, struct cfg_node *parent, const char *segment,
+add_child(const struct cfg *cfg, struct cfg_node *parent, const char *segment,
     struct cfg_node *child, const char *path, struct err *err)
 {
-	char end[24];
+	char next_index[24];
 
-	g_snprintf(end, sizeof(end), "%zu",
+	g_snprintf(next_index, sizeof(next_index), "%zu",
 	    parent->children != NULL ? (size_t)parent->children->len : 0);
 	if (parent->type == CFG_MAP && cfg_key_valid(segment)) {
 		cfg_node_add(parent, segment, child);
 		return true;
 	}
-	if (parent->type == CFG_LIST && strcmp(segment, end) == 0) {
+	if (parent->type == CFG_LIST && strcmp(segment, next_index) == 0) {
 		cfg_node_add(parent, NULL, child);
 		return true;
 	}
@@ -155,7 +156,7 @@
 	    err, "cannot be set");
 }
 
-/* Replaces in place, so that order and indices stay. */
+/* Replaces a node at its position, which preserves the order and indices. */
 static void
 replace_node(struct cfg_node *old, struct cfg_node *value)
 {
@@ -170,6 +171,7 @@
 	cfg_node_free(old);
 }
 
+/* Type of a missing parent with the path of the first `n` segments. */
 static enum cfg_type
 parent_type(const struct cfg *cfg, char **segments, guint n)
 {
@@ -185,9 +187,10 @@
 	return rule != NULL && rule->type == CFG_LIST ? CFG_LIST : CFG_MAP;
 }
 
-/* The parent of the path's last segment; made where missing. */
+/* Returns the parent of the last path segment. Missing nodes on the way are
+ * created. */
 static struct cfg_node *
-make_parent(const struct cfg *cfg, struct cfg_node *root, char **segments,
+ensure_parent(const struct cfg *cfg, struct cfg_node *root, char **segments,
     const char *path, struct err *err)
 {
 	struct cfg_node *node = root;
@@ -199,7 +202,7 @@
 		if (child == NULL) {
 			child =
 			    cfg_node_new(parent_type(cfg, segments, i + 1), 1);
-			if (!place_child(
+			if (!add_child(
 				cfg, node, segments[i], child, path, err))
 				return NULL;
 		}
@@ -218,7 +221,7 @@
 	struct cfg_node *node = NULL;
 	bool ok = false;
 
-	parent = make_parent(cfg, root, segments, path, err);
+	parent = ensure_parent(cfg, root, segments, path, err);
 	if (parent != NULL)
 		node = value_node(value, err);
 	if (node != NULL) {
@@ -226,7 +229,7 @@
 
 		old = cfg_node_child(parent, name);
 		ok = old != NULL ||
-		    place_child(cfg, parent, name, node, path, err);
+		    add_child(cfg, parent, name, node, path, err);
 		if (old != NULL)
 			replace_node(old, node);
 	}
