--- a/lib/common/cfg_node.c
+++ b/lib/common/cfg_node.c
@@ -1,4 +1,4 @@
-/* Settings tree: nodes and paths. */
+/* Settings tree: nodes and their paths. */
 
 #include <string.h>
 
@@ -52,15 +52,15 @@
 cfg_node_remove(struct cfg_node *child)
 {
 	struct cfg_node *parent = child->parent;
-	struct cfg_node *later;
+	struct cfg_node *next;
 	guint i;
 
 	if (child->key != NULL)
 		g_hash_table_remove(parent->by_key, child->key);
 	g_ptr_array_remove_index(parent->children, child->index);
 	for (i = child->index; i < parent->children->len; i++) {
-		later = g_ptr_array_index(parent->children, i);
-		later->index = i;
+		next = g_ptr_array_index(parent->children, i);
+		next->index = i;
 	}
 	cfg_node_free(child);
 }
--- a/lib/common/cfg_print.c
+++ b/lib/common/cfg_print.c
@@ -10,7 +10,7 @@
 	[CFG_BOOL] = "boolean",
 };
 
-/* A bar would end the table's cell. */
+/* Escapes the `|` character, which would end the table cell. */
 static void
 append_cell(GString *out, const char *text)
 {
--- a/lib/common/cfg_read.c
+++ b/lib/common/cfg_read.c
@@ -1,11 +1,12 @@
-/* Settings tree: reads values by path. */
+/* Settings tree: accessors by path. */
 
 #include <stdarg.h>
 #include <string.h>
 
 #include "common/cfg_internal.h"
 
-/* Fills `path` (g_free) too, when it is not NULL. */
+/* Finds a node. If `path_out` is not NULL, it receives the formatted path, to
+ * be freed with g_free. */
 static struct cfg_node *
 find(const struct cfg *cfg, const char *format, va_list args, char **path_out)
 {
@@ -19,7 +20,7 @@
 	return node;
 }
 
-/* The scalar's text, or the rule's fallback, or NULL. */
+/* Text of the scalar; the rule's fallback if the key is absent; else NULL. */
 static const char *
 find_text(const struct cfg *cfg, const char *format, va_list args)
 {
