--- a/lib/common/cfg_rules.c
+++ b/lib/common/cfg_rules.c
@@ -1,4 +1,4 @@
-/* Settings: checks that need more than one key, and the printed page. */
+/* Settings: checks over several keys, and the text of docs/SETTINGS.md. */
 
 #include <string.h>
 
@@ -32,7 +32,7 @@
 	int64_t gossip_ms = cfg_int(node, "timing.gossip_ms");
 	size_t i;
 
-	/* One lost datagram would make every peer a suspect. */
+	/* With a shorter time, one lost datagram would make a peer suspect. */
 	if (cfg_int(node, "timing.suspect_ms") < 2 * gossip_ms)
 		return cfg_refuse(node, "timing.suspect_ms",
 		    "at least twice timing.gossip_ms", err, "too short");
@@ -49,7 +49,7 @@
 {
 	const char *version = cfg_str(branch, "%s", path);
 
-	/* A dot would reach into the version's own keys. */
+	/* A name with a dot would address a key below a version. */
 	if (cfg_key_valid(version) &&
 	    cfg_has(branch, "models.%s.versions.%s", model, version))
 		return true;
@@ -70,7 +70,7 @@
 }
 
 static bool
-check_shares(const struct cfg *branch, const char *model, struct err *err)
+check_weights(const struct cfg *branch, const char *model, struct err *err)
 {
 	size_t n = cfg_count(branch, "models.%s.rules", model);
 	int64_t sum = 0;
@@ -101,7 +101,7 @@
 
 	for (i = 0; (model = cfg_key(branch, i, "models")) != NULL; i++) {
 		if (!check_rollout(branch, model, err) ||
-		    !check_shares(branch, model, err))
+		    !check_weights(branch, model, err))
 			return false;
 	}
 	return true;
@@ -160,33 +160,36 @@
 {
 	g_string_append(out,
 	    "# Settings\n\n"
-	    "Printed from the schemas in `lib/common/cfg_schema*.c` by "
+	    "Generated from the schemas in `lib/common/cfg_schema*.c` by "
 	    "`make settings-page`; edit those.\n\n"
 	    "Settings are YAML: one document, without anchors, aliases or "
 	    "tags. Keys are 1 to 64 letters, digits, `_` and `-`.\n"
-	    "In the tables `*` stands for any key and `[]` for each item of a "
-	    "list. `required` means: within its parent, where the\nparent is "
-	    "given. A document is checked whole before any of it is used; a "
-	    "refusal reads\n"
+	    "In the tables `*` matches any key and `[]` each item of a list. "
+	    "A `required` key is mandatory if its parent is\npresent. The "
+	    "whole document is checked before any of it is used; an error has "
+	    "the form\n"
 	    "`FILE:LINE: key 'a.b': what is wrong; allowed: ...`. Examples "
 	    "are in `docs/examples`.\n\n"
 	    "## A process's file\n\n"
-	    "Beyond the table: `timing.suspect_ms` is at least twice "
-	    "`timing.gossip_ms`, targets' names differ, and a target of\n"
-	    "kind `service` names its service.\n\n");
+	    "In addition to the table: `timing.suspect_ms` is at least twice "
+	    "`timing.gossip_ms`, target names are unique, and\na target of "
+	    "kind `service` has the key `service`.\n\n");
 	cfg_print_schema(&cfg_node_schema, out);
 	g_string_append(out,
 	    "\n## The file of a `gateway` or `keeper`\n\n"
-	    "These take the operators' settings from the deployment's store; "
-	    "the file says where they are and what is promised.\n\n");
+	    "These processes read the operators' settings from the "
+	    "deployment's object store; the file gives its address, the\n"
+	    "process's resources and the bounds that the deployment "
+	    "guarantees.\n\n");
 	cfg_print_schema(&cfg_serve_schema, out);
 	g_string_append(out,
-	    "\n## A team's branch\n\n"
-	    "Beyond the table: the team is one of the root branch's `teams` "
-	    "and its `limits` are within the bounds there, the\ndefault "
-	    "deadline is within the longest, each version named in `rollout` "
-	    "and `rules` is one of the model's `versions`,\nand rules, where "
-	    "given, have some weight above 0.\n\n");
+	    "\n## A workspace's branch\n\n"
+	    "In addition to the table: `team` is a key of the root branch's "
+	    "`teams` and `limits` are within the bounds there,\n"
+	    "`limits.default_deadline_ms` does not exceed "
+	    "`limits.max_deadline_ms`, each version in `rollout` and `rules` "
+	    "is a key of\nthe model's `versions`, and at least one rule, if "
+	    "there are any, has a weight above 0.\n\n");
 	cfg_print_schema(&cfg_branch_schema, out);
 	g_string_append(out, "\n## The root branch (`platform`)\n\n");
 	cfg_print_schema(&cfg_root_schema, out);
