--- a/lib/common/evt.c
+++ b/lib/common/evt.c
@@ -1,4 +1,4 @@
-/* Structured log lines: through log4c to a pipe that never blocks. */
+/* Structured log lines, written through log4c to a non-blocking pipe. */
 
 #include <errno.h>
 #include <fcntl.h>
@@ -11,8 +11,9 @@
 #include "common/evt.h"
 
 #define LINE_MAX_BYTES 512
-/* Lines a second that each class may write, and as many again at once: about
- * 100 KB/s in the worst second. Failures come first, then what went well. */
+/* Rate (lines per second) and burst size of each class's token bucket: about
+ * 100 KB/s in the worst second. State changes and failures get higher rates
+ * than successes. */
 static const double class_rate[EVT_CLASSES] = {
 	[EVT_STATE] = 200,
 	[EVT_BAD] = 200,
@@ -33,9 +34,9 @@
 	const struct clk *clock;
 	log4c_category_t *category;
 	char node[64];
-	double left[EVT_CLASSES];
-	int64_t filled_us;
-	int64_t dropped, told, written;
+	double tokens[EVT_CLASSES];
+	int64_t refilled_us; /* when `tokens` was last updated */
+	int64_t dropped, reported_dropped, written;
 } state;
 
 const char *
@@ -58,8 +59,9 @@
 	do
 		n = write(STDOUT_FILENO, line, len);
 	while (n < 0 && errno == EINTR);
-	/* A reader that is slow costs lines, never requests. A line cut by a
-	 * full pipe is ended by the next one's reader at its line feed. */
+	/* A slow reader causes dropped lines, never delayed requests. A line
+	 * that a full pipe truncates has no line feed; readers see the next
+	 * line appended to it. */
 	if (n != (ssize_t)len)
 		state.dropped++;
 	else
@@ -68,7 +70,7 @@
 }
 
 static const char *
-as_it_is(const log4c_layout_t *layout, const log4c_logging_event_t *event)
+format_raw(const log4c_layout_t *layout, const log4c_logging_event_t *event)
 {
 	return event->evt_msg;
 }
@@ -80,7 +82,7 @@
 
 static const log4c_layout_type_t layout_type = {
 	.name = "currantchute_line",
-	.format = as_it_is,
+	.format = format_raw,
 };
 
 void
@@ -93,8 +95,8 @@
 	state.clock = clock;
 	g_strlcpy(state.node, node, sizeof(state.node));
 	for (i = 0; i < EVT_CLASSES; i++)
-		state.left[i] = class_rate[i];
-	state.filled_us = clk_now_us(clock);
+		state.tokens[i] = class_rate[i];
+	state.refilled_us = clk_now_us(clock);
 	if (flags >= 0)
 		(void)fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 	if (log4c_init() != 0)
@@ -121,24 +123,24 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Volume                                                              */
+/* Rate limit                                                          */
 /* ------------------------------------------------------------------ */
 
 static bool
-may_write(enum evt_class class, int64_t now_us)
+take_token(enum evt_class class, int64_t now_us)
 {
-	double seconds = (double)(now_us - state.filled_us) / G_USEC_PER_SEC;
+	double seconds = (double)(now_us - state.refilled_us) / G_USEC_PER_SEC;
 	int i;
 
-	state.filled_us = now_us;
+	state.refilled_us = now_us;
 	for (i = 0; i < EVT_CLASSES; i++)
-		state.left[i] =
-		    MIN(class_rate[i], state.left[i] + seconds * class_rate[i]);
-	if (state.left[class] < 1) {
+		state.tokens[i] = MIN(
+		    class_rate[i], state.tokens[i] + seconds * class_rate[i]);
+	if (state.tokens[class] < 1) {
 		state.dropped++;
 		return false;
 	}
-	state.left[class] -= 1;
+	state.tokens[class] -= 1;
 	return true;
 }
 
@@ -161,14 +163,14 @@
 	int64_t dropped;
 
 	if (state.category == NULL ||
-	    !may_write(names[n].class, clk_now_us(state.clock)))
+	    !take_token(names[n].class, clk_now_us(state.clock)))
 		return;
 	va_start(args, format);
 	g_vsnprintf(pairs, sizeof(pairs), format, args);
 	va_end(args);
-	if (state.dropped != state.told) {
-		dropped = state.dropped - state.told;
-		state.told = state.dropped;
+	if (state.dropped != state.reported_dropped) {
+		dropped = state.dropped - state.reported_dropped;
+		state.reported_dropped = state.dropped;
 		g_autofree char *count =
 		    g_strdup_printf("count=%" G_GINT64_FORMAT, dropped);
 		write_line(EVT_DROPPED, count);
