--- a/lib/common/conn.c
+++ b/lib/common/conn.c
@@ -1,6 +1,6 @@
 /*
- * Framed TCP connections between the system's processes, proved by a shared
- * key before anything else is read.
+ * Framed TCP connections between the system's processes. The ends
+ * authenticate each other with the shared key before other messages.
  */
 
 #include <netinet/in.h>
@@ -10,9 +10,9 @@
 #include "common/common_internal.h"
 
 #define FRAME_HEADER 4
-#define HANDSHAKE_FRAME_MAX 512 /* bytes an unproved peer can make us hold */
-#define HANDSHAKE_MS 5000 /* connect and both proofs; a stalled peer goes */
-#define READ_SLICE (256u << 10) /* per turn of the loop, to stay fair */
+#define HANDSHAKE_FRAME_MAX 512 /* buffer limit, unauthenticated peer */
+#define HANDSHAKE_MS 5000 /* timeout of connecting and authentication */
+#define READ_SLICE (256u << 10) /* per loop iteration, for fairness */
 #define LISTEN_BACKLOG 512
 
 enum conn_state {
@@ -33,7 +33,7 @@
 	const struct conn_node *node;
 	const struct conn_ops *ops;
 	void *ctx;
-	struct conn_server *server; /* NULL when dialled or already accepted */
+	struct conn_server *server; /* NULL if dialled or already accepted */
 	enum conn_state state;
 	bool dialled;
 	bool paused;
@@ -43,8 +43,8 @@
 	GSocket *socket;
 	GSource *in_source;
 	GSource *out_source;
-	guint timer;
-	guint resume_idle; /* 0 when none is scheduled */
+	guint timer; /* handshake timeout; 0 if none is scheduled */
+	guint resume_idle; /* 0 if none is scheduled */
 	struct err why;
 	uint8_t *in;
 	size_t in_len, in_size;
@@ -59,8 +59,8 @@
 	void *ctx;
 	GSocket *socket;
 	GSource *source;
-	/* Connections still proving themselves hold a pointer to us. */
-	GHashTable *proving;
+	/* Connections in the handshake, whose `server` points here. */
+	GHashTable *handshaking;
 };
 
 /* ------------------------------------------------------------------ */
@@ -93,7 +93,7 @@
 	if (c->ops != NULL)
 		c->ops->closed(c, &c->why, c->ctx);
 	if (c->server != NULL)
-		g_hash_table_remove(c->server->proving, c);
+		g_hash_table_remove(c->server->handshaking, c);
 	while ((b = TAILQ_FIRST(&c->out)) != NULL) {
 		TAILQ_REMOVE(&c->out, b, link);
 		g_byte_array_unref(b->bytes);
@@ -131,7 +131,7 @@
 void
 conn_close(struct conn *c)
 {
-	fail(c, ERR_CANCELLED, "closed here");
+	fail(c, ERR_CANCELLED, "closed by this process");
 }
 
 static gboolean
@@ -141,7 +141,7 @@
 
 	c->timer = 0;
 	count(c, "conn_handshake_timeouts", 1);
-	fail(c, ERR_UNAVAILABLE, "no answer while connecting");
+	fail(c, ERR_UNAVAILABLE, "handshake timed out");
 	return G_SOURCE_REMOVE;
 }
 
@@ -151,7 +151,8 @@
 
 static gboolean on_writable(GSocket *socket, GIOCondition cond, gpointer data);
 
-/* Sends what the socket takes now. False when the connection failed. */
+/* Sends queued bytes until the socket would block. Returns false if the
+ * connection failed. */
 static bool
 flush(struct conn *c)
 {
@@ -236,14 +237,14 @@
 }
 
 static void
-take_hello(struct conn *c, const struct msg *m)
+handle_hello(struct conn *c, const struct msg *m)
 {
 	struct conn_hello hello;
 	struct conn_proof proof;
 
 	if (!msg_read(m, &conn_hello_desc, &hello, NULL) || hello.id.len == 0 ||
 	    hello.nonce.len != CONN_NONCE_BYTES) {
-		fail(c, ERR_INVALID, "malformed hello");
+		fail(c, ERR_INVALID, "malformed hello message");
 		return;
 	}
 	memcpy(c->peer, hello.id.data, hello.id.len);
@@ -255,17 +256,18 @@
 }
 
 static void
-take_proof(struct conn *c, const struct msg *m)
+handle_proof(struct conn *c, const struct msg *m)
 {
 	struct conn_proof proof;
-	struct digest want;
+	struct digest expected;
 
 	conn_make_proof(c->node, !c->dialled, c->peer, c->peer_nonce,
-	    c->node->id, c->nonce, &want);
+	    c->node->id, c->nonce, &expected);
 	if (!msg_read(m, &conn_proof_desc, &proof, NULL) ||
-	    !digest_equal_secret(&proof.proof, &want)) {
+	    !digest_equal_secret(&proof.proof, &expected)) {
 		count(c, "conn_refused_keys", 1);
-		fail(c, ERR_UNAUTHORISED, "wrong shared key");
+		fail(c, ERR_UNAUTHORISED,
+		    "authentication failed: wrong shared key");
 		return;
 	}
 	g_source_remove(c->timer);
@@ -274,7 +276,7 @@
 	if (c->server != NULL) {
 		struct conn_server *s = c->server;
 
-		g_hash_table_remove(s->proving, c);
+		g_hash_table_remove(s->handshaking, c);
 		c->server = NULL;
 		c->ops = s->accepted(c, &c->ctx, s->ctx);
 		g_assert(c->ops != NULL);
@@ -284,7 +286,7 @@
 }
 
 static void
-take_frame(struct conn *c, const uint8_t *data, size_t len)
+handle_frame(struct conn *c, const uint8_t *data, size_t len)
 {
 	struct msg m = { 0 };
 
@@ -296,17 +298,17 @@
 	if (c->node->timeline != NULL && c->state == CONN_OPEN)
 		tl_seen(c->node->timeline, m.hlc);
 	if (c->state == CONN_HELLO)
-		take_hello(c, &m);
+		handle_hello(c, &m);
 	else if (c->state == CONN_PROOF)
-		take_proof(c, &m);
+		handle_proof(c, &m);
 	else
 		c->ops->message(c, &m, c->ctx);
 	msg_close(&m);
 }
 
-/* Takes all whole frames out of the input buffer. */
+/* Handles all complete frames in the input buffer. */
 static void
-take_input(struct conn *c)
+parse_input(struct conn *c)
 {
 	size_t at = 0;
 	uint32_t len;
@@ -319,12 +321,12 @@
 		max = c->state == CONN_OPEN ? FRAME_MAX : HANDSHAKE_FRAME_MAX;
 		if (len > max) {
 			count(c, "conn_oversize_frames", 1);
-			fail(c, ERR_TOO_LARGE, "frame too large");
+			fail(c, ERR_TOO_LARGE, "frame exceeds the size limit");
 			return;
 		}
 		if (c->in_len - at < FRAME_HEADER + len)
 			break;
-		take_frame(c, c->in + at + FRAME_HEADER, len);
+		handle_frame(c, c->in + at + FRAME_HEADER, len);
 		at += FRAME_HEADER + len;
 	}
 	memmove(c->in, c->in + at, c->in_len - at);
@@ -356,7 +358,7 @@
 	}
 	c->in_len += (size_t)n;
 	count(c, "conn_received_bytes", n);
-	take_input(c);
+	parse_input(c);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -376,7 +378,7 @@
 
 	c->resume_idle = 0;
 	if (c->state == CONN_OPEN && !c->paused) {
-		take_input(c);
+		parse_input(c);
 		if (c->state == CONN_OPEN && !c->paused && c->in_source == NULL)
 			watch_readable(c);
 	}
@@ -393,8 +395,8 @@
 		drop_source(&c->in_source);
 		return;
 	}
-	/* Frames that came before the pause are taken from the loop, so that
-	 * the caller is not entered again from within this call. */
+	/* Frames that are already buffered are handled from the main loop, so
+	 * that no callback runs within this call. */
 	if (c->resume_idle == 0) {
 		c->resume_idle =
 		    g_idle_add_full(G_PRIORITY_DEFAULT, resume_input, c, NULL);
@@ -431,7 +433,7 @@
 {
 	struct conn *c = data;
 	GError *error = NULL;
-	bool low;
+	bool was_low;
 
 	if (c->state == CONN_CONNECTING) {
 		drop_source(&c->out_source);
@@ -443,12 +445,12 @@
 		}
 		return G_SOURCE_REMOVE;
 	}
-	low = c->queued < CONN_LOW_WATER;
+	was_low = c->queued < CONN_LOW_WATER;
 	if (!flush(c))
 		return G_SOURCE_REMOVE;
 	if (c->queued == 0)
 		drop_source(&c->out_source);
-	if (!low && c->queued < CONN_LOW_WATER && c->state == CONN_OPEN &&
+	if (!was_low && c->queued < CONN_LOW_WATER && c->state == CONN_OPEN &&
 	    c->ops->drained != NULL)
 		c->ops->drained(c, c->ctx);
 	return G_SOURCE_CONTINUE;
@@ -487,16 +489,16 @@
 on_accept(GSocket *socket, GIOCondition cond, gpointer data)
 {
 	struct conn_server *s = data;
-	GSocket *taken = g_socket_accept(socket, NULL, NULL);
+	GSocket *accepted = g_socket_accept(socket, NULL, NULL);
 	struct conn *c;
 
-	if (taken == NULL)
+	if (accepted == NULL)
 		return G_SOURCE_CONTINUE;
-	g_socket_set_blocking(taken, FALSE);
+	g_socket_set_blocking(accepted, FALSE);
 	c = conn_new(s->node);
 	c->server = s;
-	c->socket = taken;
-	g_hash_table_add(s->proving, c);
+	c->socket = accepted;
+	g_hash_table_add(s->handshaking, c);
 	begin_handshake(c);
 	return G_SOURCE_CONTINUE;
 }
@@ -535,7 +537,7 @@
 	s->accepted = accepted;
 	s->ctx = ctx;
 	s->socket = socket;
-	s->proving = g_hash_table_new(NULL, NULL);
+	s->handshaking = g_hash_table_new(NULL, NULL);
 	s->source = g_socket_create_source(socket, G_IO_IN, NULL);
 	g_source_set_callback(s->source, G_SOURCE_FUNC(on_accept), s, NULL);
 	g_source_attach(s->source, NULL);
@@ -562,12 +564,12 @@
 
 	if (s == NULL)
 		return;
-	g_hash_table_iter_init(&iter, s->proving);
+	g_hash_table_iter_init(&iter, s->handshaking);
 	while (g_hash_table_iter_next(&iter, &c, NULL)) {
 		((struct conn *)c)->server = NULL;
-		fail(c, ERR_CANCELLED, "server stopped");
+		fail(c, ERR_CANCELLED, "listener closed");
 	}
-	g_hash_table_unref(s->proving);
+	g_hash_table_unref(s->handshaking);
 	drop_source(&s->source);
 	g_socket_close(s->socket, NULL);
 	g_object_unref(s->socket);
@@ -575,7 +577,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Readers                                                             */
+/* Accessors                                                           */
 /* ------------------------------------------------------------------ */
 
 size_t
--- a/lib/common/conn_proof.c
+++ b/lib/common/conn_proof.c
@@ -1,4 +1,4 @@
-/* The proof of the shared key at the start of a connection. */
+/* Authentication with the shared key at the start of a connection. */
 
 #include <string.h>
 
--- a/lib/common/dgram.c
+++ b/lib/common/dgram.c
@@ -1,4 +1,4 @@
-/* Datagrams between the system's processes, each proved by the shared key. */
+/* Datagrams between processes, each authenticated with the shared key. */
 
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -7,9 +7,9 @@
 
 #include "common/common_internal.h"
 
-/* Half of the HMAC: a forger has one guess in 2^128 a datagram. */
+/* Half of the HMAC: a forged datagram passes with a probability of 2^-128. */
 #define PROOF_BYTES 16
-#define READS_PER_TURN 64 /* datagrams taken before other work gets a turn */
+#define READS_PER_TURN 64 /* datagrams per loop iteration, for fairness */
 
 struct dgram {
 	const struct conn_node *node;
@@ -27,19 +27,19 @@
 }
 
 static bool
-proof_holds(const struct dgram *d, const uint8_t *data, size_t len)
+proof_is_valid(const struct dgram *d, const uint8_t *data, size_t len)
 {
-	struct digest got = { 0 }, want;
+	struct digest received = { 0 }, expected;
 
 	hmac_of(d->node->key, d->node->key_len, data + PROOF_BYTES,
-	    len - PROOF_BYTES, &want);
-	memset(want.bytes + PROOF_BYTES, 0, DIGEST_BYTES - PROOF_BYTES);
-	memcpy(got.bytes, data, PROOF_BYTES);
-	return digest_equal_secret(&got, &want);
+	    len - PROOF_BYTES, &expected);
+	memset(expected.bytes + PROOF_BYTES, 0, DIGEST_BYTES - PROOF_BYTES);
+	memcpy(received.bytes, data, PROOF_BYTES);
+	return digest_equal_secret(&received, &expected);
 }
 
-/* Text of an address; hundreds of datagrams a second are read, and GLib's
- * objects for each would cost more than the message. */
+/* Formats an address without GLib objects: at hundreds of datagrams per second
+ * these would cost more than handling the message. */
 static void
 address_text(const struct sockaddr_storage *from, char *out, size_t size)
 {
@@ -57,14 +57,14 @@
 }
 
 static void
-take(struct dgram *d, const struct sockaddr_storage *from, const uint8_t *data,
-    size_t len)
+handle_datagram(struct dgram *d, const struct sockaddr_storage *from,
+    const uint8_t *data, size_t len)
 {
 	struct msg m = { 0 };
 	char text[INET6_ADDRSTRLEN + sizeof("[]:65535")];
 
 	count(d, "dgram_received_bytes", (int64_t)len);
-	if (len <= PROOF_BYTES || !proof_holds(d, data, len)) {
+	if (len <= PROOF_BYTES || !proof_is_valid(d, data, len)) {
 		count(d, "dgram_refused", 1);
 		return;
 	}
@@ -95,7 +95,7 @@
 		    MSG_DONTWAIT, (struct sockaddr *)&from, &from_len);
 		if (n < 0)
 			break;
-		take(d, &from, buffer, (size_t)n);
+		handle_datagram(d, &from, buffer, (size_t)n);
 	}
 	return G_SOURCE_CONTINUE;
 }
--- a/lib/common/net.c
+++ b/lib/common/net.c
@@ -1,4 +1,4 @@
-/* Socket addresses by IP number; no name is ever resolved. */
+/* Numeric socket addresses; host names are not resolved. */
 
 #include <string.h>
 
@@ -24,7 +24,7 @@
 	}
 	if (address == NULL) {
 		err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "'%s' is not an address like 192.0.2.1:7000",
+		    "'%s' is not a numeric address such as 192.0.2.1:7000",
 		    text == NULL ? "" : text);
 	}
 	return address;
