--- a/lib/common/msg.c
+++ b/lib/common/msg.c
@@ -1,4 +1,4 @@
-/* The table-driven message codec over msgpack. */
+/* Table-driven message codec for msgpack. */
 
 #include <msgpack.h>
 #include <string.h>
@@ -84,17 +84,17 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Bounds, before the library reads it                                 */
+/* Bounds checks before the msgpack library parses the input           */
 /* ------------------------------------------------------------------ */
 
-/* Bytes that a scalar takes: `fixed` after its first byte, of which the first
- * `len_bytes` (big endian) give the length of what follows. */
+/* Size of a scalar: `fixed` bytes including the type byte, of which the last
+ * `len_bytes` (big endian) hold the length of the data that follows. */
 struct scalar {
 	uint8_t fixed;
 	uint8_t len_bytes;
 };
 
-/* First bytes 0xc0 to 0xdf; a row of zeros is not a scalar. */
+/* By type byte, 0xc0 to 0xdf; an entry of zeros is not a scalar type. */
 static const struct scalar scalars[32] = {
 	[0xc0 - 0xc0] = { 1, 0 }, /* nil */
 	[0xc2 - 0xc0] = { 1, 0 }, /* false */
@@ -117,7 +117,8 @@
 	[0xdb - 0xc0] = { 5, 4 }, /* str 32 */
 };
 
-/* Size of the scalar at `p`; 0 when it is none or does not fit in `left`. */
+/* Size of the scalar at `p`; 0 if there is none or if it is longer than
+ * `left`. */
 static size_t
 scalar_size(const uint8_t *p, size_t left)
 {
@@ -129,7 +130,7 @@
 	if (p[0] < 0x80 || p[0] >= 0xe0)
 		return 1; /* small integers */
 	if (p[0] >= 0xa0 && p[0] < 0xc0) {
-		size = 1 + (p[0] & 31u); /* short text */
+		size = 1 + (p[0] & 31u); /* short string */
 		return size <= left ? size : 0;
 	}
 	if (p[0] < 0xc0)
@@ -142,8 +143,9 @@
 	return len <= left - s->fixed ? s->fixed + len : 0;
 }
 
-/* What an array's header claims; false when it is not the header of one. Maps
- * are in no message of ours. */
+/* Reads an array header: its size and the number of elements that it claims.
+ * False if there is none at `p`. Maps, which no message contains, and arrays of
+ * more than 65535 elements are not accepted. */
 static bool
 array_header(const uint8_t *p, size_t left, size_t *size, size_t *claimed)
 {
@@ -160,8 +162,8 @@
 	return false;
 }
 
-/* Size of the value at `p`, arrays nested at most `depth` deep; 0 when it is
- * malformed or not all there. */
+/* Size of the value at `p`, with arrays nested at most `depth` deep; 0 if it is
+ * malformed or incomplete. */
 static size_t
 value_size(const uint8_t *p, size_t left, unsigned int depth)
 {
@@ -194,7 +196,7 @@
 	return true;
 }
 
-/* The parsed form; strings and bins borrow from the input bytes. */
+/* A parsed message; its strings and byte arrays point into the input. */
 struct parsed {
 	msgpack_unpacked unpacked;
 };
