--- a/lib/common/spend.c
+++ b/lib/common/spend.c
@@ -1,12 +1,13 @@
-/* A process's share of a retry budget. */
+/* One process's share of a retry budget. */
 
 #include <glib.h>
 #include <string.h>
 
 #include "common/spend.h"
 
+/* Clears the slots that have expired since the last call. */
 static void
-move(struct spend *s, const struct spend_conf *conf, int64_t now_us)
+advance(struct spend *s, const struct spend_conf *conf, int64_t now_us)
 {
 	int64_t slot = now_us / (conf->window_us / SPEND_SLOTS);
 
@@ -24,14 +25,14 @@
 void
 spend_request(struct spend *s, const struct spend_conf *conf, int64_t now_us)
 {
-	move(s, conf, now_us);
+	advance(s, conf, now_us);
 	s->requests[s->slot % SPEND_SLOTS]++;
 }
 
 void
 spend_add(struct spend *s, const struct spend_conf *conf, int64_t now_us)
 {
-	move(s, conf, now_us);
+	advance(s, conf, now_us);
 	s->extra[s->slot % SPEND_SLOTS]++;
 }
 
@@ -41,7 +42,7 @@
 	double requests = 0, extra = 0;
 	int i;
 
-	move(s, conf, now_us);
+	advance(s, conf, now_us);
 	for (i = 0; i < SPEND_SLOTS; i++) {
 		requests += s->requests[i];
 		extra += s->extra[i];
--- a/lib/common/spend.h
+++ b/lib/common/spend.h
@@ -2,40 +2,43 @@
 #define COMMON_SPEND_H
 
 /*
- * spend: a process's share of a retry budget. All processes together may
- * send, in any window, `ratio` of the requests plus `slack` again to a
- * target. The ratio needs no counter that they share: each spends its own.
- * The slack is divided by their number. Pure.
+ * spend: one process's share of a retry budget. In any window, all processes
+ * together may retry at most `ratio` of the requests plus `slack` attempts.
+ * The ratio needs no shared counter, since each process applies it to its own
+ * requests; the slack is divided by the number of processes. Performs no I/O
+ * and reads no clock.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SPEND_SLOTS 20 /* of a window; the oldest leaves as a whole */
+#define SPEND_SLOTS 20 /* time slots per window, which expire one by one */
 
 struct spend_conf {
 	double ratio;
 	double slack; /* of all processes together */
-	/* Part of both that is used: processes that come and go, and windows
-	 * that slide between two slots, are within the rest. */
+	/* Fraction of both that is used. The rest is a margin for processes
+	 * that start or stop and for windows that do not align with slots. */
 	double used;
 	int64_t window_us;
-	unsigned int sharers; /* of the slack; at least 1 */
+	unsigned int sharers; /* processes that share the slack; at least 1 */
 };
 
-/* Zero-initialised it has seen nothing. */
+/* Request and retry counts of the window; initialise to zero. */
 struct spend {
 	uint32_t requests[SPEND_SLOTS], extra[SPEND_SLOTS];
-	int64_t slot; /* number of the present slot since time 0 */
+	int64_t slot; /* number of the current slot, counted from time 0 */
 };
 
+/* Counts a request, without its retries. */
 void spend_request(
     struct spend *s, const struct spend_conf *conf, int64_t now_us);
+/* Number of retries that the share allows now; may be negative. */
 double spend_left(
     struct spend *s, const struct spend_conf *conf, int64_t now_us);
-/* Counts one more arrival, whether there is room or not. */
+/* Counts a retry, even if the share is exhausted. */
 void spend_add(struct spend *s, const struct spend_conf *conf, int64_t now_us);
-/* Counts one more arrival if there is room for it. */
+/* Counts a retry if the share allows one; otherwise returns false. */
 bool spend_take(struct spend *s, const struct spend_conf *conf, int64_t now_us);
 
 #endif
