--- a/lib/common/clock.c
+++ b/lib/common/clock.c
@@ -1,4 +1,4 @@
-/* The clock interface: the system's clock and one for tests. */
+/* Implementations of the clock interface: system clock and fake clock. */
 
 #include "common/common.h"
 
--- a/lib/common/counters.c
+++ b/lib/common/counters.c
@@ -10,7 +10,7 @@
 };
 
 struct ctr_set {
-	GHashTable *by_name; /* name (inside the counter) -> struct ctr */
+	GHashTable *by_name; /* key: `name` of the value, a struct ctr */
 };
 
 struct ctr_set *
--- a/lib/common/digest.c
+++ b/lib/common/digest.c
@@ -1,4 +1,4 @@
-/* SHA-256 digests, HMAC, hashes that all hosts compute alike, random bits. */
+/* SHA-256 digests, HMAC, portable 64-bit hashes, random numbers. */
 
 #include <openssl/crypto.h>
 #include <openssl/evp.h>
@@ -123,7 +123,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Proofs and randomness                                               */
+/* HMAC, 64-bit hashes, random numbers                                 */
 /* ------------------------------------------------------------------ */
 
 void
@@ -147,11 +147,10 @@
 random_bytes(void *out, size_t len)
 {
 	if (RAND_bytes(out, (int)len) != 1)
-		g_error("no randomness");
+		g_error("the random number generator failed");
 }
 
-/* One round of the splitmix64 finaliser: every input bit reaches every
- * output bit. */
+/* The splitmix64 finaliser: every input bit affects every output bit. */
 static uint64_t
 mix64(uint64_t z)
 {
--- a/lib/common/log.c
+++ b/lib/common/log.c
@@ -1,4 +1,4 @@
-/* Log lines through log4c, to standard error. */
+/* Log lines, written through log4c to standard error. */
 
 #include <log4c.h>
 #include <stdarg.h>
--- a/lib/common/timeline.c
+++ b/lib/common/timeline.c
@@ -1,4 +1,4 @@
-/* The time line of one process: a ring of events with hybrid stamps. */
+/* Event timeline: a ring buffer of events with hybrid logical timestamps. */
 
 #include <stdarg.h>
 #include <stdio.h>
@@ -11,7 +11,7 @@
 	const struct clk *clock;
 	char *node;
 	uint64_t hlc;
-	uint64_t next_seq; /* of the next event; the first has 1 */
+	uint64_t next_seq; /* sequence number of the next event, from 1 */
 	struct tl_event ring[TL_KEEP];
 };
 
