--- a/tests/common/test_cfg.c
+++ b/tests/common/test_cfg.c
@@ -1,4 +1,4 @@
-/* Settings tree: refusals, readers, edits, the printed schema. */
+/* Settings tree: refused documents, accessors, edits, printing of a schema. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -38,13 +38,13 @@
 };
 static const struct cfg_schema schema = { rules, G_N_ELEMENTS(rules) };
 
-static const char whole[] = "node:\n"
-			    "  id: 'a-1'\n"
-			    "  free: -3\n"
-			    "list:\n"
-			    "  - {n: 1}\n"
-			    "  - {}\n"
-			    "any: {b: {n: 2}, a: {n: 3}}\n";
+static const char valid_document[] = "node:\n"
+				     "  id: 'a-1'\n"
+				     "  free: -3\n"
+				     "list:\n"
+				     "  - {n: 1}\n"
+				     "  - {}\n"
+				     "any: {b: {n: 2}, a: {n: 3}}\n";
 
 static struct cfg *
 parse(const char *text, struct err *err)
@@ -53,7 +53,7 @@
 }
 
 static struct cfg *
-parse_good(const char *text)
+parse_valid(const char *text)
 {
 	struct err err = { 0 };
 	struct cfg *cfg = parse(text, &err);
@@ -74,7 +74,7 @@
 	assert_int_equal(err.verdict, VERDICT_NOT_RUN);
 }
 
-/* What follows the id of an otherwise good document, and its refusal. */
+/* A text appended to a valid document after the id, and the error for it. */
 static const struct {
 	const char *text;
 	const char *message;
@@ -187,9 +187,10 @@
 }
 
 /*
- * Someone who may write one branch sends a document made to exhaust every
- * process that reads it: very long, very deep, or very many values. Each
- * bound refuses it before its tree is built.
+ * Guards against documents that exhaust the memory or stack of every process
+ * that reads a branch: very long, very deep, or with very many values. Whoever
+ * may write one branch can send them. Each bound refuses such a document before
+ * its tree is built.
  */
 static void
 test_bounds(void **state)
@@ -217,12 +218,12 @@
 }
 
 /*
- * The name or a key is so long that the message must be cut, and the cut would
- * fall within a character of two bytes. The operator would see the error's
- * JSON refused instead of the error.
+ * Guards against truncating an error message within a two-byte character, when
+ * the document's name or a key is long. The JSON response would be invalid, and
+ * the operator would not see the error.
  */
 static void
-test_long_message_stays_text(void **state)
+test_long_message_is_valid_utf8(void **state)
 {
 	char name[ERR_MESSAGE_MAX + 3] = "x";
 	struct err err = { 0 };
@@ -238,9 +239,9 @@
 }
 
 static void
-test_readers(void **state)
+test_accessors(void **state)
 {
-	struct cfg *cfg = parse_good(whole);
+	struct cfg *cfg = parse_valid(valid_document);
 
 	assert_string_equal(cfg_str(cfg, "node.%s", "id"), "a-1");
 	assert_int_equal(cfg_int(cfg, "node.free"), -3);
@@ -268,7 +269,7 @@
 static char *
 edit(const char *text, const char *path, const char *value)
 {
-	struct cfg *cfg = parse_good(text);
+	struct cfg *cfg = parse_valid(text);
 	struct err err = { 0 };
 	char *out = cfg_edit(cfg, path, value, &err);
 
@@ -310,7 +311,7 @@
 static void
 assert_edit_refused(const char *path, const char *value, const char *message)
 {
-	struct cfg *cfg = parse_good(whole);
+	struct cfg *cfg = parse_valid(valid_document);
 	struct err err = { 0 };
 
 	assert_null(cfg_edit(cfg, path, value, &err));
@@ -371,8 +372,8 @@
 		cmocka_unit_test(test_refusals),
 		cmocka_unit_test(test_refused_documents),
 		cmocka_unit_test(test_bounds),
-		cmocka_unit_test(test_long_message_stays_text),
-		cmocka_unit_test(test_readers),
+		cmocka_unit_test(test_long_message_is_valid_utf8),
+		cmocka_unit_test(test_accessors),
 		cmocka_unit_test(test_edit),
 		cmocka_unit_test(test_edit_refused),
 		cmocka_unit_test(test_load),
--- a/tests/common/test_cfg_fuzz.c
+++ b/tests/common/test_cfg_fuzz.c
@@ -1,4 +1,4 @@
-/* Settings tree: no document, however damaged, does more than be refused. */
+/* Settings tree: malformed documents are refused without other effects. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,7 +10,7 @@
 
 #define SEED 1
 #define ROUNDS 6000
-#define CUTS_MAX 4 /* mutations a document */
+#define MUTATIONS_MAX 4 /* per document */
 
 static const struct cfg_rule rules[] = {
 	{ .path = "a", .type = CFG_MAP },
@@ -33,7 +33,7 @@
 	"{a: {id: \"\\u00e9\\n\", n: 0}, l: [a, 'b''c', ~], m: {}}\n",
 };
 
-static const char *const scraps[] = {
+static const char *const fragments[] = {
 	"&a ",
 	"*a",
 	"---\n",
@@ -73,7 +73,7 @@
 {
 	gsize at = rng_below(rng, text->len + 1);
 	gsize len = rng_below(rng, text->len - at + 1);
-	char *piece;
+	char *copy;
 
 	switch (rng_below(rng, 5)) {
 	case 0:
@@ -81,16 +81,16 @@
 			text->str[at] = (char)rng_below(rng, 256);
 		break;
 	case 1:
-		g_string_insert(
-		    text, at, scraps[rng_below(rng, G_N_ELEMENTS(scraps))]);
+		g_string_insert(text, at,
+		    fragments[rng_below(rng, G_N_ELEMENTS(fragments))]);
 		break;
 	case 2:
 		g_string_erase(text, at, len);
 		break;
 	case 3:
-		piece = g_strndup(text->str + at, len);
-		g_string_insert(text, rng_below(rng, text->len + 1), piece);
-		g_free(piece);
+		copy = g_strndup(text->str + at, len);
+		g_string_insert(text, rng_below(rng, text->len + 1), copy);
+		g_free(copy);
 		break;
 	default:
 		g_string_truncate(text, at);
@@ -98,7 +98,7 @@
 	}
 }
 
-/* What was accepted must be editable, and the edit accepted again. */
+/* An accepted document must be editable, and its edited copy be accepted. */
 static void
 check_accepted(const struct cfg *cfg)
 {
@@ -145,15 +145,15 @@
 }
 
 /*
- * An operator, or someone with a stolen token, writes a branch that is not
- * what the parser hopes for. Every process reads it, so a crash here would
- * take the whole fleet down at once; all that may happen is a refusal.
+ * Guards against crashes on malformed branches, written by an operator or with
+ * a stolen token. Every process reads a branch, so a crash would take down the
+ * whole fleet at once; the parser may only refuse the document.
  */
 static void
 test_mutated_documents(void **state)
 {
 	unsigned int accepted = 0;
-	unsigned int round, cuts;
+	unsigned int round, mutations;
 	struct rng rng;
 	GString *text;
 
@@ -161,7 +161,8 @@
 	for (round = 0; round < ROUNDS; round++) {
 		text = g_string_new(
 		    documents[rng_below(&rng, G_N_ELEMENTS(documents))]);
-		for (cuts = rng_below(&rng, CUTS_MAX + 1); cuts > 0; cuts--)
+		for (mutations = rng_below(&rng, MUTATIONS_MAX + 1);
+		     mutations > 0; mutations--)
 			mutate(text, &rng);
 		accepted += try_document(text);
 		g_string_free(text, TRUE);
--- a/tests/common/test_cfg_schema.c
+++ b/tests/common/test_cfg_schema.c
@@ -1,4 +1,4 @@
-/* Settings: examples, checks over several keys, and the printed page. */
+/* Settings: example files, checks over several keys, docs/SETTINGS.md. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,7 +11,7 @@
 #define EXAMPLES SOURCE_DIR "/docs/examples/"
 
 static struct cfg *
-load_good(const char *path, const struct cfg_schema *schema)
+load_valid(const char *path, const struct cfg_schema *schema)
 {
 	struct err err = { 0 };
 	struct cfg *cfg = cfg_load(path, schema, &err);
@@ -21,7 +21,7 @@
 	return cfg;
 }
 
-/* The example with one value changed; it still fits the schema. */
+/* Returns `cfg` with one value changed, which must conform to the schema. */
 static struct cfg *
 change(const struct cfg *cfg, const struct cfg_schema *schema, const char *path,
     const char *value)
@@ -40,7 +40,7 @@
 struct change {
 	const char *path;
 	const char *value;
-	const char *refusal; /* after the line; NULL: accepted */
+	const char *refusal; /* message after the line number; NULL: accepted */
 };
 
 static void
@@ -77,7 +77,7 @@
 static void
 test_node(void **state)
 {
-	struct cfg *node = load_good(EXAMPLES "side.yaml", &cfg_node_schema);
+	struct cfg *node = load_valid(EXAMPLES "side.yaml", &cfg_node_schema);
 	struct cfg *changed;
 	struct err err;
 	size_t i;
@@ -134,9 +134,9 @@
 test_branch(void **state)
 {
 	struct cfg *root =
-	    load_good(EXAMPLES "platform.yaml", &cfg_root_schema);
+	    load_valid(EXAMPLES "platform.yaml", &cfg_root_schema);
 	struct cfg *branch =
-	    load_good(EXAMPLES "konya.yaml", &cfg_branch_schema);
+	    load_valid(EXAMPLES "konya.yaml", &cfg_branch_schema);
 	struct cfg *changed;
 	struct err err;
 	size_t i;
@@ -157,7 +157,7 @@
 test_branch_without_root(void **state)
 {
 	struct cfg *branch =
-	    load_good(EXAMPLES "konya.yaml", &cfg_branch_schema);
+	    load_valid(EXAMPLES "konya.yaml", &cfg_branch_schema);
 	struct cfg *changed =
 	    change(branch, &cfg_branch_schema, "limits.requests_s", "900000");
 	struct err err = { 0 };
@@ -189,7 +189,7 @@
 	g_free(text);
 }
 
-/* A default is not checked when it is used. */
+/* Default values are not checked at run time, hence here. */
 static void
 test_fallbacks_are_allowed(void **state)
 {
@@ -218,7 +218,8 @@
 	assert_true(g_file_get_contents(
 	    SOURCE_DIR "/docs/SETTINGS.md", &page, NULL, NULL));
 	cfg_print_settings(printed);
-	assert_string_equal(page, printed->str); /* or: make settings-page */
+	/* `make settings-page` updates the page. */
+	assert_string_equal(page, printed->str);
 	g_string_free(printed, TRUE);
 	g_free(page);
 }
--- a/tests/common/test_conn.c
+++ b/tests/common/test_conn.c
@@ -1,4 +1,4 @@
-/* Messages, connections and datagrams, with wrong keys and bad frames. */
+/* Messages, connections and datagrams; wrong keys and malformed frames. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,8 +23,8 @@
 static const struct msg_desc note_desc =
     MSG_DESC(9, "note", struct note, note_fields);
 
-static const uint8_t good_key[] = "0123456789abcdef";
-static const uint8_t bad_key[] = "fedcba9876543210";
+static const uint8_t shared_key[] = "0123456789abcdef";
+static const uint8_t other_key[] = "fedcba9876543210";
 
 struct end {
 	struct conn_node node;
@@ -92,22 +92,22 @@
 }
 
 static gboolean
-out_of_patience(gpointer data)
+on_timeout(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
 }
 
-/* Runs the loop until `*flag`; a hang ends the test after ten seconds. */
+/* Runs the main loop until `*flag`; fails after ten seconds. */
 static void
 run_until(const bool *flag)
 {
-	bool late = false;
-	guint timer = g_timeout_add(10000, out_of_patience, &late);
+	bool timed_out = false;
+	guint timer = g_timeout_add(10000, on_timeout, &timed_out);
 
-	while (!*flag && !late)
+	while (!*flag && !timed_out)
 		g_main_context_iteration(NULL, TRUE);
-	assert_false(late);
+	assert_false(timed_out);
 	g_source_remove(timer);
 }
 
@@ -140,8 +140,8 @@
 	struct conn_server *s;
 	char address[32];
 
-	init_end(&server, "server", good_key);
-	init_end(&client, "client", good_key);
+	init_end(&server, "server", shared_key);
+	init_end(&client, "client", shared_key);
 	s = listen_at(&server, address);
 	conn_dial(&client.node, address, &ops, &client);
 	run_until(&client.opened);
@@ -160,8 +160,9 @@
 }
 
 /*
- * A stranger with another key dials a side. Neither end opens; the side counts
- * the refusal and the stranger learns nothing but the close.
+ * An unknown peer with another key connects. Neither end opens the connection;
+ * the refusal is counted, and the peer observes only that the connection is
+ * closed.
  */
 static void
 test_wrong_key_is_refused(void **state)
@@ -170,8 +171,8 @@
 	struct conn_server *s;
 	char address[32];
 
-	init_end(&server, "server", good_key);
-	init_end(&client, "client", bad_key);
+	init_end(&server, "server", shared_key);
+	init_end(&client, "client", other_key);
 	s = listen_at(&server, address);
 	conn_dial(&client.node, address, &ops, &client);
 	run_until(&client.closed);
@@ -186,7 +187,7 @@
 	close_end(&client);
 }
 
-/* Raw bytes that are no frame: the connection is closed, nothing crashes. */
+/* Sends bytes that are not a frame and reads the reply, at most a second. */
 static void
 send_raw(const char *address, const void *data, size_t len)
 {
@@ -207,6 +208,7 @@
 	g_object_unref(client);
 }
 
+/* Malformed frames close the connection and are counted; nothing crashes. */
 static void
 test_bad_frames_are_counted(void **state)
 {
@@ -216,7 +218,7 @@
 	struct conn_server *s;
 	char address[32];
 
-	init_end(&server, "server", good_key);
+	init_end(&server, "server", shared_key);
 	s = listen_at(&server, address);
 	send_raw(address, oversize, sizeof(oversize));
 	send_raw(address, garbage, sizeof(garbage));
@@ -245,7 +247,7 @@
 	assert_int_equal(err.code, ERR_INVALID);
 	assert_int_equal(err.verdict, VERDICT_NOT_RUN);
 	msg_close(&m);
-	/* Cut short anywhere, it is refused, never read past its end. */
+	/* Truncated at any length, it is refused and not read past its end. */
 	while (bytes->len > 0) {
 		g_byte_array_set_size(bytes, bytes->len - 1);
 		assert_false(msg_open(&m, bytes->data, bytes->len, &err));
@@ -254,9 +256,9 @@
 }
 
 /*
- * A stranger sends five bytes that claim an array of two thousand million
- * elements, bare or inside a good message. The library would set aside 34 GB
- * for it; we must refuse it without.
+ * Guards against five bytes that claim an array of two thousand million
+ * elements, alone or inside a valid message: the msgpack library would allocate
+ * 34 GB. Such input must be refused before the library parses it.
  */
 static void
 test_codec_refuses_claimed_sizes(void **state)
@@ -277,7 +279,7 @@
 	assert_false(msg_open(&m, text, sizeof(text), &err));
 }
 
-struct heard {
+struct received {
 	bool any;
 	uint64_t number;
 };
@@ -285,44 +287,43 @@
 static void
 on_datagram(const char *from, const struct msg *m, void *ctx)
 {
-	struct heard *heard = ctx;
+	struct received *received = ctx;
 	struct note note;
 
 	assert_true(msg_read(m, &note_desc, &note, NULL));
-	heard->any = true;
-	heard->number = note.number;
+	received->any = true;
+	received->number = note.number;
 }
 
 static void
 test_datagrams(void **state)
 {
-	struct end a, b, stranger;
-	struct heard heard = { 0 }, none = { 0 };
+	struct end a, b, unknown;
+	struct received received = { 0 }, none = { 0 };
 	struct note note = { .number = 7, .text = slice_str("x") };
 	struct dgram *da, *db, *ds;
 	char to[32];
 
-	init_end(&a, "a", good_key);
-	init_end(&b, "b", good_key);
-	init_end(&stranger, "s", bad_key);
+	init_end(&a, "a", shared_key);
+	init_end(&b, "b", shared_key);
+	init_end(&unknown, "s", other_key);
 	da = dgram_open(&a.node, "127.0.0.1:0", on_datagram, &none, NULL);
-	db = dgram_open(&b.node, "127.0.0.1:0", on_datagram, &heard, NULL);
-	ds =
-	    dgram_open(&stranger.node, "127.0.0.1:0", on_datagram, &none, NULL);
+	db = dgram_open(&b.node, "127.0.0.1:0", on_datagram, &received, NULL);
+	ds = dgram_open(&unknown.node, "127.0.0.1:0", on_datagram, &none, NULL);
 	g_snprintf(to, sizeof(to), "127.0.0.1:%u", dgram_port(db));
 	note.number = 666;
 	assert_true(dgram_send(ds, to, &note_desc, &note));
 	note.number = 7;
 	assert_true(dgram_send(da, to, &note_desc, &note));
-	run_until(&heard.any);
-	assert_int_equal(heard.number, 7);
+	run_until(&received.any);
+	assert_int_equal(received.number, 7);
 	assert_int_equal(ctr_read(b.node.counters, "dgram_refused"), 1);
 	dgram_free(da);
 	dgram_free(db);
 	dgram_free(ds);
 	close_end(&a);
 	close_end(&b);
-	close_end(&stranger);
+	close_end(&unknown);
 }
 
 int
--- a/tests/common/test_core.c
+++ b/tests/common/test_core.c
@@ -1,4 +1,4 @@
-/* Errors, digests, random numbers, counters, time line. */
+/* Errors, digests, random numbers, counters, event timeline. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,7 +17,7 @@
 		assert_int_equal(err_code_from_name(err_code_name(code)), code);
 	}
 	assert_int_equal(err_code_from_name("no such"), ERR_INTERNAL);
-	/* An unreadable verdict must never be taken for "not run". */
+	/* An unknown verdict must not be interpreted as "not run". */
 	assert_int_equal(verdict_from_name("?"), VERDICT_MAY_HAVE_RUN);
 	assert_int_equal(verdict_from_name("NOT_RUN"), VERDICT_NOT_RUN);
 }
@@ -101,8 +101,8 @@
 }
 
 /*
- * Host B's clock is an hour behind host A's. B hears from A and notes an
- * event of its own; sorted by stamp, B's event must still come after A's.
+ * Host B's clock is an hour behind host A's. B receives a message from A and
+ * records an event; sorted by timestamp, B's event must come after A's.
  */
 static void
 test_timeline_order_survives_skew(void **state)
--- a/tests/common/test_evt.c
+++ b/tests/common/test_evt.c
@@ -1,4 +1,4 @@
-/* Log lines: their form, their bounded volume, and a reader that is slow. */
+/* Structured log lines: format, rate limit and a full pipe. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,7 +13,7 @@
 
 #include "common/evt.h"
 
-static int own_stdout, pipe_read;
+static int saved_stdout, pipe_read;
 static struct clk_fake fake;
 
 static int
@@ -25,7 +25,7 @@
 	pipe_read = fds[0];
 	assert_int_equal(fcntl(pipe_read, F_SETFL, O_NONBLOCK), 0);
 	fflush(stdout);
-	own_stdout = dup(STDOUT_FILENO);
+	saved_stdout = dup(STDOUT_FILENO);
 	assert_true(dup2(fds[1], STDOUT_FILENO) >= 0);
 	close(fds[1]);
 	clk_fake_init(&fake, 1000000);
@@ -37,8 +37,8 @@
 tear_down(void **state)
 {
 	evt_close();
-	assert_true(dup2(own_stdout, STDOUT_FILENO) >= 0);
-	close(own_stdout);
+	assert_true(dup2(saved_stdout, STDOUT_FILENO) >= 0);
+	close(saved_stdout);
 	close(pipe_read);
 	return 0;
 }
@@ -69,13 +69,13 @@
 }
 
 static void
-test_form(void **state)
+test_format(void **state)
 {
 	GString *out;
 
 	evt(EVT_REFUSED, "req=%s status=%d why=full", "q1", 503);
 	out = read_all();
-	/* cmocka's own lines may stand before it. */
+	/* cmocka's output may precede the line. */
 	assert_non_null(strstr(out->str,
 	    "t=1.000 node=node-1 ev=refused req=q1 status=503 why=full\n"));
 	assert_int_equal(count_lines(out, "ev="), 1);
@@ -83,11 +83,12 @@
 }
 
 /*
- * A burst of failures: lines stay within the class's rate, other classes keep
- * their own, and what was left out is told with the next line.
+ * A burst of failures: the lines stay within their class's rate limit, other
+ * classes are not affected, and the number of dropped lines is logged before
+ * the next line.
  */
 static void
-test_bounded_volume(void **state)
+test_rate_limit(void **state)
 {
 	GString *out;
 	int i;
@@ -107,7 +108,7 @@
 	g_string_free(out, TRUE);
 }
 
-/* Nobody reads: lines are lost and counted, and nothing waits. */
+/* Without a reader lines are dropped and counted, and evt does not block. */
 static void
 test_full_pipe(void **state)
 {
@@ -125,12 +126,12 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_form),
-		cmocka_unit_test(test_bounded_volume),
+		cmocka_unit_test(test_format),
+		cmocka_unit_test(test_rate_limit),
 		cmocka_unit_test(test_full_pipe),
 	};
 
-	/* The sink is opened once a process; cmocka's own lines go to where
-	 * it reports in the end. */
+	/* evt_open is called once per process, hence a group fixture; cmocka's
+	 * summary is printed after standard output is restored. */
 	return cmocka_run_group_tests(tests, set_up, tear_down);
 }
--- a/tests/common/test_spend.c
+++ b/tests/common/test_spend.c
@@ -1,4 +1,4 @@
-/* A share of the retry budget, over a sliding window. */
+/* One process's share of a retry budget over a sliding window. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -26,8 +26,8 @@
 	return n;
 }
 
-/* Five processes, each with its part of the slack and a fifth of its own
- * requests: together never more than the whole. */
+/* One of five processes: a fifth of the slack and of its own requests, so that
+ * all five together do not exceed the budget. */
 static void
 test_share(void **state)
 {
@@ -42,7 +42,7 @@
 	assert_int_equal(take_all(&s, 12 * SECOND), 16);
 }
 
-/* Whatever the moments, no window of the budget's length has more. */
+/* No window of the budget's length has more retries, wherever it starts. */
 static void
 test_any_window(void **state)
 {
