--- a/lib/common/cfg_rules.c
+++ b/lib/common/cfg_rules.c
@@ -143,7 +143,7 @@
 cfg_check_branch(
     const struct cfg *root, const struct cfg *branch, struct err *err)
 {
-	if (strcmp(cfg_str(branch, "team"), CFG_ROOT_TEAM) == 0)
+	if (strcmp(cfg_str(branch, "team"), CFG_ROOT_WORKSPACE) == 0)
 		return cfg_refuse(branch, "team", "a team's own name", err,
 		    "the root branch's name");
 	if (cfg_int(branch, "limits.default_deadline_ms") >
--- a/lib/common/common.h
+++ b/lib/common/common.h
@@ -183,7 +183,8 @@
  * its clock past it. Events of all processes sorted by timestamp are therefore
  * in causal order even when the hosts' clocks differ.
  */
-#define TL_KEEP 4096 /* events retained per process; the oldest are dropped */
+#define TL_EVENTS_MAX \
+	4096 /* events retained per process; the oldest are dropped */
 
 struct tl_event {
 	uint64_t seq; /* incremented for each event of the process */
@@ -199,7 +200,7 @@
 const char *tl_node(const struct tl *tl);
 uint64_t tl_stamp(struct tl *tl); /* timestamp of an outgoing frame */
 /* Advances the clock past the timestamp of a received frame. */
-void tl_seen(struct tl *tl, uint64_t hlc);
+void tl_observe(struct tl *tl, uint64_t hlc);
 void tl_add(struct tl *tl, const char *kind, const char *subject,
     const char *format, ...) G_GNUC_PRINTF(4, 5);
 /* Calls `each` for the retained events with seq > since, oldest first. Returns
@@ -505,7 +506,7 @@
 /* Schemas of this system's settings, printed as docs/SETTINGS.md       */
 /* ------------------------------------------------------------------ */
 
-#define CFG_ROOT_TEAM "platform" /* workspace that owns the root branch */
+#define CFG_ROOT_WORKSPACE "platform" /* workspace that owns the root branch */
 
 /* The settings file of an `entry` or `side` process. */
 extern const struct cfg_schema cfg_node_schema;
--- a/lib/common/conn.c
+++ b/lib/common/conn.c
@@ -296,7 +296,7 @@
 		return;
 	}
 	if (c->node->timeline != NULL && c->state == CONN_OPEN)
-		tl_seen(c->node->timeline, m.hlc);
+		tl_observe(c->node->timeline, m.hlc);
 	if (c->state == CONN_HELLO)
 		handle_hello(c, &m);
 	else if (c->state == CONN_PROOF)
--- a/lib/common/dgram.c
+++ b/lib/common/dgram.c
@@ -73,7 +73,7 @@
 		return;
 	}
 	if (d->node->timeline != NULL)
-		tl_seen(d->node->timeline, m.hlc);
+		tl_observe(d->node->timeline, m.hlc);
 	address_text(from, text, sizeof(text));
 	d->message(text, &m, d->ctx);
 	msg_close(&m);
--- a/lib/common/evt.c
+++ b/lib/common/evt.c
@@ -16,8 +16,8 @@
  * than successes. */
 static const double class_rate[EVT_CLASSES] = {
 	[EVT_STATE] = 200,
-	[EVT_BAD] = 200,
-	[EVT_WELL] = 100,
+	[EVT_FAILURE] = 200,
+	[EVT_SUCCESS] = 100,
 };
 
 static const struct {
--- a/lib/common/evt.h
+++ b/lib/common/evt.h
@@ -40,23 +40,24 @@
 	X(EVT_ORDER, "order", EVT_STATE, "an order was sent to the engine")      \
 	X(EVT_ENGINE, "engine", EVT_STATE,                                       \
 	    "the engine on this host changed state")                             \
-	X(EVT_DONE, "done", EVT_WELL, "a target answered a request")             \
-	X(EVT_REFUSED, "refused", EVT_BAD,                                       \
+	X(EVT_DONE, "done", EVT_SUCCESS, "a target answered a request")          \
+	X(EVT_REFUSED, "refused", EVT_FAILURE,                                   \
 	    "a request was refused and not executed")                            \
-	X(EVT_FAILED, "failed", EVT_BAD, "a request failed")                     \
-	X(EVT_LEFT, "left", EVT_BAD,                                             \
+	X(EVT_FAILED, "failed", EVT_FAILURE, "a request failed")                 \
+	X(EVT_LEFT, "left", EVT_FAILURE,                                         \
 	    "the caller disconnected before the response")                       \
-	X(EVT_RETRY, "retry", EVT_BAD, "a request is sent to another target")    \
+	X(EVT_RETRY, "retry", EVT_FAILURE,                                       \
+	    "a request is sent to another target")                               \
 	X(EVT_SUSPECT, "suspect", EVT_STATE,                                     \
 	    "a request suspected of terminating targets was blocked or cleared") \
-	X(EVT_ODD, "odd", EVT_BAD,                                               \
+	X(EVT_ODD, "odd", EVT_FAILURE,                                           \
 	    "a response to another request was dropped")                         \
 	X(EVT_DROPPED, "lines_dropped", EVT_STATE, "log lines were dropped")
 
 enum evt_class {
 	EVT_STATE, /* state changes, which are rare */
-	EVT_BAD, /* unsuccessful requests */
-	EVT_WELL, /* successful requests */
+	EVT_FAILURE, /* unsuccessful requests */
+	EVT_SUCCESS, /* successful requests */
 	EVT_CLASSES,
 };
 
--- a/lib/common/spend.c
+++ b/lib/common/spend.c
@@ -37,7 +37,7 @@
 }
 
 double
-spend_left(struct spend *s, const struct spend_conf *conf, int64_t now_us)
+spend_remaining(struct spend *s, const struct spend_conf *conf, int64_t now_us)
 {
 	double requests = 0, extra = 0;
 	int i;
@@ -47,15 +47,15 @@
 		requests += s->requests[i];
 		extra += s->extra[i];
 	}
-	return conf->used *
-	    (conf->ratio * requests + conf->slack / MAX(1, conf->sharers)) -
+	return conf->usable *
+	    (conf->ratio * requests + conf->slack / MAX(1, conf->processes)) -
 	    extra;
 }
 
 bool
 spend_take(struct spend *s, const struct spend_conf *conf, int64_t now_us)
 {
-	if (spend_left(s, conf, now_us) < 1)
+	if (spend_remaining(s, conf, now_us) < 1)
 		return false;
 	spend_add(s, conf, now_us);
 	return true;
--- a/lib/common/spend.h
+++ b/lib/common/spend.h
@@ -19,9 +19,9 @@
 	double slack; /* of all processes together */
 	/* Fraction of both that is used. The rest is a margin for processes
 	 * that start or stop and for windows that do not align with slots. */
-	double used;
+	double usable;
 	int64_t window_us;
-	unsigned int sharers; /* processes that share the slack; at least 1 */
+	unsigned int processes; /* processes that share the slack; at least 1 */
 };
 
 /* Request and retry counts of the window; initialise to zero. */
@@ -34,7 +34,7 @@
 void spend_request(
     struct spend *s, const struct spend_conf *conf, int64_t now_us);
 /* Number of retries that the share allows now; may be negative. */
-double spend_left(
+double spend_remaining(
     struct spend *s, const struct spend_conf *conf, int64_t now_us);
 /* Counts a retry, even if the share is exhausted. */
 void spend_add(struct spend *s, const struct spend_conf *conf, int64_t now_us);
--- a/lib/common/timeline.c
+++ b/lib/common/timeline.c
@@ -12,7 +12,7 @@
 	char *node;
 	uint64_t hlc;
 	uint64_t next_seq; /* sequence number of the next event, from 1 */
-	struct tl_event ring[TL_KEEP];
+	struct tl_event ring[TL_EVENTS_MAX];
 };
 
 struct tl *
@@ -52,7 +52,7 @@
 }
 
 void
-tl_seen(struct tl *tl, uint64_t hlc)
+tl_observe(struct tl *tl, uint64_t hlc)
 {
 	if (hlc > tl->hlc)
 		tl->hlc = hlc;
@@ -62,7 +62,7 @@
 tl_add(struct tl *tl, const char *kind, const char *subject, const char *format,
     ...)
 {
-	struct tl_event *event = &tl->ring[tl->next_seq % TL_KEEP];
+	struct tl_event *event = &tl->ring[tl->next_seq % TL_EVENTS_MAX];
 	va_list args;
 
 	event->seq = tl->next_seq++;
@@ -80,9 +80,9 @@
 {
 	uint64_t seq = since + 1;
 
-	if (tl->next_seq > TL_KEEP && seq < tl->next_seq - TL_KEEP)
-		seq = tl->next_seq - TL_KEEP;
+	if (tl->next_seq > TL_EVENTS_MAX && seq < tl->next_seq - TL_EVENTS_MAX)
+		seq = tl->next_seq - TL_EVENTS_MAX;
 	for (; seq < tl->next_seq; seq++)
-		each(&tl->ring[seq % TL_KEEP], ctx);
+		each(&tl->ring[seq % TL_EVENTS_MAX], ctx);
 	return tl->next_seq - 1;
 }
--- a/lib/route/budget.c
+++ b/lib/route/budget.c
@@ -12,9 +12,9 @@
 {
 	return (struct spend_conf){ .ratio = permille / 1000.0,
 		.slack = BUD_FLOOR,
-		.used = 1,
+		.usable = 1,
 		.window_us = (int64_t)BUD_SLOTS * BUD_SLOT_MS * 1000,
-		.sharers = 1 };
+		.processes = 1 };
 }
 
 void
@@ -38,5 +38,5 @@
 {
 	struct spend_conf conf = conf_of(permille);
 
-	return permille > 0 && spend_left(&bud->spend, &conf, now_us) >= 1;
+	return permille > 0 && spend_remaining(&bud->spend, &conf, now_us) >= 1;
 }
--- a/programs/entry/cli_rollout.c
+++ b/programs/entry/cli_rollout.c
@@ -332,5 +332,5 @@
 		    "usage: currantchute drain host|domain|entry NAME\n");
 		return EXIT_USAGE;
 	}
-	return cli_edit_branch(cli, CFG_ROOT_TEAM, edit_drain, &e);
+	return cli_edit_branch(cli, CFG_ROOT_WORKSPACE, edit_drain, &e);
 }
--- a/programs/entry/cli_settings.c
+++ b/programs/entry/cli_settings.c
@@ -18,7 +18,7 @@
 	if (any != NULL && cfg_has(any, "node"))
 		schema = &cfg_node_schema;
 	else if (any != NULL &&
-	    strcmp(cfg_str(any, "team"), CFG_ROOT_TEAM) == 0)
+	    strcmp(cfg_str(any, "team"), CFG_ROOT_WORKSPACE) == 0)
 		schema = &cfg_root_schema;
 	cfg_free(any);
 	return schema;
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -332,8 +332,8 @@
 	budget->slack = cfg_num(cfg, "bounds.retry_slack");
 	budget->window_us =
 	    (int64_t)(cfg_num(cfg, "bounds.retry_window_s") * G_USEC_PER_SEC);
-	budget->sharers = g->gateways;
-	budget->used = BUDGET_USED;
+	budget->processes = g->gateways;
+	budget->usable = BUDGET_USED;
 	for (i = 0; (domain = cfg_key(cfg, i, "domains")) != NULL; i++)
 		tgt_set_domain(
 		    g->set, domain, cfg_str(cfg, "domains.%s", domain));
--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -11,7 +11,7 @@
 		return;
 	g->gateways = n;
 	tgt_set_policy(g->set)->entries = n;
-	fwd_budget(g->fwd)->sharers = n;
+	fwd_budget(g->fwd)->processes = n;
 }
 
 /* True when the keeper's word on a root is news. */
--- a/tests/common/test_core.c
+++ b/tests/common/test_core.c
@@ -93,10 +93,11 @@
 
 	clk_fake_init(&fake, 1000000);
 	tl = tl_new(&fake.clock, "n1");
-	for (i = 0; i < TL_KEEP + 10; i++)
+	for (i = 0; i < TL_EVENTS_MAX + 10; i++)
 		tl_add(tl, "kind", "subject", "%d", i);
-	assert_int_equal(tl_each(tl, 0, count_event, &last), TL_KEEP + 10);
-	assert_int_equal(last, TL_KEEP + 10);
+	assert_int_equal(
+	    tl_each(tl, 0, count_event, &last), TL_EVENTS_MAX + 10);
+	assert_int_equal(last, TL_EVENTS_MAX + 10);
 	tl_free(tl);
 }
 
@@ -117,7 +118,7 @@
 	b = tl_new(&clock_b.clock, "b");
 	sent = tl_stamp(a);
 	assert_true(tl_stamp(b) < sent);
-	tl_seen(b, sent);
+	tl_observe(b, sent);
 	assert_true(tl_stamp(b) > sent);
 	tl_free(a);
 	tl_free(b);
--- a/tests/common/test_spend.c
+++ b/tests/common/test_spend.c
@@ -12,9 +12,9 @@
 
 static const struct spend_conf conf = { .ratio = 0.2,
 	.slack = 100,
-	.used = 0.8,
+	.usable = 0.8,
 	.window_us = 10 * SECOND,
-	.sharers = 5 };
+	.processes = 5 };
 
 static unsigned int
 take_all(struct spend *s, int64_t now_us)
--- a/tests/serve/world.h
+++ b/tests/serve/world.h
@@ -226,9 +226,9 @@
 		.dialect = &dialect,
 		.budget = { .ratio = 1,
 		    .slack = 100,
-		    .used = 1,
+		    .usable = 1,
 		    .window_us = 10 * G_USEC_PER_SEC,
-		    .sharers = 1 },
+		    .processes = 1 },
 		.counters = w.counters,
 		.seed = 1 };
 	w.fwd = fwd_new(&conf);
