--- a/lib/common/common.h
+++ b/lib/common/common.h
@@ -9,8 +9,9 @@
  *
  * All code runs on one thread, on the default GLib main loop. Times are
  * int64_t with the unit in the name (`_us`, `_ms`). Functions that can fail
- * take a `struct err *` and return false or NULL on failure; the struct then
- * holds the cause and whether the request may have been executed.
+ * take a `struct err *`, usually as last argument, and return false or NULL on
+ * failure; the struct then holds the cause and whether the request may have
+ * been executed.
  */
 
 #include <sys/queue.h>
@@ -85,7 +86,7 @@
 /*
  * The clock is a parameter so that tests and trace replay can control time.
  * Deadlines and leases use only the monotonic time; wall-clock time is for
- * display.
+ * timestamps that people read.
  */
 struct clk {
 	int64_t (*monotonic_us)(void *ctx);
@@ -126,7 +127,7 @@
 guint digest_hash(gconstpointer d); /* for GHashTable */
 gboolean digest_equal_ptr(gconstpointer a, gconstpointer b);
 
-/* Incremental hashing of inputs that arrive in parts. */
+/* Incremental hashing, for large inputs that are hashed in slices. */
 struct digest_stream;
 struct digest_stream *digest_stream_new(void);
 void digest_stream_add(struct digest_stream *s, const void *data, size_t len);
@@ -183,8 +184,7 @@
  * its clock past it. Events of all processes sorted by timestamp are therefore
  * in causal order even when the hosts' clocks differ.
  */
-#define TL_EVENTS_MAX \
-	4096 /* events retained per process; the oldest are dropped */
+#define TL_EVENTS_MAX 4096 /* per process; the oldest are dropped */
 
 struct tl_event {
 	uint64_t seq; /* incremented for each event of the process */
--- a/lib/common/spend.h
+++ b/lib/common/spend.h
@@ -21,7 +21,7 @@
 	 * that start or stop and for windows that do not align with slots. */
 	double usable;
 	int64_t window_us;
-	unsigned int processes; /* processes that share the slack; at least 1 */
+	unsigned int processes; /* that share the slack; at least 1 */
 };
 
 /* Request and retry counts of the window; initialise to zero. */
