--- a/programs/entry/gateway_peers.c
+++ b/programs/entry/gateway_peers.c
@@ -11,7 +11,7 @@
 		return;
 	g->gateways = n;
 	tgt_set_policy(g->set)->gateways = n;
-	fwd_budget(g->fwd)->sharers = n;
+	fwd_budget(g->fwd)->processes = n;
 }
 
 /* Stores the root digest that the sidecar reported; true if it is new. */
--- a/tests/common/test_core.c
+++ b/tests/common/test_core.c
@@ -1,4 +1,4 @@
-/* Errors, digests, random numbers, counters, time line. */
+/* Errors, digests, random numbers, counters, event timeline. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,7 +17,7 @@
 		assert_int_equal(err_code_from_name(err_code_name(code)), code);
 	}
 	assert_int_equal(err_code_from_name("no such"), ERR_INTERNAL);
-	/* An unreadable verdict must never be taken for "not run". */
+	/* An unknown verdict must not be interpreted as "not run". */
 	assert_int_equal(verdict_from_name("?"), VERDICT_MAY_HAVE_RUN);
 	assert_int_equal(verdict_from_name("NOT_RUN"), VERDICT_NOT_RUN);
 }
@@ -93,16 +93,17 @@
 
 	clk_fake_init(&fake, 1000000);
 	tl = tl_new(&fake.clock, "n1");
-	for (i = 0; i < TL_KEEP + 10; i++)
+	for (i = 0; i < TL_EVENTS_MAX + 10; i++)
 		tl_add(tl, "kind", "subject", "%d", i);
-	assert_int_equal(tl_each(tl, 0, count_event, &last), TL_KEEP + 10);
-	assert_int_equal(last, TL_KEEP + 10);
+	assert_int_equal(
+	    tl_each(tl, 0, count_event, &last), TL_EVENTS_MAX + 10);
+	assert_int_equal(last, TL_EVENTS_MAX + 10);
 	tl_free(tl);
 }
 
 /*
- * Host B's clock is an hour behind host A's. B hears from A and notes an
- * event of its own; sorted by stamp, B's event must still come after A's.
+ * Host B's clock is an hour behind host A's. B receives a message from A and
+ * records an event; sorted by timestamp, B's event must come after A's.
  */
 static void
 test_timeline_order_survives_skew(void **state)
@@ -117,7 +118,7 @@
 	b = tl_new(&clock_b.clock, "b");
 	sent = tl_stamp(a);
 	assert_true(tl_stamp(b) < sent);
-	tl_seen(b, sent);
+	tl_observe(b, sent);
 	assert_true(tl_stamp(b) > sent);
 	tl_free(a);
 	tl_free(b);
