--- a/programs/side/door.c
+++ b/programs/side/door.c
@@ -7,7 +7,7 @@
 #define HEADER_PAIRS_MAX 32
 
 /* One request at a target, from its arrival to its end. */
-struct door_stream {
+struct proxy_stream {
 	struct side_peer *peer; /* NULL once the entry is gone */
 	int64_t number; /* key in peer->streams */
 	struct side_target *target;
@@ -43,18 +43,18 @@
 }
 
 static void
-free_stream(struct door_stream *s)
+free_stream(struct proxy_stream *s)
 {
 	if (s->peer != NULL)
 		g_hash_table_remove(s->peer->streams, &s->number);
-	targets_ran_out(s->target);
+	targets_request_ended(s->target);
 	g_free(s->request_id);
 	g_free(s);
 }
 
 /* What the target's own refusal means for the entry. */
 static void
-refusal(const struct door_stream *s, struct err *out)
+set_refusal_err(const struct proxy_stream *s, struct err *out)
 {
 	if (s->refused_status == 409) {
 		err_set(out, ERR_WRONG_VERSION, VERDICT_NOT_RUN,
@@ -72,7 +72,7 @@
 static void
 on_head(unsigned int status, SoupMessageHeaders *headers, void *ctx)
 {
-	struct door_stream *s = ctx;
+	struct proxy_stream *s = ctx;
 	struct rt_head head = { .stream = (uint64_t)s->number,
 		.status = status };
 	const char *type =
@@ -100,7 +100,7 @@
 static void
 on_data(const uint8_t *bytes, size_t len, void *ctx)
 {
-	struct door_stream *s = ctx;
+	struct proxy_stream *s = ctx;
 	struct rt_data data = { .stream = (uint64_t)s->number };
 
 	if (s->refused || s->peer == NULL)
@@ -123,13 +123,13 @@
 static void
 on_ended(const struct err *err, void *ctx)
 {
-	struct door_stream *s = ctx;
+	struct proxy_stream *s = ctx;
 	struct err out = *err;
 
 	s->call = NULL;
 	s->target->running--; /* first: the load told is without it */
 	if (s->refused)
-		refusal(s, &out);
+		set_refusal_err(s, &out);
 	ctr_add(ctr_get(s->target->side->proc.counters,
 		    err_is(&out) ? "door_failed" : "door_answered"),
 	    1);
@@ -151,7 +151,7 @@
 /* Everything that speaks against running it, before the target hears of it:
  * so each of these refusals is truly NOT_RUN. */
 static bool
-may_run(struct side_peer *peer, const struct rt_request *request,
+check_request(struct side_peer *peer, const struct rt_request *request,
     const struct side_target *target, struct err *err)
 {
 	int64_t number = (int64_t)request->stream;
@@ -200,7 +200,7 @@
 }
 
 static void
-start_call(struct door_stream *s, const struct rt_request *request)
+start_call(struct proxy_stream *s, const struct rt_request *request)
 {
 	const char *pairs[2 * HEADER_PAIRS_MAX + 16] = { NULL };
 	char *method = slice_dup(request->method);
@@ -252,31 +252,31 @@
 /* Streams that wait for what it said would stand still; closed, they end with
  * a visible error. */
 static void
-bad_message(struct side_peer *peer)
+reject_bad_message(struct side_peer *peer)
 {
 	ctr_add(ctr_get(peer->side->proc.counters, "door_bad_messages"), 1);
 	conn_close(peer->conn);
 }
 
 void
-door_request(struct side_peer *peer, const struct msg *m)
+proxy_request(struct side_peer *peer, const struct msg *m)
 {
 	struct rt_request request;
 	struct side_target *target;
-	struct door_stream *s;
+	struct proxy_stream *s;
 	struct err err = { 0 };
 
 	if (!msg_read(m, &rt_request_desc, &request, &err)) {
-		bad_message(peer);
+		reject_bad_message(peer);
 		return;
 	}
 	target = targets_find(peer->side, request.target);
-	if (!may_run(peer, &request, target, &err)) {
+	if (!check_request(peer, &request, target, &err)) {
 		ctr_add(ctr_get(peer->side->proc.counters, "door_refused"), 1);
 		send_end(peer, request.stream, target, &err);
 		return;
 	}
-	s = g_new0(struct door_stream, 1);
+	s = g_new0(struct proxy_stream, 1);
 	s->peer = peer;
 	s->number = (int64_t)request.stream;
 	s->target = target;
@@ -290,7 +290,7 @@
 
 /* Stops the work at the target and forgets the stream; nothing is sent. */
 static void
-abandon(struct door_stream *s)
+cancel_stream(struct proxy_stream *s)
 {
 	target_call_cancel(s->call);
 	s->target->running--;
@@ -301,31 +301,31 @@
 }
 
 void
-door_cancel(struct side_peer *peer, const struct msg *m)
+proxy_cancel(struct side_peer *peer, const struct msg *m)
 {
 	struct rt_cancel cancel;
-	struct door_stream *s;
+	struct proxy_stream *s;
 	int64_t number;
 
 	if (!msg_read(m, &rt_cancel_desc, &cancel, NULL)) {
-		bad_message(peer);
+		reject_bad_message(peer);
 		return;
 	}
 	number = (int64_t)cancel.stream;
 	s = g_hash_table_lookup(peer->streams, &number);
 	if (s != NULL)
-		abandon(s);
+		cancel_stream(s);
 }
 
 void
-door_window(struct side_peer *peer, const struct msg *m)
+proxy_window_update(struct side_peer *peer, const struct msg *m)
 {
 	struct rt_window window;
-	struct door_stream *s;
+	struct proxy_stream *s;
 	int64_t number;
 
 	if (!msg_read(m, &rt_window_desc, &window, NULL)) {
-		bad_message(peer);
+		reject_bad_message(peer);
 		return;
 	}
 	number = (int64_t)window.stream;
@@ -338,15 +338,15 @@
 }
 
 void
-door_peer_gone(struct side_peer *peer)
+proxy_peer_closed(struct side_peer *peer)
 {
 	GList *streams = g_hash_table_get_values(peer->streams), *at;
 
 	for (at = streams; at != NULL; at = at->next) {
-		struct door_stream *s = at->data;
+		struct proxy_stream *s = at->data;
 
 		if (s->idempotent) {
-			abandon(s);
+			cancel_stream(s);
 			continue;
 		}
 		/* Half a booking is worse than one whose answer nobody
--- a/programs/side/loopback.c
+++ b/programs/side/loopback.c
@@ -11,7 +11,7 @@
 #define VERSIONS_PREFIX "/v1/versions/"
 
 /* One reading of a version's bytes by the engine. */
-struct reading {
+struct body_reader {
 	struct side *side;
 	struct digest root;
 	uint64_t next; /* chunk to append next */
@@ -22,7 +22,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-append_next(SoupServerMessage *message, struct reading *r)
+append_next(SoupServerMessage *message, struct body_reader *r)
 {
 	SoupMessageBody *body = soup_server_message_get_response_body(message);
 	GBytes *chunk = wts_chunk(r->side->wts, &r->root, r->next);
@@ -43,7 +43,7 @@
 }
 
 static void
-free_reading(gpointer data, GClosure *closure)
+free_reader(gpointer data, GClosure *closure)
 {
 	g_free(data);
 }
@@ -52,7 +52,7 @@
 send_bytes(
     struct side *side, SoupServerMessage *message, const struct digest *root)
 {
-	struct reading *r = g_new0(struct reading, 1);
+	struct body_reader *r = g_new0(struct body_reader, 1);
 	SoupMessageBody *body = soup_server_message_get_response_body(message);
 
 	r->side = side;
@@ -63,7 +63,7 @@
 	    soup_server_message_get_response_headers(message),
 	    SOUP_ENCODING_CHUNKED);
 	g_signal_connect_data(message, "wrote-chunk",
-	    G_CALLBACK(on_wrote_chunk), r, free_reading, 0);
+	    G_CALLBACK(on_wrote_chunk), r, free_reader, 0);
 	append_next(message, r);
 }
 
--- a/programs/side/main.c
+++ b/programs/side/main.c
@@ -10,7 +10,7 @@
 
 #define POLL_MS 1000 /* how soon an engine that lost its model is noticed */
 #define STOP_CHECK_MS 50
-#define STOP_LONGEST_MS 60000 /* a stream that never ends does not hold us */
+#define STOP_TIMEOUT_MS 60000 /* a stream that never ends does not hold us */
 
 /* ------------------------------------------------------------------ */
 /* Connections                                                         */
@@ -40,13 +40,13 @@
 
 	switch (m->type) {
 	case RT_REQUEST:
-		door_request(peer, m);
+		proxy_request(peer, m);
 		return;
 	case RT_CANCEL:
-		door_cancel(peer, m);
+		proxy_cancel(peer, m);
 		return;
 	case RT_WINDOW_UPDATE:
-		door_window(peer, m);
+		proxy_window_update(peer, m);
 		return;
 	case RT_WATCH:
 		targets_watch(peer);
@@ -80,8 +80,8 @@
 	struct side_peer *peer = ctx;
 
 	wts_closed(peer->side->wts, c);
-	door_peer_gone(peer);
-	targets_peer_gone(peer);
+	proxy_peer_closed(peer);
+	targets_peer_closed(peer);
 	TAILQ_REMOVE(&peer->side->peers, peer, link);
 	g_hash_table_unref(peer->streams);
 	g_free(peer);
@@ -138,7 +138,7 @@
 	else if (progress->phase == WTS_NO_ROOM)
 		tl_add(side->proc.timeline, "version_no_room", hex, "%s",
 		    progress->why);
-	place_tell(side, &version->root);
+	place_notify(side, &version->root);
 	place_schedule(side);
 }
 
@@ -187,7 +187,7 @@
 }
 
 static bool
-start(struct side *side, struct err *err)
+start_side(struct side *side, struct err *err)
 {
 	static const struct agr_ops ops = {
 		.member_changed = on_member,
@@ -198,9 +198,9 @@
 
 	TAILQ_INIT(&side->targets);
 	TAILQ_INIT(&side->peers);
-	side->teams = g_hash_table_new_full(
+	side->workspaces = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)rt_workspace_free);
-	side->held =
+	side->requested =
 	    g_hash_table_new_full(digest_hash, digest_equal_ptr, g_free, NULL);
 	if (!targets_read(side, err) || !loopback_open(side, err))
 		return false;
@@ -210,7 +210,7 @@
 	g_free(info);
 	if (!joined)
 		return false;
-	side->gate = agr_fencing_new(side->proc.agr);
+	side->fencing = agr_fencing_new(side->proc.agr);
 	side->server = conn_listen(&side->proc.node,
 	    cfg_str(side->proc.cfg, "node.peer"), on_accepted, side, err);
 	if (side->server == NULL)
@@ -229,7 +229,7 @@
 	static int waited_ms;
 
 	waited_ms += STOP_CHECK_MS;
-	if (targets_running(side) > 0 && waited_ms < STOP_LONGEST_MS)
+	if (targets_running(side) > 0 && waited_ms < STOP_TIMEOUT_MS)
 		return G_SOURCE_CONTINUE;
 	side->stop_timer = 0;
 	proc_quit(&side->proc);
@@ -279,7 +279,8 @@
 		return EXIT_USAGE;
 	}
 	log_open("currantchute-side");
-	if (!proc_load(&side->proc, settings, &err) || !start(side, &err)) {
+	if (!proc_load(&side->proc, settings, &err) ||
+	    !start_side(side, &err)) {
 		fprintf(stderr, "currantchute-side: %s\n", err.message);
 		return EXIT_USAGE;
 	}
--- a/programs/side/place.c
+++ b/programs/side/place.c
@@ -15,16 +15,16 @@
 /* Wanted versions                                                     */
 /* ------------------------------------------------------------------ */
 
-struct pass {
+struct placement_pass {
 	struct side *side;
 	struct rt_place *place;
 	GHashTable *wanted; /* struct digest -> itself */
 };
 
 static void
-offer(const struct mem_member *member, void *ctx)
+add_host(const struct mem_member *member, void *ctx)
 {
-	struct pass *pass = ctx;
+	struct placement_pass *pass = ctx;
 	const struct mem_node *node = &member->node;
 
 	if (node->kind == MEM_SIDECAR && member->state != MEM_LEAVING)
@@ -34,7 +34,7 @@
 
 /* Hands the other hosts of the rollout to the transfer. */
 static void
-share_peers(struct side *side, const struct digest *root, GArray *hosts)
+set_transfer_peers(struct side *side, const struct digest *root, GArray *hosts)
 {
 	GArray *peers = g_array_new(FALSE, FALSE, sizeof(struct wts_peer));
 	guint i;
@@ -53,7 +53,8 @@
 }
 
 static void
-want(struct pass *pass, const struct rt_model *model, GArray *hosts)
+want_version(
+    struct placement_pass *pass, const struct rt_model *model, GArray *hosts)
 {
 	const struct rt_version *v = model->rollout;
 	struct wts_want w = {
@@ -75,23 +76,23 @@
 		    "version %s of %s: %s", v->name, model->name, err.message);
 		return;
 	}
-	share_peers(pass->side, &v->root, hosts);
+	set_transfer_peers(pass->side, &v->root, hosts);
 	g_hash_table_add(pass->wanted, g_memdup2(&v->root, sizeof(v->root)));
 }
 
 static void
-look_at_model(struct pass *pass, const struct rt_workspace *team,
+place_model(struct placement_pass *pass, const struct rt_workspace *workspace,
     const struct rt_model *model)
 {
 	GArray *hosts;
 
 	if (model->rollout == NULL)
 		return;
-	pass->place = rt_place_new(team->name, model);
-	agr_each_member(pass->side->proc.agr, offer, pass);
+	pass->place = rt_place_new(workspace->name, model);
+	agr_each_member(pass->side->proc.agr, add_host, pass);
 	hosts = rt_place_finish(pass->place);
 	if (rt_place_has(hosts, pass->side->proc.node.id))
-		want(pass, model, hosts);
+		want_version(pass, model, hosts);
 	g_array_unref(hosts);
 }
 
@@ -115,13 +116,13 @@
  * stays, since the next version may share its chunks and a load that fails
  * falls back to it. */
 static void
-drop_unwanted(struct pass *pass)
+drop_unwanted(struct placement_pass *pass)
 {
 	struct side *side = pass->side;
 	GHashTableIter iter;
 	gpointer root;
 
-	g_hash_table_iter_init(&iter, side->held);
+	g_hash_table_iter_init(&iter, side->requested);
 	while (g_hash_table_iter_next(&iter, &root, NULL)) {
 		if (g_hash_table_contains(pass->wanted, root) ||
 		    is_loaded(side, root))
@@ -131,17 +132,17 @@
 	}
 	g_hash_table_iter_init(&iter, pass->wanted);
 	while (g_hash_table_iter_next(&iter, &root, NULL)) {
-		if (!g_hash_table_contains(side->held, root))
-			g_hash_table_add(
-			    side->held, g_memdup2(root, sizeof(struct digest)));
+		if (!g_hash_table_contains(side->requested, root))
+			g_hash_table_add(side->requested,
+			    g_memdup2(root, sizeof(struct digest)));
 	}
 }
 
 static gboolean
-run_pass(gpointer data)
+run_placement(gpointer data)
 {
 	struct side *side = data;
-	struct pass pass = {
+	struct placement_pass pass = {
 		.side = side,
 		.wanted = g_hash_table_new_full(
 		    digest_hash, digest_equal_ptr, g_free, NULL),
@@ -151,12 +152,12 @@
 	size_t i;
 
 	side->place_timer = 0;
-	g_hash_table_iter_init(&iter, side->teams);
+	g_hash_table_iter_init(&iter, side->workspaces);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rt_workspace *team = value;
+		const struct rt_workspace *workspace = value;
 
-		for (i = 0; i < team->nmodels; i++)
-			look_at_model(&pass, team, &team->models[i]);
+		for (i = 0; i < workspace->nmodels; i++)
+			place_model(&pass, workspace, &workspace->models[i]);
 	}
 	drop_unwanted(&pass);
 	g_hash_table_unref(pass.wanted);
@@ -168,7 +169,7 @@
 {
 	if (side->place_timer == 0)
 		side->place_timer =
-		    g_timeout_add(PLACE_DELAY_MS, run_pass, side);
+		    g_timeout_add(PLACE_DELAY_MS, run_placement, side);
 }
 
 /* ------------------------------------------------------------------ */
@@ -176,7 +177,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-take_root_branch(struct side *side, const struct cfg *cfg)
+apply_root_branch(struct side *side, const struct cfg *cfg)
 {
 	const char *domain = cfg_str(side->proc.cfg, "node.domain");
 
@@ -192,7 +193,7 @@
 	struct err err = { 0 };
 
 	if (strcmp(branch->name, INF_ROOT_BRANCH) == 0) {
-		take_root_branch(side, branch->cfg);
+		apply_root_branch(side, branch->cfg);
 		return;
 	}
 	cfg = cfg_parse(branch->name, branch->yaml, strlen(branch->yaml),
@@ -201,7 +202,7 @@
 		log_warn("branch %s: %s", branch->name, err.message);
 		return;
 	}
-	g_hash_table_replace(side->teams, g_strdup(branch->name),
+	g_hash_table_replace(side->workspaces, g_strdup(branch->name),
 	    rt_workspace_read(cfg, branch->version));
 	place_schedule(side);
 }
@@ -224,7 +225,7 @@
 }
 
 void
-place_tell(struct side *side, const struct digest *root)
+place_notify(struct side *side, const struct digest *root)
 {
 	struct side_peer *peer;
 
--- a/programs/side/side.h
+++ b/programs/side/side.h
@@ -23,8 +23,8 @@
 	struct digest loaded; /* as the engine named it; zero: none */
 	unsigned int running; /* requests passed on and not ended */
 	unsigned int slots;
-	bool ordered_off; /* a drain order is in force */
-	bool told_accepting; /* as last sent to the watching entries */
+	bool drain_ordered; /* a drain order is in force */
+	bool reported_accepting; /* as last sent to the watching entries */
 	bool polling; /* an engine_loaded call is open */
 	struct side_order *loading; /* a load order at the engine; or NULL */
 };
@@ -43,14 +43,14 @@
 struct side {
 	struct proc proc;
 	struct wts *wts;
-	struct agr_fencing *gate;
+	struct agr_fencing *fencing;
 	struct conn_server *server;
 	SoupServer *loopback;
 	unsigned int loopback_port;
 	struct side_targets targets;
 	TAILQ_HEAD(side_peers, side_peer) peers;
-	GHashTable *teams; /* branch name -> struct rt_workspace */
-	GHashTable *held; /* roots asked of wts: struct digest -> itself */
+	GHashTable *workspaces; /* branch name -> struct rt_workspace */
+	GHashTable *requested; /* roots asked of wts: struct digest -> itself */
 	bool leaving; /* told to stop */
 	bool draining; /* the settings drain this host or its domain */
 	guint place_timer;
@@ -59,11 +59,11 @@
 };
 
 /* door.c: requests from entries. */
-void door_request(struct side_peer *peer, const struct msg *m);
-void door_cancel(struct side_peer *peer, const struct msg *m);
-void door_window(struct side_peer *peer, const struct msg *m);
+void proxy_request(struct side_peer *peer, const struct msg *m);
+void proxy_cancel(struct side_peer *peer, const struct msg *m);
+void proxy_window_update(struct side_peer *peer, const struct msg *m);
 /* The entry is gone: idempotent work is cancelled, the rest runs on unheard. */
-void door_peer_gone(struct side_peer *peer);
+void proxy_peer_closed(struct side_peer *peer);
 
 /* targets.c: the targets, what is loaded, and orders. */
 bool targets_read(struct side *side, struct err *err);
@@ -73,9 +73,9 @@
 /* Tells the watching entries when a target changed. */
 void targets_announce(struct side *side);
 /* A request of the target ended. */
-void targets_ran_out(struct side_target *target);
+void targets_request_ended(struct side_target *target);
 void targets_order(struct side_peer *peer, const struct msg *m);
-void targets_peer_gone(struct side_peer *peer);
+void targets_peer_closed(struct side_peer *peer);
 void targets_poll(struct side *side);
 unsigned int targets_running(const struct side *side);
 
@@ -83,7 +83,7 @@
 void place_schedule(struct side *side);
 void place_branch(struct side *side, const struct inf_branch *branch);
 /* Tells the watching entries how far a version has come. */
-void place_tell(struct side *side, const struct digest *root);
+void place_notify(struct side *side, const struct digest *root);
 void place_status(struct side_peer *peer, const struct msg *m);
 
 /* loopback.c: HTTP for the engine beside. */
--- a/programs/side/targets.c
+++ b/programs/side/targets.c
@@ -53,7 +53,7 @@
 		    : RT_ENGINE;
 		t->url = cfg_str(cfg, "side.targets.%zu.url", i);
 		t->slots = SLOTS_UNKNOWN;
-		t->told_accepting = true;
+		t->reported_accepting = true;
 		TAILQ_INSERT_TAIL(&side->targets, t, link);
 	}
 	return true;
@@ -76,7 +76,7 @@
 targets_accepting(const struct side_target *target)
 {
 	return !target->side->leaving && !target->side->draining &&
-	    !target->ordered_off;
+	    !target->drain_ordered;
 }
 
 unsigned int
@@ -108,7 +108,7 @@
 }
 
 static void
-tell(struct side_peer *peer, const struct side_target *t)
+send_target(struct side_peer *peer, const struct side_target *t)
 {
 	struct rt_target_msg message = {
 		.name = slice_str(t->info.name),
@@ -121,29 +121,29 @@
 		.running = t->running,
 		.slots = t->slots,
 		.count = count_targets(peer->side),
-		.drain_ordered = t->ordered_off,
+		.drain_ordered = t->drain_ordered,
 	};
 
 	conn_send(peer->conn, &rt_target_desc, &message);
 }
 
 static void
-tell_all(const struct side_target *t)
+notify_watchers(const struct side_target *t)
 {
 	struct side_peer *peer;
 
 	TAILQ_FOREACH (peer, &t->side->peers, link) {
 		if (peer->watching)
-			tell(peer, t);
+			send_target(peer, t);
 	}
 }
 
 void
-targets_ran_out(struct side_target *target)
+targets_request_ended(struct side_target *target)
 {
 	/* The lead waits for this before it loads another version. */
-	if (target->ordered_off && target->running == 0)
-		tell_all(target);
+	if (target->drain_ordered && target->running == 0)
+		notify_watchers(target);
 }
 
 void
@@ -153,7 +153,7 @@
 
 	peer->watching = true;
 	TAILQ_FOREACH (t, &peer->side->targets, link) {
-		tell(peer, t);
+		send_target(peer, t);
 	}
 }
 
@@ -165,13 +165,13 @@
 
 	TAILQ_FOREACH (t, &side->targets, link) {
 		accepting = targets_accepting(t);
-		if (accepting == t->told_accepting)
+		if (accepting == t->reported_accepting)
 			continue;
-		t->told_accepting = accepting;
+		t->reported_accepting = accepting;
 		tl_add(side->proc.timeline,
 		    accepting ? "target_accepting" : "target_draining",
 		    t->info.name, "%u running", t->running);
-		tell_all(t);
+		notify_watchers(t);
 	}
 }
 
@@ -190,7 +190,7 @@
 	digest_to_hex(loaded, hex);
 	tl_add(t->side->proc.timeline, "version_loaded", t->info.name, "%s",
 	    digest_is_none(loaded) ? "none" : hex);
-	tell_all(t);
+	notify_watchers(t);
 	place_schedule(t->side);
 }
 
@@ -218,7 +218,7 @@
 	if (err != NULL || report->slots == 0 || report->slots == t->slots)
 		return;
 	t->slots = report->slots;
-	tell_all(t);
+	notify_watchers(t);
 }
 
 void
@@ -242,7 +242,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-answer(struct side_peer *peer, const char *order_id,
+send_order_done(struct side_peer *peer, const char *order_id,
     const struct digest *loaded, const struct err *err)
 {
 	struct rt_order_done done = {
@@ -263,7 +263,7 @@
 {
 	struct side_target *t = order->target;
 
-	answer(order->peer, order->order_id, &t->loaded, err);
+	send_order_done(order->peer, order->order_id, &t->loaded, err);
 	t->loading = NULL;
 	g_free(order->order_id);
 	g_free(order);
@@ -335,7 +335,7 @@
 }
 
 static bool
-may_load(
+check_load(
     const struct side_target *t, const struct rt_order *order, struct err *err)
 {
 	struct wts_progress progress;
@@ -357,13 +357,14 @@
 }
 
 static void
-take_load(struct side_target *t, struct side_peer *peer, const char *order_id,
+handle_load(struct side_target *t, struct side_peer *peer, const char *order_id,
     const struct rt_order *order)
 {
 	struct err err = { 0 };
 
 	if (digest_equal(&t->loaded, &order->root)) {
-		answer(peer, order_id, &t->loaded, NULL); /* idempotent */
+		send_order_done(
+		    peer, order_id, &t->loaded, NULL); /* idempotent */
 		return;
 	}
 	if (t->loading != NULL &&
@@ -372,22 +373,22 @@
 		 * outcome of the one under way, the first asker does not. */
 		err_set(&err, ERR_CANCELLED, VERDICT_MAY_HAVE_RUN,
 		    "asked for again by another");
-		answer(
+		send_order_done(
 		    t->loading->peer, t->loading->order_id, &t->loaded, &err);
 		t->loading->peer = peer;
 		g_free(t->loading->order_id);
 		t->loading->order_id = g_strdup(order_id);
 		return;
 	}
-	if (!may_load(t, order, &err)) {
-		answer(peer, order_id, &t->loaded, &err);
+	if (!check_load(t, order, &err)) {
+		send_order_done(peer, order_id, &t->loaded, &err);
 		return;
 	}
 	start_load(t, peer, order);
 }
 
 static void
-take_order(struct side_peer *peer, const char *role, const char *order_id,
+handle_order(struct side_peer *peer, const char *role, const char *order_id,
     const struct rt_order *order)
 {
 	struct side *side = peer->side;
@@ -396,27 +397,27 @@
 
 	if (t == NULL) {
 		err_set(&err, ERR_NOT_FOUND, VERDICT_NOT_RUN, "no such target");
-		answer(peer, order_id, NULL, &err);
+		send_order_done(peer, order_id, NULL, &err);
 		return;
 	}
 	/* A lead that was paused past its lease may still send; its number
 	 * is lower than that of the next one and is refused here, also for
 	 * engines that would not look at it. */
-	if (!agr_fencing_check(side->gate, role, order->fence, &err)) {
+	if (!agr_fencing_check(side->fencing, role, order->fence, &err)) {
 		ctr_add(ctr_get(side->proc.counters, "gate_refused"), 1);
 		tl_add(side->proc.timeline, "order_refused", t->info.name, "%s",
 		    err.message);
-		answer(peer, order_id, &t->loaded, &err);
+		send_order_done(peer, order_id, &t->loaded, &err);
 		return;
 	}
 	ctr_add(ctr_get(side->proc.counters, "gate_passed"), 1);
 	if (order->kind == RT_ORDER_LOAD) {
-		take_load(t, peer, order_id, order);
+		handle_load(t, peer, order_id, order);
 		return;
 	}
-	t->ordered_off = order->kind == RT_ORDER_DRAIN;
+	t->drain_ordered = order->kind == RT_ORDER_DRAIN;
 	targets_announce(side);
-	answer(peer, order_id, &t->loaded, NULL);
+	send_order_done(peer, order_id, &t->loaded, NULL);
 }
 
 void
@@ -433,13 +434,13 @@
 	}
 	role = slice_dup(order.role);
 	order_id = slice_dup(order.order_id);
-	take_order(peer, role, order_id, &order);
+	handle_order(peer, role, order_id, &order);
 	g_free(role);
 	g_free(order_id);
 }
 
 void
-targets_peer_gone(struct side_peer *peer)
+targets_peer_closed(struct side_peer *peer)
 {
 	struct side_target *t;
 
