--- a/programs/side/door.c
+++ b/programs/side/door.c
@@ -1,4 +1,4 @@
-/* The door: requests from entries to the targets of this host. */
+/* Request proxy: forwards requests from gateways to this host's targets. */
 
 #include <string.h>
 
@@ -6,21 +6,21 @@
 
 #define HEADER_PAIRS_MAX 32
 
-/* One request at a target, from its arrival to its end. */
+/* One request at a target, from its arrival until it ends. */
 struct proxy_stream {
-	struct side_peer *peer; /* NULL once the entry is gone */
+	struct side_peer *peer; /* NULL once the gateway disconnected */
 	int64_t number; /* key in peer->streams */
 	struct side_target *target;
 	struct target_call *call;
 	char *request_id;
 	bool idempotent;
-	bool refused; /* the target said that it did not run it */
+	bool refused; /* the target reports that it did not run it */
 	unsigned int refused_status;
-	int64_t credit; /* bytes that the entry will still take */
+	int64_t credit; /* bytes that the gateway still accepts */
 };
 
 /* ------------------------------------------------------------------ */
-/* Ending a stream                                                     */
+/* End of a stream                                                     */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -52,7 +52,7 @@
 	g_free(s);
 }
 
-/* What the target's own refusal means for the entry. */
+/* Translates a refusal by the target into the error for the gateway. */
 static void
 set_refusal_err(const struct proxy_stream *s, struct err *out)
 {
@@ -66,7 +66,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* From the target                                                     */
+/* Responses of targets                                                */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -107,8 +107,9 @@
 		return;
 	wts_live_bytes(s->target->side->wts, len);
 	s->credit -= (int64_t)len;
-	/* A slow caller holds back its own stream only: the target is not
-	 * read from until the caller took what it has. */
+	/* Without credit, nothing more of this response is read from the
+	 * target until the caller has consumed what was sent: a slow caller
+	 * delays its own stream only. */
 	if (s->credit <= 0)
 		target_call_pause(s->call, true);
 	while (len > 0) {
@@ -127,7 +128,7 @@
 	struct err out = *err;
 
 	s->call = NULL;
-	s->target->running--; /* first: the load told is without it */
+	s->target->running--; /* before send_end, which reports it */
 	if (s->refused)
 		set_refusal_err(s, &out);
 	ctr_add(ctr_get(s->target->side->proc.counters,
@@ -145,11 +146,11 @@
 };
 
 /* ------------------------------------------------------------------ */
-/* From the entry                                                      */
+/* Messages from gateways                                              */
 /* ------------------------------------------------------------------ */
 
-/* Everything that speaks against running it, before the target hears of it:
- * so each of these refusals is truly NOT_RUN. */
+/* Makes every check before anything is sent to the target, so that NOT_RUN is
+ * true for each of these refusals. */
 static bool
 check_request(struct side_peer *peer, const struct rt_request *request,
     const struct side_target *target, struct err *err)
@@ -166,23 +167,23 @@
 	}
 	if (!targets_accepting(target)) {
 		return err_set(err, ERR_LEAVING, VERDICT_NOT_RUN,
-		    "target %s takes no new work", target->info.name);
+		    "target %s accepts no new requests", target->info.name);
 	}
 	if (target->info.kind == RT_ENGINE &&
 	    (digest_is_none(&target->loaded) ||
 		(!digest_is_none(&request->expect) &&
 		    !digest_equal(&request->expect, &target->loaded)))) {
 		return err_set(err, ERR_WRONG_VERSION, VERDICT_NOT_RUN,
-		    "the version asked for is not loaded");
+		    "the requested version is not loaded");
 	}
 	if (request->deadline_ms == 0) {
-		return err_set(
-		    err, ERR_DEADLINE, VERDICT_NOT_RUN, "no time left");
+		return err_set(err, ERR_DEADLINE, VERDICT_NOT_RUN,
+		    "the deadline has passed");
 	}
 	return true;
 }
 
-/* The entry's header lines and ours as the pairs that a call takes. */
+/* Splits the header lines of a request into name and value pairs. */
 static void
 split_headers(char *text, const char **pairs, size_t *n)
 {
@@ -215,8 +216,9 @@
 		.deadline_ms =
 		    (unsigned int)MIN(request->deadline_ms, UINT32_MAX),
 		.stall_ms = (unsigned int)MIN(request->stall_ms, UINT32_MAX),
-		/* A kept connection that the target is just closing would
-		 * make it MAY_HAVE_RUN, and nobody may try it again. */
+		/* If the target closes a reused connection just as the
+		 * request is sent, the verdict is MAY_HAVE_RUN, and a request
+		 * that is not idempotent must not be retried. */
 		.own_connection = !s->idempotent,
 	};
 	size_t n = 0;
@@ -249,8 +251,8 @@
 	g_free(method);
 }
 
-/* Streams that wait for what it said would stand still; closed, they end with
- * a visible error. */
+/* Closes the connection: streams that depend on the unreadable message would
+ * stall, whereas a closed connection ends them with a visible error. */
 static void
 reject_bad_message(struct side_peer *peer)
 {
@@ -288,7 +290,7 @@
 	start_call(s, &request);
 }
 
-/* Stops the work at the target and forgets the stream; nothing is sent. */
+/* Cancels the request at the target and frees the stream; sends no RT_END. */
 static void
 cancel_stream(struct proxy_stream *s)
 {
@@ -349,8 +351,9 @@
 			cancel_stream(s);
 			continue;
 		}
-		/* Half a booking is worse than one whose answer nobody
-		 * hears: what may not be repeated runs to its end. */
+		/* A request that must not be repeated runs to its end: half
+		 * a booking is worse than a complete one whose response
+		 * nobody receives. */
 		g_hash_table_remove(peer->streams, &s->number);
 		s->peer = NULL;
 		target_call_pause(s->call, false);
