--- a/programs/side/loopback.c
+++ b/programs/side/loopback.c
@@ -1,6 +1,6 @@
 /*
- * HTTP on loopback for the engine beside: the chunk list and the bytes of a
- * whole version, passed on chunk by chunk. Also /healthz and /metrics.
+ * HTTP server on loopback for engines on this host: the chunk list and the
+ * bytes of a complete version, sent chunk by chunk. Also /healthz and /metrics.
  */
 
 #include <string.h>
@@ -10,7 +10,7 @@
 
 #define VERSIONS_PREFIX "/v1/versions/"
 
-/* One reading of a version's bytes by the engine. */
+/* A response with the bytes of a version. */
 struct body_reader {
 	struct side *side;
 	struct digest root;
@@ -80,7 +80,7 @@
 		list = wts_list(side->wts, &root);
 	if (list == NULL) {
 		http_answer_text(message, SOUP_STATUS_NOT_FOUND, "text/plain",
-		    "not whole here\n");
+		    "version is not complete on this host\n");
 	} else if (strcmp(part[1], "chunks") == 0) {
 		soup_server_message_set_status(message, SOUP_STATUS_OK, NULL);
 		soup_message_body_append_bytes(
@@ -89,7 +89,7 @@
 		send_bytes(side, message, &root);
 	} else {
 		http_answer_text(message, SOUP_STATUS_NOT_FOUND, "text/plain",
-		    "no such thing\n");
+		    "no such resource\n");
 	}
 	g_strfreev(part);
 }
@@ -142,7 +142,8 @@
 	    side->loopback, "/healthz", on_health, side, NULL);
 	soup_server_add_handler(
 	    side->loopback, "/metrics", on_metrics, side, NULL);
-	/* Loopback only: whoever could read it could read the weights. */
+	/* Loopback only: the server hands out the weights without
+	 * authentication. */
 	if (!soup_server_listen_local(side->loopback, side->loopback_port,
 		SOUP_SERVER_LISTEN_IPV4_ONLY, &error)) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
