--- a/programs/side/main.c
+++ b/programs/side/main.c
@@ -1,4 +1,4 @@
-/* currantchute-side: set-up, connections from other processes, stop. */
+/* currantchute-side: start, connections from other processes, stop. */
 
 #include <popt.h>
 #include <stdio.h>
@@ -8,9 +8,9 @@
 #include "side/keeper.h"
 #include "side/side.h"
 
-#define POLL_MS 1000 /* how soon an engine that lost its model is noticed */
+#define POLL_MS 1000 /* delay until the loss of an engine's model is detected */
 #define STOP_CHECK_MS 50
-#define STOP_TIMEOUT_MS 60000 /* a stream that never ends does not hold us */
+#define STOP_TIMEOUT_MS 60000 /* an endless stream must not prevent the stop */
 
 /* ------------------------------------------------------------------ */
 /* Connections                                                         */
@@ -237,8 +237,9 @@
 }
 
 /*
- * A planned stop: no new work from now on, entries hear it at once by their
- * connections and by membership, running requests finish.
+ * Graceful stop: the process accepts no new requests and reports this at once
+ * to gateways, over their connections and through membership; running requests
+ * finish.
  */
 static void
 on_stop(void *ctx)
@@ -292,8 +293,8 @@
 	return EXIT_OK;
 }
 
-/* `keeper` serves beside an engine that gateways call directly; without that
- * word the process is the only door to its targets. */
+/* With the subcommand `keeper` the process runs next to an engine that gateways
+ * call directly; without it, all requests to its targets pass through it. */
 int
 main(int argc, char **argv)
 {
