--- a/programs/side/place.c
+++ b/programs/side/place.c
@@ -1,14 +1,14 @@
 /*
- * Which versions the settings want on this host, and with whom they are
- * shared. Every side computes this from the settings in force and the
- * members; nobody has to tell it.
+ * Which versions the settings place on this host, and which other hosts
+ * transfer them too. Each sidecar computes this by itself from the active
+ * settings and the members.
  */
 
 #include <string.h>
 
 #include "side/side.h"
 
-/* Changes of members come in bursts; one pass serves them all. */
+/* Changes of members come in bursts; one pass handles a whole burst. */
 #define PLACE_DELAY_MS 50
 
 /* ------------------------------------------------------------------ */
@@ -32,7 +32,7 @@
 		    node->domain, node->info);
 }
 
-/* Hands the other hosts of the rollout to the transfer. */
+/* Sets the other hosts of the rollout as peers of the transfer. */
 static void
 set_transfer_peers(struct side *side, const struct digest *root, GArray *hosts)
 {
@@ -97,7 +97,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What may go                                                         */
+/* Unwanted versions                                                   */
 /* ------------------------------------------------------------------ */
 
 static bool
@@ -112,9 +112,9 @@
 	return false;
 }
 
-/* A version neither wanted nor loaded goes; one that an engine still serves
- * stays, since the next version may share its chunks and a load that fails
- * falls back to it. */
+/* Drops each version that is neither wanted nor loaded. One that an engine
+ * still serves is retained, since the next version may share its chunks and a
+ * failed load falls back to it. */
 static void
 drop_unwanted(struct placement_pass *pass)
 {
