--- a/programs/side/targets.c
+++ b/programs/side/targets.c
@@ -1,4 +1,4 @@
-/* The targets of this host: what is loaded, orders, what entries are told. */
+/* The targets of this host: loaded versions, orders, reports to gateways. */
 
 #include <string.h>
 
@@ -6,12 +6,12 @@
 
 #define POLL_DEADLINE_MS 5000
 #define LOAD_DEADLINE_MS 600000 /* an engine may read hundreds of GB */
-#define SLOTS_UNKNOWN 16 /* until the target said how many it has */
+#define SLOTS_UNKNOWN 16 /* until the target reports its number */
 
-/* An order at the engine, answered to whoever asked last. */
+/* A load order at the engine; the last one to request it gets the reply. */
 struct side_order {
 	struct side_target *target;
-	struct side_peer *peer; /* NULL once the asker is gone */
+	struct side_peer *peer; /* NULL once the requester disconnected */
 	char *order_id;
 	struct digest root;
 };
@@ -92,7 +92,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What entries are told                                               */
+/* Reports to gateways                                                 */
 /* ------------------------------------------------------------------ */
 
 static unsigned int
@@ -141,7 +141,7 @@
 void
 targets_request_ended(struct side_target *target)
 {
-	/* The lead waits for this before it loads another version. */
+	/* The leader waits for this before it loads another version. */
 	if (target->drain_ordered && target->running == 0)
 		notify_watchers(target);
 }
@@ -176,7 +176,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What is loaded                                                      */
+/* Loaded versions                                                     */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -203,7 +203,7 @@
 
 	t->polling = false;
 	if (t->loading != NULL)
-		return; /* the order's own answer says what is loaded */
+		return; /* the response to the load decides */
 	if (err == NULL)
 		set_loaded(t, loaded);
 	else if (err->code == ERR_UNAVAILABLE)
@@ -281,8 +281,8 @@
 		finish_order(order, err);
 		return;
 	}
-	/* Whatever the engine loaded, it is what requests are checked
-	 * against from now on. */
+	/* Even if it is not the ordered one: requests are checked against the
+	 * version that the engine has loaded. */
 	set_loaded(order->target, loaded);
 	if (!digest_equal(loaded, &order->root)) {
 		err_set(&wrong, ERR_CORRUPT, VERDICT_RAN,
@@ -346,12 +346,12 @@
 	}
 	if (t->loading != NULL) {
 		return err_set(err, ERR_OVERLOADED, VERDICT_NOT_RUN,
-		    "another load is under way");
+		    "another load is in progress");
 	}
 	wts_progress(t->side->wts, &order->root, &progress);
 	if (progress.phase != WTS_COMPLETE) {
 		return err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
-		    "the version is not whole here");
+		    "the version is not complete on this host");
 	}
 	return true;
 }
@@ -369,10 +369,11 @@
 	}
 	if (t->loading != NULL &&
 	    digest_equal(&t->loading->root, &order->root)) {
-		/* The same load again, e.g. from the next lead: it hears the
-		 * outcome of the one under way, the first asker does not. */
+		/* The same load is ordered again, e.g. by the next leader: it
+		 * gets the result of the load in progress instead of the
+		 * first requester. */
 		err_set(&err, ERR_CANCELLED, VERDICT_MAY_HAVE_RUN,
-		    "asked for again by another");
+		    "superseded by a later order of the same load");
 		send_order_done(
 		    t->loading->peer, t->loading->order_id, &t->loaded, &err);
 		t->loading->peer = peer;
@@ -400,9 +401,9 @@
 		send_order_done(peer, order_id, NULL, &err);
 		return;
 	}
-	/* A lead that was paused past its lease may still send; its number
-	 * is lower than that of the next one and is refused here, also for
-	 * engines that would not look at it. */
+	/* A leader that was paused past its lease may still send orders; its
+	 * fencing number is lower than that of its successor and is rejected
+	 * here, also for engines that do not check it. */
 	if (!agr_fencing_check(side->fencing, role, order->fence, &err)) {
 		ctr_add(ctr_get(side->proc.counters, "gate_refused"), 1);
 		tl_add(side->proc.timeline, "order_refused", t->info.name, "%s",
