--- a/lib/chart/chart.c
+++ b/lib/chart/chart.c
@@ -71,7 +71,7 @@
 }
 
 static const struct transition *
-first_open(const struct cell *cell, void *ctx, const void *event_data)
+first_enabled(const struct cell *cell, void *ctx, const void *event_data)
 {
 	const struct transition *t;
 	size_t i;
@@ -91,7 +91,7 @@
 	const struct transition *t;
 	size_t i;
 
-	t = first_open(chart_cell(chart, state, event), ctx, event_data);
+	t = first_enabled(chart_cell(chart, state, event), ctx, event_data);
 	if (t == NULL)
 		return state;
 	for (i = 0; i < t->nactions; i++)
@@ -100,7 +100,8 @@
 }
 
 static void
-mark_targets(const struct chart *chart, int state, bool *reached, GArray *left)
+mark_successors(
+    const struct chart *chart, int state, bool *reached, GArray *pending)
 {
 	const struct cell *cell;
 	guint event;
@@ -112,7 +113,7 @@
 		for (i = 0; i < cell->ntransitions; i++) {
 			to = cell->transitions[i].to;
 			if (!reached[to])
-				g_array_append_val(left, to);
+				g_array_append_val(pending, to);
 			reached[to] = true;
 		}
 	}
@@ -122,17 +123,17 @@
 chart_reachable(const struct chart *chart)
 {
 	bool *reached = g_new0(bool, chart->states->len);
-	GArray *left = g_array_new(FALSE, FALSE, sizeof(int));
+	GArray *pending = g_array_new(FALSE, FALSE, sizeof(int));
 	int state;
 
 	reached[chart->start] = true;
-	g_array_append_val(left, chart->start);
-	while (left->len > 0) {
-		state = g_array_index(left, int, left->len - 1);
-		g_array_set_size(left, left->len - 1);
-		mark_targets(chart, state, reached, left);
+	g_array_append_val(pending, chart->start);
+	while (pending->len > 0) {
+		state = g_array_index(pending, int, pending->len - 1);
+		g_array_set_size(pending, pending->len - 1);
+		mark_successors(chart, state, reached, pending);
 	}
-	g_array_unref(left);
+	g_array_unref(pending);
 	return reached;
 }
 
--- a/lib/chart/chart_read.c
+++ b/lib/chart/chart_read.c
@@ -72,7 +72,7 @@
 
 /* The name at a path, refused when `names` does not hold it. */
 static int
-read_known(const struct reader *r, const GPtrArray *names, const char *kind,
+lookup_name(const struct reader *r, const GPtrArray *names, const char *kind,
     const char *name, const char *path)
 {
 	GString *allowed;
@@ -125,7 +125,7 @@
 		return true;
 	names = guard_names(r->chart->binding);
 	key = g_strdup_printf("%s.if", path);
-	index = read_known(r, names, "guard", cfg_str(r->cfg, "%s", key), key);
+	index = lookup_name(r, names, "guard", cfg_str(r->cfg, "%s", key), key);
 	if (index >= 0)
 		t->guard = &r->chart->binding->guards[index];
 	g_free(key);
@@ -140,7 +140,8 @@
 	char *key = g_strdup_printf("%s.do.%zu", path, i);
 	int index;
 
-	index = read_known(r, names, "action", cfg_str(r->cfg, "%s", key), key);
+	index =
+	    lookup_name(r, names, "action", cfg_str(r->cfg, "%s", key), key);
 	if (index >= 0)
 		*action = &r->chart->binding->actions[index];
 	g_free(key);
@@ -167,7 +168,7 @@
 {
 	char *key = g_strdup_printf("%s.to", path);
 
-	t->to = read_known(
+	t->to = lookup_name(
 	    r, r->chart->states, "state", cfg_str(r->cfg, "%s", key), key);
 	g_free(key);
 	return t->to >= 0 && read_guard(r, t, path) && read_actions(r, t, path);
@@ -225,7 +226,7 @@
 		event_name = cfg_key(r->cfg, i, "states.%s.on", name);
 		path = g_strdup_printf("states.%s.on.%s", name, event_name);
 		event =
-		    read_known(r, r->chart->events, "event", event_name, path);
+		    lookup_name(r, r->chart->events, "event", event_name, path);
 		ok = event >= 0 &&
 		    read_cell(r, chart_cell(r->chart, state, event), path);
 		g_free(path);
@@ -240,7 +241,7 @@
 	struct cell *cell;
 	int event;
 
-	event = read_known(r, r->chart->events, "event", name, path);
+	event = lookup_name(r, r->chart->events, "event", name, path);
 	if (event < 0)
 		return false;
 	cell = chart_cell(r->chart, state, event);
@@ -310,7 +311,7 @@
 }
 
 static bool
-check_way_out(const struct reader *r, int state)
+check_exit(const struct reader *r, int state)
 {
 	const struct cell *cell;
 	guint event;
@@ -348,7 +349,7 @@
 		r->cfg, "states.%s.final", chart_state_name(r->chart, state)))
 		return read_final(r, state);
 	return read_on(r, state) && read_ignore(r, state) &&
-	    check_complete(r, state) && check_way_out(r, state);
+	    check_complete(r, state) && check_exit(r, state);
 }
 
 static bool
@@ -419,7 +420,7 @@
 	if (!read_events(r))
 		return false;
 	read_state_names(r);
-	r->chart->start = read_known(
+	r->chart->start = lookup_name(
 	    r, r->chart->states, "state", cfg_str(r->cfg, "start"), "start");
 	if (r->chart->start < 0)
 		return false;
@@ -431,7 +432,7 @@
 }
 
 static struct chart *
-chart_from(
+chart_read(
     const struct cfg *cfg, const struct chart_binding *binding, struct err *err)
 {
 	struct chart *chart = g_new0(struct chart, 1);
@@ -455,7 +456,7 @@
 
 	if (cfg == NULL)
 		return NULL;
-	chart = chart_from(cfg, binding, err);
+	chart = chart_read(cfg, binding, err);
 	cfg_free(cfg);
 	return chart;
 }
@@ -471,7 +472,7 @@
 	if (cfg != NULL && strcmp(cfg_str(cfg, "chart"), name) != 0)
 		cfg_refuse(cfg, "chart", name, err, "not the name of the file");
 	else if (cfg != NULL)
-		chart = chart_from(cfg, binding, err);
+		chart = chart_read(cfg, binding, err);
 	cfg_free(cfg);
 	g_free(path);
 	return chart;
