--- a/programs/shared/station.c
+++ b/programs/shared/station.c
@@ -8,11 +8,12 @@
 #include "shared/station.h"
 
 /* The settings file may change without a signal; it is looked at so often. */
-#define FILE_WATCH_US 1000000
-#define CONNECT_US 700000 /* a host without power does not answer at all */
-#define KEEP_IDLE_US 8000000
-#define KEEP_PER_TARGET 32
-#define ANSWER_HEAD_MAX (64u << 10)
+#define FILE_POLL_US 1000000
+#define CONNECT_TIMEOUT_US \
+	700000 /* a host without power does not answer at all */
+#define KEEPALIVE_IDLE_US 8000000
+#define KEEPALIVE_PER_TARGET 32
+#define RESPONSE_HEAD_MAX (64u << 10)
 #define METRICS_CONNECTIONS 16
 
 static void
@@ -86,13 +87,13 @@
 }
 
 static void
-on_watch(struct evl_timer *timer)
+on_file_poll(struct evl_timer *timer)
 {
 	struct station *s = CONTAINER_OF(timer, struct station, watch);
 
 	if (file_mtime_ns(s->path) != s->file_mtime_ns)
 		reload(s, "file_changed");
-	evl_timer_set(s->loop, timer, evl_now_us(s->loop) + FILE_WATCH_US);
+	evl_timer_set(s->loop, timer, evl_now_us(s->loop) + FILE_POLL_US);
 }
 
 /* ------------------------------------------------------------------ */
@@ -117,7 +118,7 @@
 }
 
 static void
-on_nothing(struct hreq *r, void *ctx)
+on_ignored(struct hreq *r, void *ctx)
 {
 }
 
@@ -130,8 +131,8 @@
 
 static const struct hserver_ops metrics_ops = {
 	.request = on_metrics,
-	.left = on_nothing,
-	.drained = on_nothing,
+	.left = on_ignored,
+	.drained = on_ignored,
 	.refused = on_refused,
 };
 
@@ -181,10 +182,10 @@
 	s->main = g_main_loop_new(NULL, FALSE);
 	s->loop = evl_new(clk_system());
 	s->pool = hpool_new(&(struct hpool_conf){ .loop = s->loop,
-	    .idle_max = KEEP_PER_TARGET,
-	    .connect_us = CONNECT_US,
-	    .idle_us = KEEP_IDLE_US,
-	    .head_bytes = ANSWER_HEAD_MAX });
+	    .idle_max = KEEPALIVE_PER_TARGET,
+	    .connect_us = CONNECT_TIMEOUT_US,
+	    .idle_us = KEEPALIVE_IDLE_US,
+	    .head_bytes = RESPONSE_HEAD_MAX });
 	s->node = (struct conn_node){
 		.id = cfg_str(s->cfg, "listen.peers"),
 		.key = s->key,
@@ -193,8 +194,8 @@
 		.counters = s->counters,
 	};
 	s->node.id = g_strdup(s->node.id);
-	s->watch.fire = on_watch;
-	evl_timer_set(s->loop, &s->watch, evl_now_us(s->loop) + FILE_WATCH_US);
+	s->watch.fire = on_file_poll;
+	evl_timer_set(s->loop, &s->watch, evl_now_us(s->loop) + FILE_POLL_US);
 	g_unix_signal_add(SIGTERM, on_term, s);
 	g_unix_signal_add(SIGINT, on_term, s);
 	g_unix_signal_add(SIGHUP, on_hup, s);
