--- a/tests/chart/test_chart.c
+++ b/tests/chart/test_chart.c
@@ -9,7 +9,7 @@
 
 #include "chart/chart.h"
 
-struct trail { /* what the callbacks saw */
+struct call_log { /* what the callbacks saw */
 	GString *ran;
 	bool open;
 	const void *data;
@@ -18,27 +18,27 @@
 static bool
 is_open(void *ctx, const void *event_data)
 {
-	struct trail *trail = ctx;
+	struct call_log *log = ctx;
 
-	trail->data = event_data;
-	return trail->open;
+	log->data = event_data;
+	return log->open;
 }
 
 static void
 run_first(void *ctx, const void *event_data)
 {
-	struct trail *trail = ctx;
+	struct call_log *log = ctx;
 
-	g_string_append(trail->ran, "first ");
+	g_string_append(log->ran, "first ");
 }
 
 static void
 run_second(void *ctx, const void *event_data)
 {
-	struct trail *trail = ctx;
+	struct call_log *log = ctx;
 
-	trail->data = event_data;
-	g_string_append(trail->ran, "second ");
+	log->data = event_data;
+	g_string_append(log->ran, "second ");
 }
 
 static const struct chart_guard guards[] = {
@@ -55,7 +55,7 @@
 	.actions = actions,
 };
 
-static const char whole[] =
+static const char valid_chart[] =
     "chart: door\n"
     "start: shut\n"
     "events: [push, lock, ring]\n"
@@ -156,7 +156,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(refusals); i++) {
 		memset(&err, 0, sizeof(err));
-		text = replace(whole, refusals[i].old, refusals[i].new);
+		text = replace(valid_chart, refusals[i].old, refusals[i].new);
 		assert_null(
 		    chart_parse("f", text, strlen(text), &binding, &err));
 		assert_string_equal(err.message, refusals[i].message);
@@ -172,18 +172,19 @@
 	const struct chart_binding none = { 0 };
 	struct err err = { 0 };
 
-	assert_null(chart_parse("f", whole, strlen(whole), &none, &err));
+	assert_null(
+	    chart_parse("f", valid_chart, strlen(valid_chart), &none, &err));
 	assert_string_equal(err.message,
 	    "f:7: key 'states.shut.on.push.0.if': unknown guard 'open'; "
 	    "allowed: ");
 }
 
 static struct chart *
-parse_whole(void)
+parse_valid_chart(void)
 {
 	struct err err = { 0 };
 	struct chart *chart =
-	    chart_parse("f", whole, strlen(whole), &binding, &err);
+	    chart_parse("f", valid_chart, strlen(valid_chart), &binding, &err);
 
 	assert_string_equal(err.message, "");
 	return chart;
@@ -192,7 +193,7 @@
 static void
 test_names(void **state)
 {
-	struct chart *chart = parse_whole();
+	struct chart *chart = parse_valid_chart();
 
 	assert_int_equal(chart_start(chart), chart_state(chart, "shut"));
 	assert_string_equal(chart_state_name(chart, 1), "ajar");
@@ -210,23 +211,23 @@
 assert_step(const struct chart *chart, const char *from, const char *event,
     bool open, const char *to, const char *ran)
 {
-	struct trail trail = { .ran = g_string_new(NULL), .open = open };
+	struct call_log log = { .ran = g_string_new(NULL), .open = open };
 	int data = 0;
 	int state;
 
 	state = chart_step(chart, chart_state(chart, from),
-	    chart_event(chart, event), &trail, &data);
+	    chart_event(chart, event), &log, &data);
 	assert_string_equal(chart_state_name(chart, state), to);
-	assert_string_equal(trail.ran->str, ran);
+	assert_string_equal(log.ran->str, ran);
 	if (ran[0] != '\0')
-		assert_ptr_equal(trail.data, &data);
-	g_string_free(trail.ran, TRUE);
+		assert_ptr_equal(log.data, &data);
+	g_string_free(log.ran, TRUE);
 }
 
 static void
 test_steps(void **state)
 {
-	struct chart *chart = parse_whole();
+	struct chart *chart = parse_valid_chart();
 
 	assert_step(chart, "shut", "push", true, "ajar", "first second ");
 	assert_step(chart, "shut", "push", false, "shut", "second ");
@@ -246,8 +247,8 @@
 	struct err err = { 0 };
 	struct chart *chart;
 
-	assert_true(g_file_set_contents(good, whole, -1, NULL));
-	assert_true(g_file_set_contents(other, whole, -1, NULL));
+	assert_true(g_file_set_contents(good, valid_chart, -1, NULL));
+	assert_true(g_file_set_contents(other, valid_chart, -1, NULL));
 	chart = chart_load(dir, "door", &binding, &err);
 	assert_non_null(chart);
 	assert_null(chart_load(dir, "gate", &binding, &err));
