--- a/lib/chart/chart.c
+++ b/lib/chart/chart.c
@@ -1,4 +1,4 @@
-/* Charts: names and steps. */
+/* Charts: lookup of names, steps and reachability. */
 
 #include <string.h>
 
--- a/lib/chart/chart.h
+++ b/lib/chart/chart.h
@@ -2,7 +2,7 @@
 #define CHART_H
 
 /*
- * chart: an interpreter of state charts kept in charts/NAME.yaml.
+ * chart: an interpreter of state charts, which are read from charts/NAME.yaml.
  *
  *   chart: attempt
  *   start: queued
@@ -16,18 +16,18 @@
  *       ignore: [late_answer]
  *     ended: {final: true}
  *
- * An event's transitions are always a list; the first whose guard holds is
- * taken. The last one has no guard, so that a list never falls through
- * unseen: to stay is said as a transition to the state itself. A final state
- * has neither `on` nor `ignore` and ignores every event.
+ * The transitions of an event are always a list; the first whose guard holds is
+ * taken. The last one has no guard, so that no event falls through all guards
+ * unnoticed: staying in a state takes a transition to the state itself. A final
+ * state has neither `on` nor `ignore` and ignores every event.
  *
- * A chart is checked when read: unknown state, event, guard or action, a
- * state that cannot be reached, a state that is neither final nor able to
- * leave, a state that says nothing about an event (neither `on` nor `ignore`)
- * or both, a guarded last transition and one behind an unguarded one are
- * refused with file and line. Guards and actions are given by name through
- * tables of callbacks with a context pointer; the code holds no transition of
- * its own.
+ * A chart is checked when read. Refused with file and line are: an unknown
+ * state, event, guard or action; an unreachable state; a state that is not
+ * final and has no transition to another state; a state that lists an event
+ * neither in `on` nor in `ignore`, or in both; a last transition with a guard;
+ * a transition after one without a guard. Guards and actions are bound by name
+ * through tables of callbacks with a context pointer; all transitions are in
+ * the chart, none in the code.
  */
 
 #include "common/common.h"
@@ -59,7 +59,7 @@
     const struct chart_binding *binding, struct err *err);
 void chart_free(struct chart *chart);
 
-/* Numbers for names, looked up once; -1 when unknown. */
+/* The number of a name, to be looked up once; -1 when unknown. */
 int chart_event(const struct chart *chart, const char *name);
 int chart_state(const struct chart *chart, const char *name);
 /* NULL past the last one. */
@@ -69,10 +69,10 @@
 bool chart_is_final(const struct chart *chart, int state);
 
 /*
- * Takes one event: the first transition whose guard holds gives the new state;
- * its actions run in order, while the old state is the current one, and must
- * not step the same chart's instance themselves. An ignored event leaves the
- * state as it is. Returns the new state.
+ * Handles one event and returns the new state, which is that of the first
+ * transition whose guard holds. Its actions run in order, while the old state
+ * is still the current one, and must not step the same instance of the chart.
+ * An ignored event does not change the state.
  */
 int chart_step(const struct chart *chart, int state, int event, void *ctx,
     const void *event_data);
--- a/lib/chart/chart_internal.h
+++ b/lib/chart/chart_internal.h
@@ -1,7 +1,7 @@
 #ifndef CHART_INTERNAL_H
 #define CHART_INTERNAL_H
 
-/* A chart as the interpreter walks it, shared by the chart files only. */
+/* A chart in memory; private to lib/chart. */
 
 #include "chart/chart.h"
 
@@ -12,7 +12,7 @@
 	size_t nactions;
 };
 
-/* What one state says about one event. */
+/* How one state handles one event. */
 struct cell {
 	bool ignored;
 	struct transition *transitions;
@@ -29,7 +29,7 @@
 };
 
 struct cell *chart_cell(const struct chart *chart, int state, int event);
-/* Whether the chart can ever be in each state; g_free. */
+/* For each state, whether the start leads to it; free with g_free. */
 bool *chart_reachable(const struct chart *chart);
 
 #endif
--- a/lib/chart/chart_read.c
+++ b/lib/chart/chart_read.c
@@ -1,4 +1,4 @@
-/* Charts: reads a chart from YAML and refuses one that has a gap. */
+/* Charts: reads a chart from YAML and refuses an incomplete one. */
 
 #include <stdarg.h>
 #include <string.h>
@@ -14,17 +14,17 @@
 	{ .path = "chart",
 	    .type = CFG_STRING,
 	    .required = true,
-	    .about = "Name of the chart, which is the file's." },
+	    .about = "Name of the chart; same as that of the file." },
 	{ .path = "start",
 	    .type = CFG_STRING,
 	    .required = true,
-	    .about = "State at the beginning." },
+	    .about = "Initial state." },
 	{ .path = "events",
 	    .type = CFG_LIST,
 	    .required = true,
 	    .min = 1,
 	    .max = EVENTS_MAX,
-	    .about = "Every event the chart knows." },
+	    .about = "All events of the chart." },
 	{ .path = "events.[]",
 	    .type = CFG_STRING,
 	    .min = 1,
@@ -43,11 +43,12 @@
 	    .type = CFG_LIST,
 	    .min = 1,
 	    .max = TRANSITIONS_MAX,
-	    .about = "Transitions of one event, the first open one is taken." },
+	    .about =
+		"Transitions of one event; the first whose guard holds is taken." },
 	{ .path = "states.*.on.*.[]", .type = CFG_MAP },
 	{ .path = "states.*.on.*.[].if",
 	    .type = CFG_STRING,
-	    .about = "Guard; none: always open." },
+	    .about = "Guard; without one the transition is always taken." },
 	{ .path = "states.*.on.*.[].to", .type = CFG_STRING, .required = true },
 	{ .path = "states.*.on.*.[].do",
 	    .type = CFG_LIST,
@@ -70,7 +71,7 @@
 	struct err *err;
 };
 
-/* The name at a path, refused when `names` does not hold it. */
+/* Returns the index of a name; refuses one that is not in `names`. */
 static int
 lookup_name(const struct reader *r, const GPtrArray *names, const char *kind,
     const char *name, const char *path)
@@ -174,8 +175,8 @@
 	return t->to >= 0 && read_guard(r, t, path) && read_actions(r, t, path);
 }
 
-/* Without this an event could fall through all guards: the state would not
- * change and no action run, which looks like a lost event. */
+/* Without this check an event could fall through all guards: the state would
+ * not change and no action would run, which looks like a lost event. */
 static bool
 check_guards(const struct reader *r, const struct cell *cell, const char *path)
 {
@@ -291,8 +292,8 @@
 	return false;
 }
 
-/* An event that nobody thought of in some state is the usual fault of a state
- * machine; the chart has to say what happens with each. */
+/* An event that was overlooked in some state is the usual fault of a state
+ * machine; each state therefore has to list every event. */
 static bool
 check_complete(const struct reader *r, int state)
 {
