--- a/programs/shared/http.c
+++ b/programs/shared/http.c
@@ -1,4 +1,4 @@
-/* What libsoup's server leaves open. */
+/* Workarounds for libsoup's HTTP server, and simple responses. */
 
 #include <string.h>
 #include <errno.h>
@@ -15,7 +15,7 @@
 
 	if (n == 0 || (n < 0 && errno != EAGAIN))
 		g_socket_close(socket, NULL);
-	return G_SOURCE_REMOVE; /* set again after the next request */
+	return G_SOURCE_REMOVE; /* attached again after the next request */
 }
 
 static void
@@ -43,8 +43,8 @@
 static void
 on_head_read(SoupServerMessage *message, gpointer data)
 {
-	/* From here on the handlers say what the verdict is; an early one may
-	 * have refused already. */
+	/* The head was parsed: handlers set the verdict from here on. An early
+	 * handler may have refused the request already. */
 	if (soup_server_message_get_status(message) == 0)
 		soup_message_headers_remove(
 		    soup_server_message_get_response_headers(message),
--- a/programs/shared/http.h
+++ b/programs/shared/http.h
@@ -6,25 +6,25 @@
 #include "common/common.h"
 
 /*
- * Closes a connection that its client has closed between two requests.
- * libsoup 3.2 reads that end and then neither closes its own side nor says
- * so: each client that does not keep its connection would cost a file
- * descriptor for good, and after about a thousand the process takes nobody
- * in. Closing the socket frees the descriptor; some 2 KB of memory stay.
+ * Closes each connection that its client has closed between two requests.
+ * libsoup 3.2 reads the end of file but neither closes its own side nor reports
+ * it: each client that closes its connection would leak a file descriptor, and
+ * after about a thousand of them the process accepts no more connections.
+ * Closing the socket frees the descriptor; about 2 KB of memory stay allocated.
  */
 void http_close_left(SoupServer *server);
 
 /*
- * libsoup answers a head that it cannot read by itself, before any handler.
- * Its answer gets the verdict NOT_RUN like every other refusal, and
- * `malformed` counts it.
+ * libsoup itself responds to a request head that it cannot parse, before any
+ * handler is called. This sets the verdict NOT_RUN on such a response, as on
+ * every other refusal, and counts it in `malformed`.
  */
 void http_count_malformed(SoupServer *server, struct ctr *malformed);
 
-/* Answers with a short text, which is copied. */
+/* Responds with a short text, which is copied. */
 void http_answer_text(SoupServerMessage *message, unsigned int status,
     const char *type, const char *text);
-/* Answers with all counters, one `name value` a line. */
+/* Responds with all counters, one `name value` per line. */
 void http_answer_counters(
     SoupServerMessage *message, const struct ctr_set *counters);
 
