--- a/programs/shared/proc.c
+++ b/programs/shared/proc.c
@@ -1,4 +1,4 @@
-/* Set-up, loop and graceful stop of both binaries. */
+/* Setup, main loop and graceful stop of both binaries. */
 
 #include <glib-unix.h>
 #include <json-glib/json-glib.h>
@@ -7,7 +7,7 @@
 
 #include "shared/proc.h"
 
-/* The schema has checked the form: an even number of hex digits, bounded. */
+/* The schema has checked the format: an even, bounded number of hex digits. */
 static void
 read_key(struct proc *p)
 {
@@ -88,7 +88,7 @@
 	    sizeof(self->info)) {
 		g_free(seeds);
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "side.targets: names too long together; allowed: %d bytes",
+		    "side.targets: names too long in total; allowed: %d bytes",
 		    MEM_INFO_MAX);
 	}
 	p->agr = agr_new(&conf, ops, ctx, err);
--- a/programs/shared/proc.h
+++ b/programs/shared/proc.h
@@ -2,9 +2,9 @@
 #define PROC_H
 
 /*
- * proc: what both binaries do alike: read and check the settings file, set up
- * clock, counters, time line, HTTP session and membership, run the loop, and
- * stop gracefully on SIGTERM.
+ * proc: what both binaries have in common: they read and check the settings
+ * file, set up clock, counters, timeline, HTTP session and membership, run the
+ * main loop, and stop gracefully on SIGTERM.
  */
 
 #include "agree/agree.h"
@@ -23,8 +23,8 @@
 	struct plat *plat;
 	struct agr *agr;
 	GMainLoop *loop;
-	/* Called once on SIGTERM or SIGINT; calls proc_quit when work has
-	 * ended. */
+	/* Called on each SIGTERM or SIGINT; calls proc_quit once running
+	 * requests have ended. */
 	void (*stop)(void *ctx);
 	void *ctx;
 };
@@ -32,21 +32,21 @@
 /* Exit codes of both binaries, as documented in docs/OPERATIONS.md. */
 enum proc_exit {
 	EXIT_OK = 0,
-	EXIT_REFUSED = 1, /* the system said no */
+	EXIT_REFUSED = 1, /* the system refused the request */
 	EXIT_USAGE = 2, /* wrong options or settings */
-	EXIT_UNREACHABLE = 3, /* no entry or platform answered */
-	EXIT_OVERDUE = 4, /* accepted, but not in force everywhere yet */
+	EXIT_UNREACHABLE = 3, /* no gateway or platform responded */
+	EXIT_OVERDUE = 4, /* accepted, but not active everywhere yet */
 };
 
 bool proc_load(struct proc *p, const char *settings_path, struct err *err);
-/* Joins the members and begins to take settings. */
+/* Joins the membership and starts to receive settings. */
 bool proc_join(struct proc *p, enum mem_kind kind, const char *info,
     const struct agr_ops *ops, void *ctx, struct err *err);
 void proc_run(struct proc *p, void (*stop)(void *ctx), void *ctx);
 void proc_quit(struct proc *p);
 void proc_free(struct proc *p);
 
-/* Notes on the time line that a member is suspected, leaves or is dead. */
+/* Records in the timeline that a member is suspected, leaving or dead. */
 void proc_note_member(struct proc *p, const struct mem_member *member);
 
 /* JSON array of this process's events after `since`; g_free. */
