--- a/programs/shared/station.c
+++ b/programs/shared/station.c
@@ -1,4 +1,4 @@
-/* Settings, loop, metrics and stop of gateway and keeper. */
+/* Settings, event loop, metrics and stop of gateway and keeper. */
 
 #include <glib-unix.h>
 #include <signal.h>
@@ -7,10 +7,10 @@
 
 #include "shared/station.h"
 
-/* The settings file may change without a signal; it is looked at so often. */
+/* Poll interval of the settings file, which may change without a signal. */
 #define FILE_POLL_US 1000000
-#define CONNECT_TIMEOUT_US \
-	700000 /* a host without power does not answer at all */
+/* Bounded, since a host without power sends no reply at all. */
+#define CONNECT_TIMEOUT_US 700000
 #define KEEPALIVE_IDLE_US 8000000
 #define KEEPALIVE_PER_TARGET 32
 #define RESPONSE_HEAD_MAX (64u << 10)
@@ -41,9 +41,9 @@
 bool
 station_load(struct station *s, const char *path, struct err *err)
 {
-	/* The settings may change while this process starts: the signal that
-	 * says so would end it before the loop takes signals. What it says is
-	 * made up for by looking at the file's time. */
+	/* The settings may change while this process starts: until the loop
+	 * handles signals, a SIGHUP would terminate the process. A change that
+	 * is missed this way is detected by the file's modification time. */
 	signal(SIGHUP, SIG_IGN);
 	s->path = g_strdup(path);
 	s->file_mtime_ns = file_mtime_ns(path);
@@ -56,7 +56,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Settings read again                                                 */
+/* Reload of the settings                                              */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -67,10 +67,10 @@
 
 	s->file_mtime_ns = file_mtime_ns(s->path);
 	if (cfg == NULL) {
-		/* The settings in force stay: a file that is half written or
-		 * wrong must not stop a process that serves. */
+		/* The active settings stay: a file that is half written or
+		 * invalid must not stop a serving process. */
 		evt(EVT_RELOAD, "why=%s outcome=refused", why);
-		log_warn("settings not read again: %s", err.message);
+		log_warn("settings not reloaded: %s", err.message);
 		return;
 	}
 	cfg_free(s->cfg);
--- a/programs/shared/station.h
+++ b/programs/shared/station.h
@@ -2,9 +2,9 @@
 #define STATION_H
 
 /*
- * station: what gateway and keeper do alike: read and check the settings
- * file, read it again when it changes, open loop, connections, log lines and
- * the metrics page, and stop on SIGTERM.
+ * station: what gateway and keeper have in common: they read and check the
+ * settings file, reload it when it changes, open event loop, connections, log
+ * and metrics page, and stop on SIGTERM.
  */
 
 #include "common/evt.h"
@@ -26,14 +26,16 @@
 	struct evl_timer watch;
 	/* Callbacks of the program. */
 	void (*stop)(void *ctx); /* once, on SIGTERM */
-	void (*reload)(void *ctx); /* the settings were read again */
-	void (*print)(void *ctx, GString *out); /* more for the metrics */
+	void (*reload)(void *ctx); /* the settings were reloaded */
+	void (*print)(
+	    void *ctx, GString *out); /* appends to the metrics page */
 	void *ctx;
 	bool stopping;
 };
 
 bool station_load(struct station *s, const char *path, struct err *err);
-/* Opens what the settings name; callbacks and ctx are set before. */
+/* Starts the loop, log, pool and metrics server as the settings say; callbacks
+ * and ctx must be set before. */
 bool station_open(struct station *s, const char *program, struct err *err);
 void station_run(struct station *s); /* until station_quit */
 void station_quit(struct station *s);
