--- a/tests/chart/test_chart.c
+++ b/tests/chart/test_chart.c
@@ -1,4 +1,4 @@
-/* Charts: one test for each refusal, and steps. */
+/* Charts: one case for each refusal, lookup of names, steps and loading. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,7 +9,7 @@
 
 #include "chart/chart.h"
 
-struct call_log { /* what the callbacks saw */
+struct call_log { /* the calls of guards and actions */
 	GString *ran;
 	bool open;
 	const void *data;
@@ -72,7 +72,7 @@
     "    ignore: [lock, ring]\n"
     "  locked: {final: true}\n";
 
-/* Each makes one change to the good chart, and is refused for it. */
+/* Each case makes one change to the valid chart, which is then refused. */
 static const struct {
 	const char *old;
 	const char *new;
