--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -171,10 +171,10 @@
 {
 	char *path = g_strconcat("/v1/settings/", branch, NULL);
 	int64_t until = g_get_monotonic_time() + cli->wait_ms * 1000LL;
-	int rc = EXIT_OVERDUE;
+	int rc = EXIT_PENDING;
 	bool last = false;
 
-	while (rc == EXIT_OVERDUE && !last) {
+	while (rc == EXIT_PENDING && !last) {
 		struct err err = { 0 };
 		unsigned int status;
 		JsonNode *node = NULL;
@@ -200,7 +200,7 @@
 				print_in_force(o, version);
 		}
 		json_node_unref(node);
-		if (rc == EXIT_OVERDUE && !last)
+		if (rc == EXIT_PENDING && !last)
 			g_usleep(POLL_MS * 1000);
 	}
 	g_free(path);
--- a/programs/entry/cli_rollout.c
+++ b/programs/entry/cli_rollout.c
@@ -257,10 +257,10 @@
 {
 	char *path = g_strconcat("/v1/rollout/", args[0], NULL);
 	int64_t until = g_get_monotonic_time() + cli->wait_ms * 1000LL;
-	int rc = EXIT_OVERDUE;
+	int rc = EXIT_PENDING;
 	bool last = false;
 
-	while (rc == EXIT_OVERDUE && !last) {
+	while (rc == EXIT_PENDING && !last) {
 		struct err err = { 0 };
 		unsigned int status;
 		JsonNode *node = NULL;
@@ -276,7 +276,7 @@
 			rc = EXIT_OK;
 		if (node != NULL)
 			json_node_unref(node);
-		if (rc == EXIT_OVERDUE && !last)
+		if (rc == EXIT_PENDING && !last)
 			g_usleep(POLL_MS * 1000);
 	}
 	g_free(path);
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -279,7 +279,7 @@
 	evt(EVT_STOP,
 	    "outcome=ended active=%u connections=%u ms=%" G_GINT64_FORMAT,
 	    state.active, state.connections, (now_us - g->stopping_us) / 1000);
-	station_quit(&g->st);
+	daemon_quit(&g->st);
 }
 
 static void
@@ -478,13 +478,13 @@
 static bool
 start(struct gateway *g, const char *settings, struct err *err)
 {
-	if (!station_load(&g->st, settings, err))
+	if (!daemon_load(&g->st, settings, err))
 		return false;
 	g->st.stop = on_stop;
 	g->st.reload = on_reload;
-	g->st.print = on_print;
+	g->st.print_metrics = on_print;
 	g->st.ctx = g;
-	if (!station_open(&g->st, "gateway", err))
+	if (!daemon_open(&g->st, "gateway", err))
 		return false;
 	open_decisions(g);
 	if (!open_servers(g, err) || !gateway_peers_open(g, err))
@@ -509,6 +509,6 @@
 		fprintf(stderr, "currantchute: %s\n", err.message);
 		return EXIT_USAGE;
 	}
-	station_run(&g->st);
+	daemon_run(&g->st);
 	return EXIT_OK;
 }
--- a/programs/entry/gateway.h
+++ b/programs/entry/gateway.h
@@ -14,7 +14,7 @@
 #include "shared/station.h"
 
 struct gateway {
-	struct station st;
+	struct daemon st;
 	struct store *store;
 	struct store_cache *config, *targets, *versions;
 	struct tgt_set *set;
--- a/programs/entry/serve.c
+++ b/programs/entry/serve.c
@@ -101,7 +101,7 @@
 	struct entry *entry = ctx;
 	unsigned int n = 0;
 
-	proc_note_member(&entry->proc, member);
+	proc_record_member(&entry->proc, member);
 	if (member->node.kind == MEM_SIDECAR) {
 		sides_member(entry, member);
 		return;
@@ -207,7 +207,7 @@
 		    address);
 	}
 	entry->http = soup_server_new("server-header", "currantchute", NULL);
-	http_close_left(entry->http);
+	http_close_disconnected(entry->http);
 	http_count_malformed(
 	    entry->http, ctr_get(entry->proc.counters, "caller_malformed"));
 	caller_open(entry);
--- a/programs/shared/http.c
+++ b/programs/shared/http.c
@@ -34,7 +34,7 @@
 }
 
 void
-http_close_left(SoupServer *server)
+http_close_disconnected(SoupServer *server)
 {
 	g_signal_connect(
 	    server, "request-finished", G_CALLBACK(on_request_finished), NULL);
--- a/programs/shared/http.h
+++ b/programs/shared/http.h
@@ -12,7 +12,7 @@
  * after about a thousand of them the process accepts no more connections.
  * Closing the socket frees the descriptor; about 2 KB of memory stay allocated.
  */
-void http_close_left(SoupServer *server);
+void http_close_disconnected(SoupServer *server);
 
 /*
  * libsoup itself responds to a request head that it cannot parse, before any
--- a/programs/shared/proc.c
+++ b/programs/shared/proc.c
@@ -137,7 +137,7 @@
 }
 
 void
-proc_note_member(struct proc *p, const struct mem_member *member)
+proc_record_member(struct proc *p, const struct mem_member *member)
 {
 	static const char *const kinds[] = {
 		[MEM_SUSPECT] = "member_suspect",
--- a/programs/shared/proc.h
+++ b/programs/shared/proc.h
@@ -35,7 +35,7 @@
 	EXIT_REFUSED = 1, /* the system refused the request */
 	EXIT_USAGE = 2, /* wrong options or settings */
 	EXIT_UNREACHABLE = 3, /* no gateway or platform responded */
-	EXIT_OVERDUE = 4, /* accepted, but not active everywhere yet */
+	EXIT_PENDING = 4, /* accepted, but not active everywhere yet */
 };
 
 bool proc_load(struct proc *p, const char *settings_path, struct err *err);
@@ -47,7 +47,7 @@
 void proc_free(struct proc *p);
 
 /* Records in the timeline that a member is suspected, leaving or dead. */
-void proc_note_member(struct proc *p, const struct mem_member *member);
+void proc_record_member(struct proc *p, const struct mem_member *member);
 
 /* JSON array of this process's events after `since`; g_free. */
 char *proc_events_json(
--- a/programs/shared/station.c
+++ b/programs/shared/station.c
@@ -17,7 +17,7 @@
 #define METRICS_CONNECTIONS 16
 
 static void
-read_key(struct station *s)
+read_key(struct daemon *s)
 {
 	const char *hex = cfg_str(s->cfg, "node.key");
 	size_t i;
@@ -39,7 +39,7 @@
 }
 
 bool
-station_load(struct station *s, const char *path, struct err *err)
+daemon_load(struct daemon *s, const char *path, struct err *err)
 {
 	/* The settings may change while this process starts: until the loop
 	 * handles signals, a SIGHUP would terminate the process. A change that
@@ -60,7 +60,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-reload(struct station *s, const char *why)
+reload(struct daemon *s, const char *why)
 {
 	struct err err = { 0 };
 	struct cfg *cfg = cfg_load(s->path, &cfg_serve_schema, &err);
@@ -89,7 +89,7 @@
 static void
 on_file_poll(struct evl_timer *timer)
 {
-	struct station *s = CONTAINER_OF(timer, struct station, watch);
+	struct daemon *s = CONTAINER_OF(timer, struct daemon, watch);
 
 	if (file_mtime_ns(s->path) != s->file_mtime_ns)
 		reload(s, "file_changed");
@@ -103,7 +103,7 @@
 static void
 on_metrics(struct hreq *r, void *ctx)
 {
-	struct station *s = ctx;
+	struct daemon *s = ctx;
 	GString *out = g_string_new(NULL);
 
 	ctr_print(s->counters, out);
@@ -111,7 +111,7 @@
 	    "log_lines_written %" G_GINT64_FORMAT
 	    "\nlog_lines_dropped %" G_GINT64_FORMAT "\nconnections_opened %u\n",
 	    evt_written(), evt_dropped(), hpool_opened(s->pool));
-	s->print(s->ctx, out);
+	s->print_metrics(s->ctx, out);
 	hreq_answer(r, 200, "Content-Type: text/plain; version=0.0.4\r\n",
 	    out->str, out->len);
 	g_string_free(out, TRUE);
@@ -126,7 +126,7 @@
 on_refused(unsigned int status, void *ctx)
 {
 	ctr_add(
-	    ctr_get(((struct station *)ctx)->counters, "metrics_refused"), 1);
+	    ctr_get(((struct daemon *)ctx)->counters, "metrics_refused"), 1);
 }
 
 static const struct hserver_ops metrics_ops = {
@@ -137,7 +137,7 @@
 };
 
 static bool
-open_metrics(struct station *s, struct err *err)
+open_metrics(struct daemon *s, struct err *err)
 {
 	s->metrics_limits = (struct hlimits){ .head_bytes = 8192,
 		.body_bytes = 0,
@@ -164,7 +164,7 @@
 static gboolean
 on_term(gpointer data)
 {
-	struct station *s = data;
+	struct daemon *s = data;
 
 	if (s->stopping)
 		return G_SOURCE_CONTINUE;
@@ -174,7 +174,7 @@
 }
 
 bool
-station_open(struct station *s, const char *program, struct err *err)
+daemon_open(struct daemon *s, const char *program, struct err *err)
 {
 	signal(SIGPIPE, SIG_IGN);
 	log_open(program);
@@ -203,14 +203,14 @@
 }
 
 void
-station_run(struct station *s)
+daemon_run(struct daemon *s)
 {
 	g_main_loop_run(s->main);
 	evt_close();
 }
 
 void
-station_quit(struct station *s)
+daemon_quit(struct daemon *s)
 {
 	g_main_loop_quit(s->main);
 }
--- a/programs/shared/station.h
+++ b/programs/shared/station.h
@@ -2,7 +2,7 @@
 #define STATION_H
 
 /*
- * station: what gateway and keeper have in common: they read and check the
+ * daemon: what gateway and keeper have in common: they read and check the
  * settings file, reload it when it changes, open event loop, connections, log
  * and metrics page, and stop on SIGTERM.
  */
@@ -10,7 +10,7 @@
 #include "common/evt.h"
 #include "http/http.h"
 
-struct station {
+struct daemon {
 	struct cfg *cfg;
 	char *path; /* of the settings file */
 	int64_t file_mtime_ns;
@@ -24,20 +24,21 @@
 	struct hlimits metrics_limits;
 	GMainLoop *main;
 	struct evl_timer watch;
-	/* Callbacks of the program. */
-	void (*stop)(void *ctx); /* once, on SIGTERM */
-	void (*reload)(void *ctx); /* the settings were reloaded */
-	void (*print)(
-	    void *ctx, GString *out); /* appends to the metrics page */
+	/* Callbacks of the program: stop is called once, on SIGTERM; reload
+	 * after the settings were reloaded; print_metrics appends to the
+	 * metrics page. */
+	void (*stop)(void *ctx);
+	void (*reload)(void *ctx);
+	void (*print_metrics)(void *ctx, GString *out);
 	void *ctx;
 	bool stopping;
 };
 
-bool station_load(struct station *s, const char *path, struct err *err);
+bool daemon_load(struct daemon *s, const char *path, struct err *err);
 /* Starts the loop, log, pool and metrics server as the settings say; callbacks
  * and ctx must be set before. */
-bool station_open(struct station *s, const char *program, struct err *err);
-void station_run(struct station *s); /* until station_quit */
-void station_quit(struct station *s);
+bool daemon_open(struct daemon *s, const char *program, struct err *err);
+void daemon_run(struct daemon *s); /* until daemon_quit */
+void daemon_quit(struct daemon *s);
 
 #endif
--- a/programs/side/keeper.c
+++ b/programs/side/keeper.c
@@ -43,7 +43,7 @@
 	struct keeper *k = ctx;
 
 	evt(EVT_STOP, "outcome=ended step=%s", stg_step_name(k->step));
-	station_quit(&k->st);
+	daemon_quit(&k->st);
 }
 
 static void
@@ -71,7 +71,7 @@
 static bool
 start(struct keeper *k, const char *settings, struct err *err)
 {
-	if (!station_load(&k->st, settings, err))
+	if (!daemon_load(&k->st, settings, err))
 		return false;
 	if (!cfg_has(k->st.cfg, "engine.address"))
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
@@ -79,9 +79,9 @@
 		    settings);
 	k->st.stop = on_stop;
 	k->st.reload = on_reload;
-	k->st.print = on_print;
+	k->st.print_metrics = on_print;
 	k->st.ctx = k;
-	if (!station_open(&k->st, "keeper", err))
+	if (!daemon_open(&k->st, "keeper", err))
 		return false;
 	if (!keeper_weights_open(k, err) || !keeper_gateways_open(k, err))
 		return false;
@@ -116,6 +116,6 @@
 		fprintf(stderr, "currantchute-side: %s\n", err.message);
 		return EXIT_USAGE;
 	}
-	station_run(&k->st);
+	daemon_run(&k->st);
 	return EXIT_OK;
 }
--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -80,7 +80,7 @@
 };
 
 struct keeper {
-	struct station st;
+	struct daemon st;
 	struct wts *wts;
 	struct conn_server *server;
 	struct dgram *dgram;
--- a/programs/side/loopback.c
+++ b/programs/side/loopback.c
@@ -135,7 +135,7 @@
 	side->loopback_port =
 	    (unsigned int)atoi(colon == NULL ? "0" : colon + 1);
 	side->loopback = soup_server_new("server-header", "currantchute", NULL);
-	http_close_left(side->loopback);
+	http_close_disconnected(side->loopback);
 	soup_server_add_handler(
 	    side->loopback, VERSIONS_PREFIX, on_version, side, NULL);
 	soup_server_add_handler(
--- a/programs/side/main.c
+++ b/programs/side/main.c
@@ -113,7 +113,7 @@
 static void
 on_member(const struct mem_member *member, void *ctx)
 {
-	proc_note_member(&((struct side *)ctx)->proc, member);
+	proc_record_member(&((struct side *)ctx)->proc, member);
 	if (member->node.kind == MEM_SIDECAR)
 		place_schedule(ctx);
 }
