--- a/programs/shared/station.c
+++ b/programs/shared/station.c
@@ -1,4 +1,4 @@
-/* Settings, loop, metrics and stop of gateway and keeper. */
+/* Settings, event loop, metrics and stop of gateway and keeper. */
 
 #include <glib-unix.h>
 #include <signal.h>
@@ -7,16 +7,17 @@
 
 #include "shared/station.h"
 
-/* The settings file may change without a signal; it is looked at so often. */
-#define FILE_WATCH_US 1000000
-#define CONNECT_US 700000 /* a host without power does not answer at all */
-#define KEEP_IDLE_US 8000000
-#define KEEP_PER_TARGET 32
-#define ANSWER_HEAD_MAX (64u << 10)
+/* Poll interval of the settings file, which may change without a signal. */
+#define FILE_POLL_US 1000000
+/* Bounded, since a host without power sends no reply at all. */
+#define CONNECT_TIMEOUT_US 700000
+#define KEEPALIVE_IDLE_US 8000000
+#define KEEPALIVE_PER_TARGET 32
+#define RESPONSE_HEAD_MAX (64u << 10)
 #define METRICS_CONNECTIONS 16
 
 static void
-read_key(struct station *s)
+read_key(struct daemon *s)
 {
 	const char *hex = cfg_str(s->cfg, "node.key");
 	size_t i;
@@ -38,11 +39,11 @@
 }
 
 bool
-station_load(struct station *s, const char *path, struct err *err)
+daemon_load(struct daemon *s, const char *path, struct err *err)
 {
-	/* The settings may change while this process starts: the signal that
-	 * says so would end it before the loop takes signals. What it says is
-	 * made up for by looking at the file's time. */
+	/* The settings may change while this process starts: until the loop
+	 * handles signals, a SIGHUP would terminate the process. A change that
+	 * is missed this way is detected by the file's modification time. */
 	signal(SIGHUP, SIG_IGN);
 	s->path = g_strdup(path);
 	s->file_mtime_ns = file_mtime_ns(path);
@@ -55,21 +56,21 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Settings read again                                                 */
+/* Reload of the settings                                              */
 /* ------------------------------------------------------------------ */
 
 static void
-reload(struct station *s, const char *why)
+reload(struct daemon *s, const char *why)
 {
 	struct err err = { 0 };
 	struct cfg *cfg = cfg_load(s->path, &cfg_serve_schema, &err);
 
 	s->file_mtime_ns = file_mtime_ns(s->path);
 	if (cfg == NULL) {
-		/* The settings in force stay: a file that is half written or
-		 * wrong must not stop a process that serves. */
+		/* The active settings stay: a file that is half written or
+		 * invalid must not stop a serving process. */
 		evt(EVT_RELOAD, "why=%s outcome=refused", why);
-		log_warn("settings not read again: %s", err.message);
+		log_warn("settings not reloaded: %s", err.message);
 		return;
 	}
 	cfg_free(s->cfg);
@@ -86,13 +87,13 @@
 }
 
 static void
-on_watch(struct evl_timer *timer)
+on_file_poll(struct evl_timer *timer)
 {
-	struct station *s = CONTAINER_OF(timer, struct station, watch);
+	struct daemon *s = CONTAINER_OF(timer, struct daemon, watch);
 
 	if (file_mtime_ns(s->path) != s->file_mtime_ns)
 		reload(s, "file_changed");
-	evl_timer_set(s->loop, timer, evl_now_us(s->loop) + FILE_WATCH_US);
+	evl_timer_set(s->loop, timer, evl_now_us(s->loop) + FILE_POLL_US);
 }
 
 /* ------------------------------------------------------------------ */
@@ -102,7 +103,7 @@
 static void
 on_metrics(struct hreq *r, void *ctx)
 {
-	struct station *s = ctx;
+	struct daemon *s = ctx;
 	GString *out = g_string_new(NULL);
 
 	ctr_print(s->counters, out);
@@ -110,14 +111,14 @@
 	    "log_lines_written %" G_GINT64_FORMAT
 	    "\nlog_lines_dropped %" G_GINT64_FORMAT "\nconnections_opened %u\n",
 	    evt_written(), evt_dropped(), hpool_opened(s->pool));
-	s->print(s->ctx, out);
+	s->print_metrics(s->ctx, out);
 	hreq_answer(r, 200, "Content-Type: text/plain; version=0.0.4\r\n",
 	    out->str, out->len);
 	g_string_free(out, TRUE);
 }
 
 static void
-on_nothing(struct hreq *r, void *ctx)
+on_ignored(struct hreq *r, void *ctx)
 {
 }
 
@@ -125,18 +126,18 @@
 on_refused(unsigned int status, void *ctx)
 {
 	ctr_add(
-	    ctr_get(((struct station *)ctx)->counters, "metrics_refused"), 1);
+	    ctr_get(((struct daemon *)ctx)->counters, "metrics_refused"), 1);
 }
 
 static const struct hserver_ops metrics_ops = {
 	.request = on_metrics,
-	.left = on_nothing,
-	.drained = on_nothing,
+	.left = on_ignored,
+	.drained = on_ignored,
 	.refused = on_refused,
 };
 
 static bool
-open_metrics(struct station *s, struct err *err)
+open_metrics(struct daemon *s, struct err *err)
 {
 	s->metrics_limits = (struct hlimits){ .head_bytes = 8192,
 		.body_bytes = 0,
@@ -163,7 +164,7 @@
 static gboolean
 on_term(gpointer data)
 {
-	struct station *s = data;
+	struct daemon *s = data;
 
 	if (s->stopping)
 		return G_SOURCE_CONTINUE;
@@ -173,7 +174,7 @@
 }
 
 bool
-station_open(struct station *s, const char *program, struct err *err)
+daemon_open(struct daemon *s, const char *program, struct err *err)
 {
 	signal(SIGPIPE, SIG_IGN);
 	log_open(program);
@@ -181,10 +182,10 @@
 	s->main = g_main_loop_new(NULL, FALSE);
 	s->loop = evl_new(clk_system());
 	s->pool = hpool_new(&(struct hpool_conf){ .loop = s->loop,
-	    .idle_max = KEEP_PER_TARGET,
-	    .connect_us = CONNECT_US,
-	    .idle_us = KEEP_IDLE_US,
-	    .head_bytes = ANSWER_HEAD_MAX });
+	    .idle_max = KEEPALIVE_PER_TARGET,
+	    .connect_us = CONNECT_TIMEOUT_US,
+	    .idle_us = KEEPALIVE_IDLE_US,
+	    .head_bytes = RESPONSE_HEAD_MAX });
 	s->node = (struct conn_node){
 		.id = cfg_str(s->cfg, "listen.peers"),
 		.key = s->key,
@@ -193,8 +194,8 @@
 		.counters = s->counters,
 	};
 	s->node.id = g_strdup(s->node.id);
-	s->watch.fire = on_watch;
-	evl_timer_set(s->loop, &s->watch, evl_now_us(s->loop) + FILE_WATCH_US);
+	s->watch.fire = on_file_poll;
+	evl_timer_set(s->loop, &s->watch, evl_now_us(s->loop) + FILE_POLL_US);
 	g_unix_signal_add(SIGTERM, on_term, s);
 	g_unix_signal_add(SIGINT, on_term, s);
 	g_unix_signal_add(SIGHUP, on_hup, s);
@@ -202,14 +203,14 @@
 }
 
 void
-station_run(struct station *s)
+daemon_run(struct daemon *s)
 {
 	g_main_loop_run(s->main);
 	evt_close();
 }
 
 void
-station_quit(struct station *s)
+daemon_quit(struct daemon *s)
 {
 	g_main_loop_quit(s->main);
 }
--- a/programs/side/door.c
+++ b/programs/side/door.c
@@ -1,4 +1,4 @@
-/* The door: requests from entries to the targets of this host. */
+/* Request proxy: forwards requests from gateways to this host's targets. */
 
 #include <string.h>
 
@@ -6,21 +6,21 @@
 
 #define HEADER_PAIRS_MAX 32
 
-/* One request at a target, from its arrival to its end. */
-struct door_stream {
-	struct side_peer *peer; /* NULL once the entry is gone */
+/* One request at a target, from its arrival until it ends. */
+struct proxy_stream {
+	struct side_peer *peer; /* NULL once the gateway disconnected */
 	int64_t number; /* key in peer->streams */
 	struct side_target *target;
 	struct target_call *call;
 	char *request_id;
 	bool idempotent;
-	bool refused; /* the target said that it did not run it */
+	bool refused; /* the target reports that it did not run it */
 	unsigned int refused_status;
-	int64_t credit; /* bytes that the entry will still take */
+	int64_t credit; /* bytes that the gateway still accepts */
 };
 
 /* ------------------------------------------------------------------ */
-/* Ending a stream                                                     */
+/* End of a stream                                                     */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -43,18 +43,18 @@
 }
 
 static void
-free_stream(struct door_stream *s)
+free_stream(struct proxy_stream *s)
 {
 	if (s->peer != NULL)
 		g_hash_table_remove(s->peer->streams, &s->number);
-	targets_ran_out(s->target);
+	targets_request_ended(s->target);
 	g_free(s->request_id);
 	g_free(s);
 }
 
-/* What the target's own refusal means for the entry. */
+/* Translates a refusal by the target into the error for the gateway. */
 static void
-refusal(const struct door_stream *s, struct err *out)
+set_refusal_err(const struct proxy_stream *s, struct err *out)
 {
 	if (s->refused_status == 409) {
 		err_set(out, ERR_WRONG_VERSION, VERDICT_NOT_RUN,
@@ -66,13 +66,13 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* From the target                                                     */
+/* Responses of targets                                                */
 /* ------------------------------------------------------------------ */
 
 static void
 on_head(unsigned int status, SoupMessageHeaders *headers, void *ctx)
 {
-	struct door_stream *s = ctx;
+	struct proxy_stream *s = ctx;
 	struct rt_head head = { .stream = (uint64_t)s->number,
 		.status = status };
 	const char *type =
@@ -100,15 +100,16 @@
 static void
 on_data(const uint8_t *bytes, size_t len, void *ctx)
 {
-	struct door_stream *s = ctx;
+	struct proxy_stream *s = ctx;
 	struct rt_data data = { .stream = (uint64_t)s->number };
 
 	if (s->refused || s->peer == NULL)
 		return;
 	wts_live_bytes(s->target->side->wts, len);
 	s->credit -= (int64_t)len;
-	/* A slow caller holds back its own stream only: the target is not
-	 * read from until the caller took what it has. */
+	/* Without credit, nothing more of this response is read from the
+	 * target until the caller has consumed what was sent: a slow caller
+	 * delays its own stream only. */
 	if (s->credit <= 0)
 		target_call_pause(s->call, true);
 	while (len > 0) {
@@ -123,13 +124,13 @@
 static void
 on_ended(const struct err *err, void *ctx)
 {
-	struct door_stream *s = ctx;
+	struct proxy_stream *s = ctx;
 	struct err out = *err;
 
 	s->call = NULL;
-	s->target->running--; /* first: the load told is without it */
+	s->target->running--; /* before send_end, which reports it */
 	if (s->refused)
-		refusal(s, &out);
+		set_refusal_err(s, &out);
 	ctr_add(ctr_get(s->target->side->proc.counters,
 		    err_is(&out) ? "door_failed" : "door_answered"),
 	    1);
@@ -145,13 +146,13 @@
 };
 
 /* ------------------------------------------------------------------ */
-/* From the entry                                                      */
+/* Messages from gateways                                              */
 /* ------------------------------------------------------------------ */
 
-/* Everything that speaks against running it, before the target hears of it:
- * so each of these refusals is truly NOT_RUN. */
+/* Makes every check before anything is sent to the target, so that NOT_RUN is
+ * true for each of these refusals. */
 static bool
-may_run(struct side_peer *peer, const struct rt_request *request,
+check_request(struct side_peer *peer, const struct rt_request *request,
     const struct side_target *target, struct err *err)
 {
 	int64_t number = (int64_t)request->stream;
@@ -166,23 +167,23 @@
 	}
 	if (!targets_accepting(target)) {
 		return err_set(err, ERR_LEAVING, VERDICT_NOT_RUN,
-		    "target %s takes no new work", target->info.name);
+		    "target %s accepts no new requests", target->info.name);
 	}
 	if (target->info.kind == RT_ENGINE &&
 	    (digest_is_none(&target->loaded) ||
 		(!digest_is_none(&request->expect) &&
 		    !digest_equal(&request->expect, &target->loaded)))) {
 		return err_set(err, ERR_WRONG_VERSION, VERDICT_NOT_RUN,
-		    "the version asked for is not loaded");
+		    "the requested version is not loaded");
 	}
 	if (request->deadline_ms == 0) {
-		return err_set(
-		    err, ERR_DEADLINE, VERDICT_NOT_RUN, "no time left");
+		return err_set(err, ERR_DEADLINE, VERDICT_NOT_RUN,
+		    "the deadline has passed");
 	}
 	return true;
 }
 
-/* The entry's header lines and ours as the pairs that a call takes. */
+/* Splits the header lines of a request into name and value pairs. */
 static void
 split_headers(char *text, const char **pairs, size_t *n)
 {
@@ -200,7 +201,7 @@
 }
 
 static void
-start_call(struct door_stream *s, const struct rt_request *request)
+start_call(struct proxy_stream *s, const struct rt_request *request)
 {
 	const char *pairs[2 * HEADER_PAIRS_MAX + 16] = { NULL };
 	char *method = slice_dup(request->method);
@@ -215,8 +216,9 @@
 		.deadline_ms =
 		    (unsigned int)MIN(request->deadline_ms, UINT32_MAX),
 		.stall_ms = (unsigned int)MIN(request->stall_ms, UINT32_MAX),
-		/* A kept connection that the target is just closing would
-		 * make it MAY_HAVE_RUN, and nobody may try it again. */
+		/* If the target closes a reused connection just as the
+		 * request is sent, the verdict is MAY_HAVE_RUN, and a request
+		 * that is not idempotent must not be retried. */
 		.own_connection = !s->idempotent,
 	};
 	size_t n = 0;
@@ -249,34 +251,34 @@
 	g_free(method);
 }
 
-/* Streams that wait for what it said would stand still; closed, they end with
- * a visible error. */
+/* Closes the connection: streams that depend on the unreadable message would
+ * stall, whereas a closed connection ends them with a visible error. */
 static void
-bad_message(struct side_peer *peer)
+reject_bad_message(struct side_peer *peer)
 {
 	ctr_add(ctr_get(peer->side->proc.counters, "door_bad_messages"), 1);
 	conn_close(peer->conn);
 }
 
 void
-door_request(struct side_peer *peer, const struct msg *m)
+proxy_request(struct side_peer *peer, const struct msg *m)
 {
 	struct rt_request request;
 	struct side_target *target;
-	struct door_stream *s;
+	struct proxy_stream *s;
 	struct err err = { 0 };
 
 	if (!msg_read(m, &rt_request_desc, &request, &err)) {
-		bad_message(peer);
+		reject_bad_message(peer);
 		return;
 	}
 	target = targets_find(peer->side, request.target);
-	if (!may_run(peer, &request, target, &err)) {
+	if (!check_request(peer, &request, target, &err)) {
 		ctr_add(ctr_get(peer->side->proc.counters, "door_refused"), 1);
 		send_end(peer, request.stream, target, &err);
 		return;
 	}
-	s = g_new0(struct door_stream, 1);
+	s = g_new0(struct proxy_stream, 1);
 	s->peer = peer;
 	s->number = (int64_t)request.stream;
 	s->target = target;
@@ -288,9 +290,9 @@
 	start_call(s, &request);
 }
 
-/* Stops the work at the target and forgets the stream; nothing is sent. */
+/* Cancels the request at the target and frees the stream; sends no RT_END. */
 static void
-abandon(struct door_stream *s)
+cancel_stream(struct proxy_stream *s)
 {
 	target_call_cancel(s->call);
 	s->target->running--;
@@ -301,31 +303,31 @@
 }
 
 void
-door_cancel(struct side_peer *peer, const struct msg *m)
+proxy_cancel(struct side_peer *peer, const struct msg *m)
 {
 	struct rt_cancel cancel;
-	struct door_stream *s;
+	struct proxy_stream *s;
 	int64_t number;
 
 	if (!msg_read(m, &rt_cancel_desc, &cancel, NULL)) {
-		bad_message(peer);
+		reject_bad_message(peer);
 		return;
 	}
 	number = (int64_t)cancel.stream;
 	s = g_hash_table_lookup(peer->streams, &number);
 	if (s != NULL)
-		abandon(s);
+		cancel_stream(s);
 }
 
 void
-door_window(struct side_peer *peer, const struct msg *m)
+proxy_window_update(struct side_peer *peer, const struct msg *m)
 {
 	struct rt_window window;
-	struct door_stream *s;
+	struct proxy_stream *s;
 	int64_t number;
 
 	if (!msg_read(m, &rt_window_desc, &window, NULL)) {
-		bad_message(peer);
+		reject_bad_message(peer);
 		return;
 	}
 	number = (int64_t)window.stream;
@@ -338,19 +340,20 @@
 }
 
 void
-door_peer_gone(struct side_peer *peer)
+proxy_peer_closed(struct side_peer *peer)
 {
 	GList *streams = g_hash_table_get_values(peer->streams), *at;
 
 	for (at = streams; at != NULL; at = at->next) {
-		struct door_stream *s = at->data;
+		struct proxy_stream *s = at->data;
 
 		if (s->idempotent) {
-			abandon(s);
+			cancel_stream(s);
 			continue;
 		}
-		/* Half a booking is worse than one whose answer nobody
-		 * hears: what may not be repeated runs to its end. */
+		/* A request that must not be repeated runs to its end: half
+		 * a booking is worse than a complete one whose response
+		 * nobody receives. */
 		g_hash_table_remove(peer->streams, &s->number);
 		s->peer = NULL;
 		target_call_pause(s->call, false);
--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -84,7 +84,7 @@
 };
 
 struct keeper {
-	struct station st;
+	struct daemon st;
 	struct wts *wts;
 	struct conn_server *server;
 	struct dgram *dgram;
--- a/programs/side/loopback.c
+++ b/programs/side/loopback.c
@@ -1,6 +1,6 @@
 /*
- * HTTP on loopback for the engine beside: the chunk list and the bytes of a
- * whole version, passed on chunk by chunk. Also /healthz and /metrics.
+ * HTTP server on loopback for engines on this host: the chunk list and the
+ * bytes of a complete version, sent chunk by chunk. Also /healthz and /metrics.
  */
 
 #include <string.h>
@@ -10,8 +10,8 @@
 
 #define VERSIONS_PREFIX "/v1/versions/"
 
-/* One reading of a version's bytes by the engine. */
-struct reading {
+/* A response with the bytes of a version. */
+struct body_reader {
 	struct side *side;
 	struct digest root;
 	uint64_t next; /* chunk to append next */
@@ -22,7 +22,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-append_next(SoupServerMessage *message, struct reading *r)
+append_next(SoupServerMessage *message, struct body_reader *r)
 {
 	SoupMessageBody *body = soup_server_message_get_response_body(message);
 	GBytes *chunk = wts_chunk(r->side->wts, &r->root, r->next);
@@ -43,7 +43,7 @@
 }
 
 static void
-free_reading(gpointer data, GClosure *closure)
+free_reader(gpointer data, GClosure *closure)
 {
 	g_free(data);
 }
@@ -52,7 +52,7 @@
 send_bytes(
     struct side *side, SoupServerMessage *message, const struct digest *root)
 {
-	struct reading *r = g_new0(struct reading, 1);
+	struct body_reader *r = g_new0(struct body_reader, 1);
 	SoupMessageBody *body = soup_server_message_get_response_body(message);
 
 	r->side = side;
@@ -63,7 +63,7 @@
 	    soup_server_message_get_response_headers(message),
 	    SOUP_ENCODING_CHUNKED);
 	g_signal_connect_data(message, "wrote-chunk",
-	    G_CALLBACK(on_wrote_chunk), r, free_reading, 0);
+	    G_CALLBACK(on_wrote_chunk), r, free_reader, 0);
 	append_next(message, r);
 }
 
@@ -80,7 +80,7 @@
 		list = wts_list(side->wts, &root);
 	if (list == NULL) {
 		http_answer_text(message, SOUP_STATUS_NOT_FOUND, "text/plain",
-		    "not whole here\n");
+		    "version is not complete on this host\n");
 	} else if (strcmp(part[1], "chunks") == 0) {
 		soup_server_message_set_status(message, SOUP_STATUS_OK, NULL);
 		soup_message_body_append_bytes(
@@ -89,7 +89,7 @@
 		send_bytes(side, message, &root);
 	} else {
 		http_answer_text(message, SOUP_STATUS_NOT_FOUND, "text/plain",
-		    "no such thing\n");
+		    "no such resource\n");
 	}
 	g_strfreev(part);
 }
@@ -135,14 +135,15 @@
 	side->loopback_port =
 	    (unsigned int)atoi(colon == NULL ? "0" : colon + 1);
 	side->loopback = soup_server_new("server-header", "currantchute", NULL);
-	http_close_left(side->loopback);
+	http_close_disconnected(side->loopback);
 	soup_server_add_handler(
 	    side->loopback, VERSIONS_PREFIX, on_version, side, NULL);
 	soup_server_add_handler(
 	    side->loopback, "/healthz", on_health, side, NULL);
 	soup_server_add_handler(
 	    side->loopback, "/metrics", on_metrics, side, NULL);
-	/* Loopback only: whoever could read it could read the weights. */
+	/* Loopback only: the server hands out the weights without
+	 * authentication. */
 	if (!soup_server_listen_local(side->loopback, side->loopback_port,
 		SOUP_SERVER_LISTEN_IPV4_ONLY, &error)) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
