--- a/programs/entry/answer.c
+++ b/programs/entry/answer.c
@@ -1,17 +1,17 @@
-/* What a caller gets: head, pieces, end, errors. */
+/* Writes the answer to the caller: head, body chunks, end, errors. */
 
 #include <string.h>
 
 #include "entry/request.h"
 
 static SoupMessageBody *
-body_of(struct request *r)
+response_body(struct request *r)
 {
 	return soup_server_message_get_response_body(r->message);
 }
 
 static void
-put_headers(struct request *r, enum verdict verdict)
+set_common_headers(struct request *r, enum verdict verdict)
 {
 	SoupMessageHeaders *h =
 	    soup_server_message_get_response_headers(r->message);
@@ -28,36 +28,37 @@
 }
 
 static void
-put_type(struct request *r)
+set_content_type(struct request *r)
 {
 	soup_message_headers_replace(
 	    soup_server_message_get_response_headers(r->message),
 	    "Content-Type", r->type);
 }
 
-/* While it runs the verdict can only be MAY_HAVE_RUN; the whole answer says
- * RAN. */
+/* The head is sent while the request still runs, so its verdict can only be
+ * MAY_HAVE_RUN; an answer that is sent when complete has RAN. */
 void
 answer_begin(struct request *r)
 {
-	r->begun = true;
-	if (r->gone)
+	r->head_sent = true;
+	if (r->exchange_over)
 		return;
 	soup_server_message_set_status(r->message, (guint)r->head.status, NULL);
-	put_headers(r, VERDICT_MAY_HAVE_RUN);
-	put_type(r);
+	set_common_headers(r, VERDICT_MAY_HAVE_RUN);
+	set_content_type(r);
 	soup_message_headers_set_encoding(
 	    soup_server_message_get_response_headers(r->message),
 	    SOUP_ENCODING_CHUNKED);
-	soup_message_body_set_accumulate(body_of(r), FALSE);
+	soup_message_body_set_accumulate(response_body(r), FALSE);
 }
 
 void
 answer_append(struct request *r, const uint8_t *bytes, size_t len)
 {
-	if (len == 0 || r->gone)
+	if (len == 0 || r->exchange_over)
 		return;
-	soup_message_body_append(body_of(r), SOUP_MEMORY_COPY, bytes, len);
+	soup_message_body_append(
+	    response_body(r), SOUP_MEMORY_COPY, bytes, len);
 	soup_server_message_unpause(r->message);
 }
 
@@ -65,25 +66,25 @@
 answer_finish(struct request *r)
 {
 	request_count(r, "request_answered");
-	r->told = true;
-	if (r->gone)
+	r->answer_sent = true;
+	if (r->exchange_over)
 		return;
-	if (r->begun) {
-		soup_message_body_complete(body_of(r));
+	if (r->head_sent) {
+		soup_message_body_complete(response_body(r));
 	} else {
 		soup_server_message_set_status(
 		    r->message, (guint)r->head.status, NULL);
-		put_headers(r, VERDICT_RAN);
-		put_type(r);
-		soup_message_body_append(
-		    body_of(r), SOUP_MEMORY_COPY, r->held->data, r->held->len);
-		soup_message_body_complete(body_of(r));
+		set_common_headers(r, VERDICT_RAN);
+		set_content_type(r);
+		soup_message_body_append(response_body(r), SOUP_MEMORY_COPY,
+		    r->buffer->data, r->buffer->len);
+		soup_message_body_complete(response_body(r));
 	}
 	soup_server_message_unpause(r->message);
 }
 
-/* Kept answers are told as they were; of longer ones the caller gets the
- * digest, by which it can tell what it has. */
+/* A recorded answer is repeated byte for byte. Of one that was too long to
+ * record the caller gets the digest, to compare with what it received. */
 void
 answer_recorded(struct request *r)
 {
@@ -92,11 +93,11 @@
 	char hex[DIGEST_HEX], *text;
 
 	request_count(r, "request_recorded");
-	r->told = true;
-	if (r->gone)
+	r->answer_sent = true;
+	if (r->exchange_over)
 		return;
 	headers = soup_server_message_get_response_headers(r->message);
-	put_headers(r, VERDICT_RAN);
+	set_common_headers(r, VERDICT_RAN);
 	soup_message_headers_replace(headers, "X-Recorded", "1");
 	soup_message_headers_replace(headers, "Content-Type",
 	    o->answer != NULL ? o->type : "application/json");
@@ -108,45 +109,45 @@
 		  o->status, hex);
 	soup_server_message_set_status(r->message, o->status, NULL);
 	soup_message_body_append(
-	    body_of(r), SOUP_MEMORY_TAKE, text, strlen(text));
-	soup_message_body_complete(body_of(r));
+	    response_body(r), SOUP_MEMORY_TAKE, text, strlen(text));
+	soup_message_body_complete(response_body(r));
 	soup_server_message_unpause(r->message);
 }
 
 void
 answer_fail(struct request *r)
 {
-	/* One attempt that may have run makes the whole request so, even
-	 * when a later attempt was surely refused. */
+	/* If any attempt may have run, so may the request, even when a later
+	 * attempt was refused for certain. */
 	if (r->att.may_have_run)
-		r->last.verdict = VERDICT_MAY_HAVE_RUN;
+		r->last_err.verdict = VERDICT_MAY_HAVE_RUN;
 	request_count(r,
-	    r->last.verdict == VERDICT_NOT_RUN ? "request_not_run"
-					       : "request_may_have_run");
-	r->told = true;
-	if (r->gone)
+	    r->last_err.verdict == VERDICT_NOT_RUN ? "request_not_run"
+						   : "request_may_have_run");
+	r->answer_sent = true;
+	if (r->exchange_over)
 		return;
-	put_headers(r, r->last.verdict);
-	answer_error(r->message, &r->last);
+	set_common_headers(r, r->last_err.verdict);
+	answer_error(r->message, &r->last_err);
 	soup_server_message_unpause(r->message);
 }
 
 /*
- * The answer broke after it began to reach the caller. It must not look
- * whole: a stream of events gets an error event and no [DONE]; anything else is
- * closed without the end that HTTP calls for.
+ * The answer failed after a part of it was sent. It must not look complete: an
+ * event stream gets an error event and no [DONE]; for anything else the
+ * connection is closed without the terminator that HTTP requires.
  */
 void
-answer_cut(struct request *r)
+answer_abort(struct request *r)
 {
 	GSocket *socket;
 	char *event;
 
 	request_count(r, "request_cut");
 	tl_add(r->entry->proc.timeline, "answer_cut", r->id, "%s",
-	    r->last.message);
-	r->told = true;
-	if (r->gone)
+	    r->last_err.message);
+	r->answer_sent = true;
+	if (r->exchange_over)
 		return;
 	if (!r->streamed) {
 		socket = soup_server_message_get_socket(r->message);
@@ -155,22 +156,24 @@
 		soup_server_message_unpause(r->message);
 		return;
 	}
-	event = g_strdup_printf("event: error\ndata: {\"error\":{\"code\":"
-				"\"%s\",\"message\":\"the answer broke off\","
-				"\"verdict\":\"%s\"}}\n\n",
-	    err_code_name(r->last.code), verdict_name(VERDICT_MAY_HAVE_RUN));
+	event =
+	    g_strdup_printf("event: error\ndata: {\"error\":{\"code\":"
+			    "\"%s\",\"message\":\"the answer was interrupted\","
+			    "\"verdict\":\"%s\"}}\n\n",
+		err_code_name(r->last_err.code),
+		verdict_name(VERDICT_MAY_HAVE_RUN));
 	answer_append(r, (const uint8_t *)event, strlen(event));
-	soup_message_body_complete(body_of(r));
+	soup_message_body_complete(response_body(r));
 	soup_server_message_unpause(r->message);
 	g_free(event);
 }
 
-/* A message that stays paused keeps its connection open for ever, as nobody
- * looks at its socket any more. Let go, it ends with the first write. */
+/* A paused message keeps its connection open for ever, because libsoup no
+ * longer polls its socket. Unpaused, it ends with the first write. */
 void
-answer_let_go(struct request *r)
+answer_release(struct request *r)
 {
-	if (r->gone || r->told)
+	if (r->exchange_over || r->answer_sent)
 		return;
 	soup_server_message_set_status(
 	    r->message, SOUP_STATUS_SERVICE_UNAVAILABLE, NULL);
--- a/programs/entry/keyed.c
+++ b/programs/entry/keyed.c
@@ -1,23 +1,24 @@
-/* Keyed requests: claimed before they are sent, their outcome recorded. */
+/* Requests with an idempotency key: claimed before they are sent; their
+ * outcome is recorded. */
 
 #include <string.h>
 
 #include "entry/request.h"
 
-/* For the claim, or for the outcome of another try with the same key. */
-#define CLAIM_MOST_MS 10000
+/* Limit on the wait for the claim, or for the outcome of an earlier request
+ * with the same key. */
+#define CLAIM_TIMEOUT_MS 10000
 
 void
 keyed_init(struct request *r, const char *key)
 {
 	bool model = r->model[0] != '\0';
 
-	r->key = g_strdup_printf("%s/%s%s/%s", r->team,
+	r->key = g_strdup_printf("%s/%s%s/%s", r->workspace,
 	    model ? "model:" : "service:", model ? r->model : r->service, key);
-	r->asker = g_strdup_printf("%s/%s", r->entry->proc.node.id, r->id);
+	r->claimant = g_strdup_printf("%s/%s", r->entry->proc.node.id, r->id);
 }
 
-/* The key was granted, or why not. */
 static void
 on_claim(enum clm_result result, const struct clm_outcome *outcome, void *ctx)
 {
@@ -26,17 +27,17 @@
 	r->claim = NULL;
 	switch (result) {
 	case CLM_GRANTED:
-		err_set(&r->last, ERR_DEADLINE, VERDICT_NOT_RUN,
-		    "the deadline passed while the key was claimed");
-		request_take(r, ATT_CLAIMED);
+		err_set(&r->last_err, ERR_DEADLINE, VERDICT_NOT_RUN,
+		    "the deadline expired while the key was being claimed");
+		request_step(r, ATT_CLAIMED);
 		return;
 	case CLM_RECORDED:
 		r->recorded = outcome;
-		request_take(r, ATT_DONE);
+		request_step(r, ATT_DONE);
 		return;
 	default:
-		clm_error(result, &r->last);
-		request_take(
+		clm_error(result, &r->last_err);
+		request_step(
 		    r, result == CLM_IN_DOUBT ? ATT_LOST : ATT_REFUSED);
 		return;
 	}
@@ -47,12 +48,12 @@
 {
 	struct request *r = ctx;
 	int64_t now_us = clk_now_us(clk_system());
-	struct claim_wish wish = {
+	struct claim_wish params = {
 		.key = r->key,
-		.asker = r->asker,
-		.keep_ms = (unsigned int)MAX(request_left_ms(r), 0),
+		.asker = r->claimant,
+		.keep_ms = (unsigned int)MAX(request_remaining_ms(r), 0),
 		.until_us =
-		    MIN(r->deadline_us, now_us + CLAIM_MOST_MS * 1000LL),
+		    MIN(r->deadline_us, now_us + CLAIM_TIMEOUT_MS * 1000LL),
 	};
 	struct digest_stream *body = digest_stream_new();
 
@@ -61,8 +62,8 @@
 	if (r->body != NULL)
 		digest_stream_add(body, g_bytes_get_data(r->body, NULL),
 		    g_bytes_get_size(r->body));
-	digest_stream_end(body, &wish.body);
-	r->claim = claim_start(r->entry, &wish, on_claim, r);
+	digest_stream_end(body, &params.body);
+	r->claim = claim_start(r->entry, &params, on_claim, r);
 }
 
 void
@@ -72,7 +73,7 @@
 }
 
 static bool
-is_short_text(const GByteArray *bytes)
+is_recordable(const GByteArray *bytes)
 {
 	return bytes->len <= CLM_ANSWER_MAX &&
 	    g_utf8_validate((const char *)bytes->data, bytes->len, NULL);
@@ -88,22 +89,22 @@
 	if (r->claim != NULL)
 		claim_drop(r->claim);
 	r->claim = NULL;
-	if (r->answered) {
-		if (!r->begun && is_short_text(r->held))
+	if (r->complete) {
+		if (!r->head_sent && is_recordable(r->buffer))
 			answer = g_strndup(
-			    (const char *)r->held->data, r->held->len);
+			    (const char *)r->buffer->data, r->buffer->len);
 		outcome = (struct clm_outcome){
 			.verdict = VERDICT_RAN,
 			.status = (unsigned int)r->head.status,
 			.type = r->type,
 			.answer = answer,
 		};
-		if (r->hash != NULL)
+		if (r->answer_hash != NULL)
 			digest_stream_end(
-			    g_steal_pointer(&r->hash), &outcome.digest);
-	} else if (r->att.may_have_run || r->begun) {
+			    g_steal_pointer(&r->answer_hash), &outcome.digest);
+	} else if (r->att.may_have_run || r->head_sent) {
 		outcome.verdict = VERDICT_MAY_HAVE_RUN;
 	}
-	claim_settle(r->entry, r->key, r->asker, &outcome);
+	claim_settle(r->entry, r->key, r->claimant, &outcome);
 	g_free(answer);
 }
--- a/programs/entry/request.c
+++ b/programs/entry/request.c
@@ -1,4 +1,5 @@
-/* One caller's request over its attempts: the I/O behind charts/attempt. */
+/* One caller's request and its attempts: the I/O of the state machine in
+ * charts/attempt. */
 
 #include <errno.h>
 #include <string.h>
@@ -6,14 +7,14 @@
 
 #include "entry/request.h"
 
-/* An answer that is not streamed is held up to this size until it is whole,
- * so that a broken one can be run again and the caller sees no trace. */
-#define HOLD_MAX RT_WINDOW
-#define VERSIONS_MAX 256 /* of a model; the settings allow no more */
-#define MIN_TRY_MS 20 /* less time left than this is not worth a try */
-/* The users' measure: the first token of an admitted request. */
-#define FIRST_TOKEN_GOAL_US (1500 * 1000)
-#define RETRY_AFTER_MS 1000 /* advice when no target is there at all */
+/* An answer that is not streamed is buffered up to this size until it is
+ * complete, so that a failed attempt can be retried unseen by the caller. */
+#define BUFFER_MAX RT_WINDOW
+#define VERSIONS_MAX 256 /* of one model; the limit in the settings */
+#define MIN_ATTEMPT_MS 20 /* no attempt with less time than this left */
+/* The users' limit for the first token of an admitted request. */
+#define FIRST_TOKEN_LIMIT_US (1500 * 1000)
+#define RETRY_AFTER_MS 1000 /* Retry-After when no target is in backoff */
 
 static void free_request(struct request *r);
 
@@ -27,83 +28,85 @@
 	ctr_add(ctr_get(r->entry->proc.counters, name), 1);
 }
 
-/* `err` says how the attempt ended, for what is believed of its target. */
+/* Ends the attempt; `err` is its result, for the estimates of its target. */
 static void
-leave_stream(struct request *r, const struct err *err)
+end_attempt(struct request *r, const struct err *err)
 {
-	if (r->side == NULL)
+	if (r->sidecar == NULL)
 		return;
-	g_hash_table_remove(r->side->streams, &r->stream);
+	g_hash_table_remove(r->sidecar->streams, &r->stream);
 	rt_target_ended(r->target, err, clk_now_us(clk_system()));
-	r->side = NULL;
+	r->sidecar = NULL;
 }
 
 static void
-heard(struct request *r)
+note_response(struct request *r)
 {
 	rt_target_responded(
-	    r->target, !r->heard, r->sent_us, clk_now_us(clk_system()));
-	r->heard = true;
+	    r->target, !r->responded, r->sent_us, clk_now_us(clk_system()));
+	r->responded = true;
 }
 
 int64_t
-request_left_ms(const struct request *r)
+request_remaining_ms(const struct request *r)
 {
 	return (r->deadline_us - clk_now_us(clk_system())) / 1000;
 }
 
 void
-request_take(struct request *r, enum att_event event)
+request_step(struct request *r, enum att_event event)
 {
-	r->att.facts.time_left = request_left_ms(r) >= MIN_TRY_MS;
-	r->att.facts.nothing_sent = r->side == NULL;
-	r->att.facts.budget = gatekeeper_may_retry(r->entry, r->team);
+	r->att.facts.time_left = request_remaining_ms(r) >= MIN_ATTEMPT_MS;
+	r->att.facts.nothing_sent = r->sidecar == NULL;
+	r->att.facts.budget = gatekeeper_may_retry(r->entry, r->workspace);
 	att_take(&r->att, event);
 	if (att_is_over(&r->att))
 		free_request(r);
 }
 
 static gboolean
-take_later(gpointer data)
+step_later(gpointer data)
 {
 	struct request *r = data;
 
 	r->event_idle = 0;
-	request_take(r, r->event);
+	request_step(r, r->event);
 	return G_SOURCE_REMOVE;
 }
 
-/* No target: the attempt is refused, but not from within this step. */
+/* No target: refuses the attempt from the main loop, because the state machine
+ * takes no event within a step. */
 static void
-refuse_later(struct request *r, int64_t rest_ends_us)
+refuse_later(struct request *r, int64_t backoff_ends_us)
 {
-	int64_t rest_us = rest_ends_us - clk_now_us(clk_system());
+	int64_t backoff_us = backoff_ends_us - clk_now_us(clk_system());
 
-	err_set(&r->last, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
-	    "no target can take it now");
-	r->last.retry_after_ms = RETRY_AFTER_MS;
-	if (rest_us > 0)
-		r->last.retry_after_ms = (unsigned int)(rest_us / 1000 + 1);
+	err_set(&r->last_err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
+	    "no target can accept the request now");
+	r->last_err.retry_after_ms = RETRY_AFTER_MS;
+	if (backoff_us > 0)
+		r->last_err.retry_after_ms =
+		    (unsigned int)(backoff_us / 1000 + 1);
 	r->att.facts.max_attempts = r->att.facts.attempts;
 	r->event = ATT_REFUSED;
 	r->event_idle =
-	    g_idle_add_full(G_PRIORITY_DEFAULT, take_later, r, NULL);
+	    g_idle_add_full(G_PRIORITY_DEFAULT, step_later, r, NULL);
 }
 
-/* NULL when there is none; `rest_ends_us` then says when one that rests may
- * be used again, if any does. */
+/* Returns NULL when there is no target; `backoff_ends_us` is then when the
+ * first target in backoff may be used again, or 0 when none is in backoff. */
 static struct rt_target *
-choose(struct request *r, int64_t *rest_ends_us)
+choose_target(struct request *r, int64_t *backoff_ends_us)
 {
-	const struct rt_team *team = entry_team(r->entry, r->team);
+	const struct rt_team *workspace = entry_team(r->entry, r->workspace);
 	const struct rt_model *model =
-	    team == NULL ? NULL : rt_team_model(team, r->model);
+	    workspace == NULL ? NULL : rt_team_model(workspace, r->model);
 	const struct rt_service *service =
-	    team == NULL ? NULL : rt_team_service(team, r->service);
+	    workspace == NULL ? NULL : rt_team_service(workspace, r->service);
 	struct digest roots[VERSIONS_MAX];
-	struct rt_criteria wish = {
+	struct rt_criteria criteria = {
 		.kind = r->model[0] != '\0' ? RT_ENGINE : RT_SERVICE,
-		.workspace = r->team,
+		.workspace = r->workspace,
 		.service = r->service,
 		.roots = roots,
 		.domain = cfg_str(r->entry->proc.cfg, "node.domain"),
@@ -114,17 +117,17 @@
 	int64_t now_us = clk_now_us(clk_system());
 	struct rt_target *target;
 
-	*rest_ends_us = 0;
+	*backoff_ends_us = 0;
 	if (model == NULL && service == NULL)
-		return NULL; /* taken out of the settings meanwhile */
-	wish.pool = model != NULL ? model->pool : service->pool;
+		return NULL; /* removed from the settings meanwhile */
+	criteria.pool = model != NULL ? model->pool : service->pool;
 	if (model != NULL && model->nversions <= VERSIONS_MAX)
-		wish.nroots = rt_model_roots(model,
-		    hash64(0, r->id, strlen(r->id)), roots, &wish.ranked);
-	target = rt_choose(r->entry->fleet, &wish, now_us, &r->entry->rng);
+		criteria.nroots = rt_model_roots(model,
+		    hash64(0, r->id, strlen(r->id)), roots, &criteria.ranked);
+	target = rt_choose(r->entry->fleet, &criteria, now_us, &r->entry->rng);
 	if (target == NULL)
-		*rest_ends_us =
-		    rt_backoff_ends_us(r->entry->fleet, &wish, now_us);
+		*backoff_ends_us =
+		    rt_backoff_ends_us(r->entry->fleet, &criteria, now_us);
 	return target;
 }
 
@@ -138,7 +141,7 @@
 		.stream = (uint64_t)r->stream,
 		.request_id = slice_str(r->id),
 		.attempt = r->att.facts.attempts,
-		.deadline_ms = (uint64_t)MAX(request_left_ms(r), 0),
+		.deadline_ms = (uint64_t)MAX(request_remaining_ms(r), 0),
 		.target = slice_str(r->target->name),
 		.method = slice_str(r->method),
 		.path = slice_str(r->path),
@@ -150,32 +153,32 @@
 		.stall_ms = r->stall_ms,
 	};
 
-	conn_send(r->side->conn, &rt_request_desc, &message);
+	conn_send(r->sidecar->conn, &rt_request_desc, &message);
 }
 
 static void
 op_dispatch(void *ctx)
 {
 	struct request *r = ctx;
-	int64_t rest_ends_us;
-	struct rt_target *target = choose(r, &rest_ends_us);
+	int64_t backoff_ends_us;
+	struct rt_target *target = choose_target(r, &backoff_ends_us);
 
 	if (target == NULL) {
-		refuse_later(r, rest_ends_us);
+		refuse_later(r, backoff_ends_us);
 		return;
 	}
 	r->tried[r->att.facts.attempts++] = target;
 	r->target = target;
-	r->side = target->owner;
+	r->sidecar = target->owner;
 	r->stream = (int64_t)++r->entry->next_stream;
 	r->sent_us = clk_now_us(clk_system());
-	r->heard = false;
+	r->responded = false;
 	rt_target_sent(target, r->sent_us);
 	rt_fleet_prefix_sent(r->entry->fleet, target, r->prefix, r->sent_us);
-	g_hash_table_insert(r->side->streams, &r->stream, r);
+	g_hash_table_insert(r->sidecar->streams, &r->stream, r);
 	if (r->att.facts.attempts > 1) {
 		request_count(r, "request_retries");
-		gatekeeper_retried(r->entry, r->team);
+		gatekeeper_retried(r->entry, r->workspace);
 	}
 	send_request(r);
 }
@@ -187,11 +190,11 @@
 	struct rt_cancel cancel = { .stream = (uint64_t)r->stream };
 	const struct err cancelled = { .code = ERR_CANCELLED };
 
-	if (r->side == NULL)
+	if (r->sidecar == NULL)
 		return;
-	if (r->side->open && r->att.facts.idempotent)
-		conn_send(r->side->conn, &rt_cancel_desc, &cancel);
-	leave_stream(r, &cancelled);
+	if (r->sidecar->open && r->att.facts.idempotent)
+		conn_send(r->sidecar->conn, &rt_cancel_desc, &cancel);
+	end_attempt(r, &cancelled);
 }
 
 static void
@@ -199,7 +202,7 @@
 {
 	struct request *r = ctx;
 
-	if (!r->begun)
+	if (!r->head_sent)
 		answer_begin(r);
 }
 
@@ -208,7 +211,7 @@
 {
 	struct request *r = ctx;
 
-	r->answered = true;
+	r->complete = true;
 	if (r->recorded != NULL)
 		answer_recorded(r);
 	else
@@ -224,7 +227,7 @@
 static void
 op_cut(void *ctx)
 {
-	answer_cut(ctx);
+	answer_abort(ctx);
 }
 
 static const struct att_ops ops = {
@@ -240,7 +243,7 @@
 };
 
 /* ------------------------------------------------------------------ */
-/* From the side                                                       */
+/* Messages of the sidecar                                             */
 /* ------------------------------------------------------------------ */
 
 void
@@ -248,10 +251,10 @@
 {
 	char *headers = slice_dup(head->headers);
 
-	heard(r);
+	note_response(r);
 	if (r->key != NULL) {
-		digest_stream_free(r->hash);
-		r->hash = digest_stream_new();
+		digest_stream_free(r->answer_hash);
+		r->answer_hash = digest_stream_new();
 	}
 	r->head = *head;
 	r->head.headers = (struct slice){ NULL, 0 };
@@ -260,86 +263,86 @@
 	    ? g_strndup(headers + 14, strcspn(headers + 14, "\n"))
 	    : g_strdup("application/octet-stream");
 	g_free(headers);
-	g_byte_array_set_size(r->held, 0);
+	g_byte_array_set_size(r->buffer, 0);
 	adm_first_byte(&r->ticket, clk_now_us(clk_system()));
 	if (r->streamed)
-		request_take(r, ATT_HEAD);
+		request_step(r, ATT_HEAD);
 }
 
-/* The side may overshoot the window by what it read last, and a message that
- * gives back more than a window is malformed: the side would drop it and the
- * stream would stand still until its deadline. */
+/* The sidecar may exceed the window by its last read. A message that returns
+ * more than one window is malformed: the sidecar would drop it and the stream
+ * would stall until its deadline. */
 static void
-give_window(struct request *r, size_t len)
+send_window_update(struct request *r, size_t len)
 {
 	struct rt_window window = { .stream = (uint64_t)r->stream };
 
-	if (r->side == NULL || !r->side->open)
+	if (r->sidecar == NULL || !r->sidecar->open)
 		return;
 	for (; len > 0; len -= window.bytes) {
 		window.bytes = MIN(len, RT_WINDOW);
-		conn_send(r->side->conn, &rt_window_desc, &window);
+		conn_send(r->sidecar->conn, &rt_window_desc, &window);
 	}
 }
 
 void
 request_data(struct request *r, const uint8_t *bytes, size_t len)
 {
-	heard(r);
-	if (r->hash != NULL)
-		digest_stream_add(r->hash, bytes, len);
-	if (r->begun) {
+	note_response(r);
+	if (r->answer_hash != NULL)
+		digest_stream_add(r->answer_hash, bytes, len);
+	if (r->head_sent) {
 		answer_append(r, bytes, len);
-		if (r->gone) /* nobody else will say that they were taken */
-			give_window(r, len);
+		if (r->exchange_over) /* on_wrote is no longer called */
+			send_window_update(r, len);
 		return;
 	}
-	g_byte_array_append(r->held, bytes, (guint)len);
-	if (r->held->len < HOLD_MAX)
+	g_byte_array_append(r->buffer, bytes, (guint)len);
+	if (r->buffer->len < BUFFER_MAX)
 		return;
-	/* Too large to hold back any longer. */
+	/* Too large to buffer. */
 	answer_begin(r);
-	answer_append(r, r->held->data, r->held->len);
-	if (r->gone)
-		give_window(r, r->held->len);
-	g_byte_array_set_size(r->held, 0);
-	request_take(r, ATT_HEAD);
+	answer_append(r, r->buffer->data, r->buffer->len);
+	if (r->exchange_over)
+		send_window_update(r, r->buffer->len);
+	g_byte_array_set_size(r->buffer, 0);
+	request_step(r, ATT_HEAD);
 }
 
 void
 request_end(struct request *r, const struct err *err)
 {
-	leave_stream(r, err);
+	end_attempt(r, err);
 	if (!err_is(err) && err->verdict == VERDICT_RAN) {
 		r->outcome = ADM_ANSWERED;
-		request_take(r, ATT_DONE);
+		request_step(r, ATT_DONE);
 		return;
 	}
-	r->last = *err;
+	r->last_err = *err;
 	r->outcome = ADM_OTHER;
 	if (err->code == ERR_OVERLOADED) {
 		r->outcome = ADM_OVERLOADED;
 		adm_overloaded(&r->ticket, clk_now_us(clk_system()));
 	}
-	request_take(
+	request_step(
 	    r, err->verdict == VERDICT_NOT_RUN ? ATT_REFUSED : ATT_LOST);
 }
 
 /* ------------------------------------------------------------------ */
-/* From the caller and the clock                                       */
+/* Caller and deadline                                                 */
 /* ------------------------------------------------------------------ */
 
 static void
 on_wrote(SoupServerMessage *message, guint size, gpointer data)
 {
-	give_window(data, size);
+	send_window_update(data, size);
 }
 
 static void
-caller_gone(struct request *r)
+caller_disconnected(struct request *r)
 {
 	request_count(r, "request_caller_gone");
-	request_take(r, ATT_CALLER_GONE);
+	request_step(r, ATT_CALLER_GONE);
 }
 
 static void
@@ -347,12 +350,12 @@
 {
 	struct request *r = data;
 
-	r->gone = true;
-	caller_gone(r);
+	r->exchange_over = true;
+	caller_disconnected(r);
 }
 
-/* While we wait nobody reads the caller's socket; a look at it tells a
- * caller that hung up, so that the work can stop. */
+/* While the message is paused libsoup doesn't read the caller's socket; a peek
+ * at it detects a disconnected caller, so that the work can stop. */
 static gboolean
 on_caller_readable(GSocket *socket, GIOCondition cond, gpointer data)
 {
@@ -361,11 +364,11 @@
 	ssize_t n =
 	    recv(g_socket_get_fd(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
-	g_source_unref(r->gone_source);
-	r->gone_source = NULL;
-	/* A caller that died with unread bytes resets the connection. */
+	g_source_unref(r->hangup_source);
+	r->hangup_source = NULL;
+	/* A caller that exits with unread bytes resets the connection. */
 	if (n == 0 || (n < 0 && errno != EAGAIN))
-		caller_gone(r);
+		caller_disconnected(r);
 	return G_SOURCE_REMOVE;
 }
 
@@ -375,11 +378,11 @@
 	struct request *r = data;
 
 	r->deadline_timer = 0;
-	err_set(&r->last, ERR_DEADLINE,
-	    r->side == NULL ? VERDICT_NOT_RUN : VERDICT_MAY_HAVE_RUN,
-	    "the deadline passed");
+	err_set(&r->last_err, ERR_DEADLINE,
+	    r->sidecar == NULL ? VERDICT_NOT_RUN : VERDICT_MAY_HAVE_RUN,
+	    "the deadline expired");
 	request_count(r, "request_deadlines");
-	request_take(r, ATT_DEADLINE);
+	request_step(r, ATT_DEADLINE);
 	return G_SOURCE_REMOVE;
 }
 
@@ -388,7 +391,7 @@
 /* ------------------------------------------------------------------ */
 
 static struct request *
-of_ticket(struct adm_ticket *ticket)
+request_of_ticket(struct adm_ticket *ticket)
 {
 	return CONTAINER_OF(ticket, struct request, ticket);
 }
@@ -396,17 +399,17 @@
 static void
 on_admitted(struct adm_ticket *ticket, void *ctx)
 {
-	request_take(of_ticket(ticket), ATT_START);
+	request_step(request_of_ticket(ticket), ATT_START);
 }
 
 static void
 on_not_admitted(struct adm_ticket *ticket, const struct err *err, void *ctx)
 {
-	struct request *r = of_ticket(ticket);
+	struct request *r = request_of_ticket(ticket);
 
-	r->last = *err;
+	r->last_err = *err;
 	request_count(r, "request_not_admitted");
-	request_take(r, ATT_REFUSED);
+	request_step(r, ATT_REFUSED);
 }
 
 const struct adm_ops *
@@ -421,33 +424,33 @@
 }
 
 static void
-offer(struct request *r, unsigned int tokens)
+submit(struct request *r, unsigned int tokens)
 {
-	struct adm_queue *lane =
-	    gatekeeper_lane(r->entry, r->team, r->model, r->service);
+	struct adm_queue *queue =
+	    gatekeeper_lane(r->entry, r->workspace, r->model, r->service);
 	int64_t now_us = clk_now_us(clk_system());
 
 	r->ticket.priority = r->priority;
 	r->ticket.cost = tokens;
 	r->ticket.deadline_us = r->deadline_us;
 	if (r->streamed)
-		r->ticket.first_byte_by_us = now_us + FIRST_TOKEN_GOAL_US;
-	switch (adm_submit(lane, &r->ticket, now_us, &r->last)) {
+		r->ticket.first_byte_by_us = now_us + FIRST_TOKEN_LIMIT_US;
+	switch (adm_submit(queue, &r->ticket, now_us, &r->last_err)) {
 	case ADM_STARTED:
-		request_take(r, ATT_START);
+		request_step(r, ATT_START);
 		break;
 	case ADM_REFUSED:
 		request_count(r, "request_not_admitted");
-		request_take(r, ATT_REFUSED);
+		request_step(r, ATT_REFUSED);
 		break;
 	default:
 		break;
 	}
 }
 
-/* The ticket goes with the request, whatever became of it. */
+/* Closes the admission ticket, whatever the state of the request. */
 static void
-end_ticket(struct request *r)
+close_ticket(struct request *r)
 {
 	int64_t now_us = clk_now_us(clk_system());
 
@@ -460,7 +463,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Life of a request                                                   */
+/* Creation and release                                                */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -468,33 +471,33 @@
 {
 	const struct err cancelled = { .code = ERR_CANCELLED };
 
-	leave_stream(r, &cancelled);
+	end_attempt(r, &cancelled);
 	if (r->claim != NULL)
 		claim_drop(r->claim);
-	digest_stream_free(r->hash);
+	digest_stream_free(r->answer_hash);
 	g_signal_handler_disconnect(r->message, r->finished_signal);
 	g_signal_handler_disconnect(r->message, r->wrote_signal);
-	answer_let_go(r);
-	if (r->gone_source != NULL) {
-		g_source_destroy(r->gone_source);
-		g_source_unref(r->gone_source);
+	answer_release(r);
+	if (r->hangup_source != NULL) {
+		g_source_destroy(r->hangup_source);
+		g_source_unref(r->hangup_source);
 	}
 	if (r->deadline_timer != 0)
 		g_source_remove(r->deadline_timer);
 	if (r->event_idle != 0)
 		g_source_remove(r->event_idle);
 	r->entry->open_requests--;
-	end_ticket(r);
+	close_ticket(r);
 	g_object_unref(r->message);
 	if (r->body != NULL)
 		g_bytes_unref(r->body);
-	g_byte_array_unref(r->held);
+	g_byte_array_unref(r->buffer);
 	g_free(r->type);
 	g_free(r->method);
 	g_free(r->path);
 	g_free(r->headers);
 	g_free(r->key);
-	g_free(r->asker);
+	g_free(r->claimant);
 	g_free(r);
 }
 
@@ -509,10 +512,10 @@
 	    r->message, "wrote-body-data", G_CALLBACK(on_wrote), r);
 	if (socket == NULL)
 		return;
-	r->gone_source = g_socket_create_source(socket, G_IO_IN, NULL);
+	r->hangup_source = g_socket_create_source(socket, G_IO_IN, NULL);
 	g_source_set_callback(
-	    r->gone_source, G_SOURCE_FUNC(on_caller_readable), r, NULL);
-	g_source_attach(r->gone_source, NULL);
+	    r->hangup_source, G_SOURCE_FUNC(on_caller_readable), r, NULL);
+	g_source_attach(r->hangup_source, NULL);
 }
 
 struct rt_target *
@@ -523,46 +526,48 @@
 
 bool
 request_start(
-    struct entry *entry, const struct request_ask *ask, struct err *err)
+    struct entry *entry, const struct request_ask *params, struct err *err)
 {
 	struct request *r;
 
-	if (!gatekeeper_take(entry, ask->team->name, err))
+	if (!gatekeeper_take(entry, params->team->name, err))
 		return false;
 	r = g_new0(struct request, 1);
 	r->entry = entry;
-	r->message = g_object_ref(ask->message);
+	r->message = g_object_ref(params->message);
 	g_snprintf(r->id, sizeof(r->id), "%.12s-%08x-%" G_GUINT64_FORMAT,
 	    entry->proc.node.id, entry->run_id, ++entry->next_request);
-	g_strlcpy(r->team, ask->team->name, sizeof(r->team));
-	if (ask->model != NULL)
-		g_strlcpy(r->model, ask->model->name, sizeof(r->model));
-	if (ask->service != NULL) {
-		g_strlcpy(r->service, ask->service->name, sizeof(r->service));
-		r->stall_ms = ask->service->stall_ms;
+	g_strlcpy(r->workspace, params->team->name, sizeof(r->workspace));
+	if (params->model != NULL)
+		g_strlcpy(r->model, params->model->name, sizeof(r->model));
+	if (params->service != NULL) {
+		g_strlcpy(
+		    r->service, params->service->name, sizeof(r->service));
+		r->stall_ms = params->service->stall_ms;
 	}
-	r->method = g_strdup(ask->method);
-	r->path = g_strdup(ask->path);
+	r->method = g_strdup(params->method);
+	r->path = g_strdup(params->path);
 	r->headers = g_strdup("Content-Type: application/json\n");
-	r->body = ask->body == NULL ? NULL : g_bytes_ref(ask->body);
-	r->streamed = ask->streamed;
-	r->priority = ask->priority;
-	r->prefix = ask->prefix;
-	r->held = g_byte_array_new();
+	r->body = params->body == NULL ? NULL : g_bytes_ref(params->body);
+	r->streamed = params->streamed;
+	r->priority = params->priority;
+	r->prefix = params->prefix;
+	r->buffer = g_byte_array_new();
 	r->outcome = ADM_OTHER;
-	if (ask->key != NULL && !ask->idempotent)
-		keyed_init(r, ask->key);
-	r->deadline_us = clk_now_us(clk_system()) + ask->deadline_ms * 1000LL;
-	r->deadline_timer = g_timeout_add(ask->deadline_ms, on_deadline, r);
+	if (params->key != NULL && !params->idempotent)
+		keyed_init(r, params->key);
+	r->deadline_us =
+	    clk_now_us(clk_system()) + params->deadline_ms * 1000LL;
+	r->deadline_timer = g_timeout_add(params->deadline_ms, on_deadline, r);
 	entry->open_requests++;
 	soup_server_message_pause(r->message);
 	watch_caller(r);
 	att_init(&r->att, entry->attempts, &ops, r);
 	r->att.facts = (struct att_facts){
-		.idempotent = ask->idempotent,
+		.idempotent = params->idempotent,
 		.keyed = r->key != NULL,
 		.max_attempts = MAX_ATTEMPTS,
 	};
-	offer(r, ask->tokens);
+	submit(r, params->tokens);
 	return true;
 }
