--- a/programs/entry/claim_ask.c
+++ b/programs/entry/claim_ask.c
@@ -1,35 +1,36 @@
 /*
- * The claim of one request, asked of the entry that owns its bucket. The ask
- * is repeated under the same name until it is answered: an answer may be
- * lost, and the owner may change.
+ * The claim of one request, requested from the gateway that owns its bucket.
+ * The claim request is repeated with the same claimant and number until it is
+ * answered, because the answer may be lost and the owner may change.
  */
 
 #include <string.h>
 
 #include "entry/entry.h"
 
-#define ASK_AGAIN_MS 300
-#define MOVED_FIRST_MS 5 /* before asking the next owner; doubled each time */
-/* The owner stops waiting so much before the asker, so that "in doubt" is
- * heard and not guessed. */
-#define OWNER_SOONER_MS 100
+#define RETRY_MS 300
+#define MOVED_BACKOFF_MS 5 /* delay before asking a new owner; doubles */
+/* The owner stops waiting this long before the claimant does, so that the
+ * claimant receives "in doubt" and need not assume it. */
+#define OWNER_MARGIN_MS 100
 
 struct claim {
 	struct entry *entry;
 	uint64_t number;
 	char *key;
-	char *asker;
+	char *claimant;
 	struct digest body;
 	unsigned int keep_ms;
-	int64_t until_us;
-	char owner[RT_NAME_MAX + 1]; /* as told by another; "": by the view */
-	unsigned int moves;
-	bool followed; /* `owner` was just told and not yet asked */
+	int64_t deadline_us;
+	/* As given by CLM_MOVED; "": the owner by the membership here. */
+	char owner[RT_NAME_MAX + 1];
+	unsigned int redirects;
+	bool redirected; /* `owner` is new and was not asked yet */
 	guint timer;
 	claim_cb *done;
 	void *ctx;
 
-	/* The answer, until it is handed over from the loop. */
+	/* The answer, until it is delivered from the main loop. */
 	bool answered;
 	enum clm_result result;
 	struct clm_outcome outcome;
@@ -38,9 +39,9 @@
 };
 
 static int64_t
-left_ms(const struct claim *c)
+remaining_ms(const struct claim *c)
 {
-	return (c->until_us - clk_now_us(clk_system())) / 1000;
+	return (c->deadline_us - clk_now_us(clk_system())) / 1000;
 }
 
 static const char *
@@ -56,14 +57,14 @@
 		g_source_remove(c->timer);
 	g_hash_table_remove(c->entry->asking, &c->number);
 	g_free(c->key);
-	g_free(c->asker);
+	g_free(c->claimant);
 	g_free(c->type);
 	g_free(c->answer);
 	g_free(c);
 }
 
 static gboolean
-hand_over(gpointer data)
+deliver(gpointer data)
 {
 	struct claim *c = data;
 
@@ -74,23 +75,23 @@
 }
 
 static void
-end_with(struct claim *c, enum clm_result result)
+finish(struct claim *c, enum clm_result result)
 {
 	if (c->timer != 0)
 		g_source_remove(c->timer);
 	c->answered = true;
 	c->result = result;
-	c->timer = g_idle_add_full(G_PRIORITY_DEFAULT, hand_over, c, NULL);
+	c->timer = g_idle_add_full(G_PRIORITY_DEFAULT, deliver, c, NULL);
 }
 
 /* ------------------------------------------------------------------ */
-/* Asking                                                              */
+/* Claim requests                                                      */
 /* ------------------------------------------------------------------ */
 
-static gboolean on_again(gpointer data);
+static gboolean on_retry(gpointer data);
 
 static void
-ask(struct claim *c)
+send_request(struct claim *c)
 {
 	const char *self = c->entry->proc.node.id;
 	const char *owner =
@@ -98,13 +99,13 @@
 	const struct rt_claim message = {
 		.number = c->number,
 		.key = slice_str(c->key),
-		.asker = slice_str(c->asker),
+		.asker = slice_str(c->claimant),
 		.body = c->body,
 		.keep_ms = c->keep_ms,
-		.wait_ms = (uint64_t)MAX(left_ms(c) - OWNER_SOONER_MS, 0),
+		.wait_ms = (uint64_t)MAX(remaining_ms(c) - OWNER_MARGIN_MS, 0),
 	};
 
-	c->timer = g_timeout_add(ASK_AGAIN_MS, on_again, c);
+	c->timer = g_timeout_add(RETRY_MS, on_retry, c);
 	if (strcmp(owner, self) == 0)
 		claims_ask(c->entry, self, &message);
 	else
@@ -112,25 +113,25 @@
 }
 
 static gboolean
-on_again(gpointer data)
+on_retry(gpointer data)
 {
 	struct claim *c = data;
 
 	c->timer = 0;
-	if (left_ms(c) <= 0) {
-		end_with(c, CLM_DOWN);
+	if (remaining_ms(c) <= 0) {
+		finish(c, CLM_DOWN);
 		return G_SOURCE_REMOVE;
 	}
-	if (!c->followed)
-		c->owner[0] = '\0'; /* no answer from it: by the view again */
-	c->followed = false;
-	ask(c);
+	if (!c->redirected)
+		c->owner[0] = '\0'; /* no answer: the owner by the membership */
+	c->redirected = false;
+	send_request(c);
 	return G_SOURCE_REMOVE;
 }
 
 struct claim *
-claim_start(struct entry *entry, const struct claim_wish *wish, claim_cb *done,
-    void *ctx)
+claim_start(struct entry *entry, const struct claim_wish *params,
+    claim_cb *done, void *ctx)
 {
 	struct claim *c = g_new0(struct claim, 1);
 
@@ -138,15 +139,15 @@
 		entry->asking = g_hash_table_new(g_int64_hash, g_int64_equal);
 	c->entry = entry;
 	c->number = ++entry->next_claim;
-	c->key = g_strdup(wish->key);
-	c->asker = g_strdup(wish->asker);
-	c->body = wish->body;
-	c->keep_ms = wish->keep_ms;
-	c->until_us = wish->until_us;
+	c->key = g_strdup(params->key);
+	c->claimant = g_strdup(params->asker);
+	c->body = params->body;
+	c->keep_ms = params->keep_ms;
+	c->deadline_us = params->until_us;
 	c->done = done;
 	c->ctx = ctx;
 	g_hash_table_insert(entry->asking, &c->number, c);
-	ask(c);
+	send_request(c);
 	return c;
 }
 
@@ -155,7 +156,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-follow(struct claim *c, struct slice owner)
+follow_redirect(struct claim *c, struct slice owner)
 {
 	char *id = slice_dup(owner);
 
@@ -163,9 +164,10 @@
 	g_free(id);
 	g_source_remove(c->timer);
 	c->timer = g_timeout_add(
-	    MIN(MOVED_FIRST_MS << MIN(c->moves, 8), ASK_AGAIN_MS), on_again, c);
-	c->moves++;
-	c->followed = true;
+	    MIN(MOVED_BACKOFF_MS << MIN(c->redirects, 8), RETRY_MS), on_retry,
+	    c);
+	c->redirects++;
+	c->redirected = true;
 }
 
 void
@@ -175,12 +177,12 @@
 	    ? NULL
 	    : g_hash_table_lookup(entry->asking, &answer->number);
 
-	/* None: a second answer, or one to a request that has ended; its
+	/* Not found: a duplicate answer, or the request has ended and its
 	 * claim was settled then. */
 	if (c == NULL || c->answered)
 		return;
 	if (answer->result == CLM_MOVED) {
-		follow(c, answer->owner);
+		follow_redirect(c, answer->owner);
 		return;
 	}
 	c->type = slice_dup(answer->type);
@@ -193,7 +195,7 @@
 		.answer = c->answer,
 		.digest = answer->digest,
 	};
-	end_with(c, (enum clm_result)answer->result);
+	finish(c, (enum clm_result)answer->result);
 }
 
 void
@@ -210,18 +212,18 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * To the owner by the view, which passes it on where that has changed. With
- * no way to it, this entry acts for the bucket: if the owner is dead, it
- * takes over.
+ * Sends the outcome to the owner by the membership here, which forwards it if
+ * the owner has changed. Without a connection to the owner this gateway settles
+ * the bucket itself: if the owner is dead, it takes over.
  */
 void
-claim_settle(struct entry *entry, const char *key, const char *asker,
+claim_settle(struct entry *entry, const char *key, const char *claimant,
     const struct clm_outcome *outcome)
 {
 	const char *owner = owner_of(entry, key);
 	const struct rt_claim_settle settle = {
 		.key = slice_str(key),
-		.asker = slice_str(asker),
+		.asker = slice_str(claimant),
 		.verdict = outcome->verdict,
 		.status = outcome->status,
 		.type = slice_str(outcome->type),
