--- a/programs/entry/claims.c
+++ b/programs/entry/claims.c
@@ -1,7 +1,7 @@
 /*
- * Buckets of claims at this entry: the I/O behind clm_*. Objects
- * `claims/NN` hold them; asks come from requests here and from other
- * entries, and their answers go back by number.
+ * Buckets of claims at this gateway: the I/O of clm_*. A bucket is stored in
+ * the object `claims/NN`. Claim requests come from callers' requests here and
+ * from other gateways; an answer carries the number of its claim request.
  */
 
 #include <string.h>
@@ -10,13 +10,13 @@
 
 #define KEY_SIZE 32
 #define READ_DEADLINE_MS 1000
-/* Within the lease, so that a write that ends well can still grant. */
+/* Shorter than the lease, so that a successful write can still grant. */
 #define WRITE_DEADLINE_MS 1000
 
 struct bucket {
 	struct claims *claims;
 	unsigned int number;
-	struct clm *clm; /* NULL: never asked for */
+	struct clm *clm; /* NULL: not used yet */
 	char op[OBJ_OP_MAX];
 };
 
@@ -25,19 +25,19 @@
 	struct obj *obj;
 	struct clm_pace pace;
 	struct bucket bucket[CLM_BUCKETS];
-	GHashTable *asks; /* "ENTRY/NUMBER" -> struct ask */
-	unsigned int first; /* bucket that is ticked first, in turns */
+	GHashTable *requests; /* "ENTRY/NUMBER" -> struct claim_request */
+	unsigned int first_ticked; /* where on_tick starts; rotates */
 	guint timer;
-	guint move_idle;
+	guint members_idle;
 };
 
-/* An ask that the bucket has not answered. */
-struct ask {
-	struct clm_ask ask; /* first: clm hands back its address */
+/* A claim request that the bucket has not answered. */
+struct claim_request {
+	struct clm_ask base; /* first: the answer callback casts its address */
 	struct claims *claims;
 	char *id;
 	char *key;
-	char *asker;
+	char *claimant;
 	char from[RT_NAME_MAX + 1];
 	uint64_t number;
 };
@@ -59,15 +59,15 @@
 /* ------------------------------------------------------------------ */
 
 static void
-free_ask(gpointer data)
+free_request(gpointer data)
 {
-	struct ask *ask = data;
+	struct claim_request *request = data;
 
-	clm_forget(&ask->ask);
-	g_free(ask->id);
-	g_free(ask->key);
-	g_free(ask->asker);
-	g_free(ask);
+	clm_forget(&request->base);
+	g_free(request->id);
+	g_free(request->key);
+	g_free(request->claimant);
+	g_free(request);
 }
 
 static const char *const result_counters[CLM_RESULTS] = {
@@ -82,13 +82,13 @@
 };
 
 static void
-on_answer(struct clm_ask *clm_ask, enum clm_result result,
+on_answer(struct clm_ask *base, enum clm_result result,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
-	struct ask *ask = (struct ask *)clm_ask;
-	struct entry *entry = ask->claims->entry;
+	struct claim_request *request = (struct claim_request *)base;
+	struct entry *entry = request->claims->entry;
 	struct rt_claim_answer answer = {
-		.number = ask->number,
+		.number = request->number,
 		.result = result,
 		.owner = slice_str(owner),
 	};
@@ -101,11 +101,12 @@
 		answer.has_answer = outcome->answer != NULL;
 		answer.digest = outcome->digest;
 	}
-	if (strcmp(ask->from, entry->proc.node.id) == 0)
+	if (strcmp(request->from, entry->proc.node.id) == 0)
 		claim_take_answer(entry, &answer);
 	else
-		peers_send(entry, ask->from, &rt_claim_answer_desc, &answer);
-	g_hash_table_remove(ask->claims->asks, ask->id);
+		peers_send(
+		    entry, request->from, &rt_claim_answer_desc, &answer);
+	g_hash_table_remove(request->claims->requests, request->id);
 }
 
 /* ------------------------------------------------------------------ */
@@ -185,18 +186,18 @@
 	if (strcmp(id, entry->proc.node.id) == 0)
 		return true;
 	member = agr_member(entry->proc.agr, id);
-	/* One that leaves still ends what it runs. */
+	/* A leaving gateway still completes its requests. */
 	return member != NULL && member->state != MEM_DEAD;
 }
 
 static void
-on_pass_on(const char *key, const char *asker,
+on_forward(const char *key, const char *claimant,
     const struct clm_outcome *outcome, const char *owner, void *ctx)
 {
 	struct entry *entry = ((struct bucket *)ctx)->claims->entry;
 	const struct rt_claim_settle settle = {
 		.key = slice_str(key),
-		.asker = slice_str(asker),
+		.asker = slice_str(claimant),
 		.verdict = outcome->verdict,
 		.status = outcome->status,
 		.type = slice_str(outcome->type),
@@ -205,7 +206,7 @@
 		.digest = outcome->digest,
 	};
 
-	/* Lost, the claim stays without an outcome: in doubt, which is safe. */
+	/* If this is lost the claim has no outcome: in doubt, which is safe. */
 	if (!peers_send(entry, owner, &rt_claim_settle_desc, &settle))
 		count(entry, "claims_lost_outcomes");
 }
@@ -215,7 +216,7 @@
 	.write = on_write,
 	.answer = on_answer,
 	.is_live = on_is_live,
-	.pass_on = on_pass_on,
+	.pass_on = on_forward,
 };
 
 static struct bucket *
@@ -230,7 +231,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Asks and outcomes                                                   */
+/* Claim requests and outcomes                                         */
 /* ------------------------------------------------------------------ */
 
 void
@@ -239,33 +240,33 @@
 	struct claims *claims = entry->claims;
 	char *id =
 	    g_strdup_printf("%s/%" G_GUINT64_FORMAT, from, claim->number);
-	struct ask *ask;
+	struct claim_request *request;
 
-	if (g_hash_table_contains(claims->asks, id)) {
-		g_free(id); /* asked again, and still to be answered */
+	if (g_hash_table_contains(claims->requests, id)) {
+		g_free(id); /* a repeat; the first is still pending */
 		return;
 	}
-	ask = g_new0(struct ask, 1);
-	ask->claims = claims;
-	ask->id = id;
-	ask->key = slice_dup(claim->key);
-	ask->asker = slice_dup(claim->asker);
-	g_strlcpy(ask->from, from, sizeof(ask->from));
-	ask->number = claim->number;
-	ask->ask.key = ask->key;
-	ask->ask.asker = ask->asker;
-	ask->ask.body = claim->body;
-	ask->ask.keep_ms = (unsigned int)claim->keep_ms;
-	ask->ask.until_us = now_us() + (int64_t)claim->wait_ms * 1000;
-	g_hash_table_insert(claims->asks, ask->id, ask);
-	clm_ask(bucket_of(claims, ask->key)->clm, &ask->ask, now_us());
+	request = g_new0(struct claim_request, 1);
+	request->claims = claims;
+	request->id = id;
+	request->key = slice_dup(claim->key);
+	request->claimant = slice_dup(claim->asker);
+	g_strlcpy(request->from, from, sizeof(request->from));
+	request->number = claim->number;
+	request->base.key = request->key;
+	request->base.asker = request->claimant;
+	request->base.body = claim->body;
+	request->base.keep_ms = (unsigned int)claim->keep_ms;
+	request->base.until_us = now_us() + (int64_t)claim->wait_ms * 1000;
+	g_hash_table_insert(claims->requests, request->id, request);
+	clm_ask(bucket_of(claims, request->key)->clm, &request->base, now_us());
 }
 
 void
 claims_settle(struct entry *entry, const struct rt_claim_settle *settle)
 {
 	char *key = slice_dup(settle->key);
-	char *asker = slice_dup(settle->asker);
+	char *claimant = slice_dup(settle->asker);
 	char *type = slice_dup(settle->type);
 	char *answer = slice_dup(settle->answer);
 	const struct clm_outcome outcome = {
@@ -276,11 +277,11 @@
 		.digest = settle->digest,
 	};
 
-	clm_settle(
-	    bucket_of(entry->claims, key)->clm, key, asker, &outcome, now_us());
+	clm_settle(bucket_of(entry->claims, key)->clm, key, claimant, &outcome,
+	    now_us());
 	g_free(answer);
 	g_free(type);
-	g_free(asker);
+	g_free(claimant);
 	g_free(key);
 }
 
@@ -333,7 +334,7 @@
 }
 
 static void
-give_up(struct claims *claims, bool all)
+release_buckets(struct claims *claims, bool all)
 {
 	struct entry *entry = claims->entry;
 	unsigned int i;
@@ -348,16 +349,17 @@
 }
 
 static gboolean
-on_moved(gpointer data)
+on_members_idle(gpointer data)
 {
 	struct claims *claims = data;
 
-	claims->move_idle = 0;
-	give_up(claims, false);
+	claims->members_idle = 0;
+	release_buckets(claims, false);
 	return G_SOURCE_REMOVE;
 }
 
-/* The entries changed. Many changes come together when a node starts. */
+/* The set of gateways changed. When a node starts, many changes arrive at
+ * once: they are handled together when the main loop is idle. */
 void
 claims_members(struct entry *entry)
 {
@@ -365,26 +367,27 @@
 
 	claims->pace.writes_s =
 	    MAX(CLM_WRITES_S / MAX(entry->live_entries, 1), 1);
-	if (claims->move_idle == 0)
-		claims->move_idle = g_idle_add(on_moved, claims);
+	if (claims->members_idle == 0)
+		claims->members_idle = g_idle_add(on_members_idle, claims);
 }
 
 static gboolean
 is_from(gpointer key, gpointer value, gpointer data)
 {
-	return strcmp(((const struct ask *)value)->from, data) == 0;
+	return strcmp(((const struct claim_request *)value)->from, data) == 0;
 }
 
 void
 claims_entry_gone(struct entry *entry, const char *id)
 {
-	g_hash_table_foreach_remove(entry->claims->asks, is_from, (gpointer)id);
+	g_hash_table_foreach_remove(
+	    entry->claims->requests, is_from, (gpointer)id);
 }
 
 void
 claims_leave(struct entry *entry)
 {
-	give_up(entry->claims, true);
+	release_buckets(entry->claims, true);
 }
 
 static gboolean
@@ -393,9 +396,9 @@
 	struct claims *claims = data;
 	unsigned int i, n;
 
-	claims->first++;
+	claims->first_ticked++;
 	for (i = 0; i < CLM_BUCKETS; i++) {
-		n = (claims->first + i) % CLM_BUCKETS;
+		n = (claims->first_ticked + i) % CLM_BUCKETS;
 		if (claims->bucket[n].clm != NULL)
 			clm_tick(claims->bucket[n].clm, now_us());
 	}
@@ -412,8 +415,8 @@
 	claims->obj = obj_new(
 	    entry->proc.plat, cfg_str(entry->proc.cfg, "platform.objects"));
 	claims->pace.writes_s = CLM_WRITES_S;
-	claims->asks =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_ask);
+	claims->requests =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_request);
 	for (i = 0; i < CLM_BUCKETS; i++) {
 		claims->bucket[i].claims = claims;
 		claims->bucket[i].number = i;
