--- a/programs/entry/serve.c
+++ b/programs/entry/serve.c
@@ -1,4 +1,4 @@
-/* The entry process: set-up, settings in force, graceful stop. */
+/* The entry process: start, active settings, graceful stop. */
 
 #include <stdio.h>
 #include <string.h>
@@ -6,14 +6,16 @@
 #include "entry/entry.h"
 #include "shared/http.h"
 
-/* Callers that may wait to be taken in. GLib's 10 overflow when a batch of
- * callers arrives while the loop is busy; those left out try again only a
- * second later, which looks like a slow answer. The kernel caps it. */
+/* Connections that may wait for accept. GLib's default of 10 overflows when a
+ * batch of callers connects while the main loop is busy; TCP retries the
+ * others only after a second, which looks like a slow answer. The kernel caps
+ * this number. */
 #define LISTEN_BACKLOG 4096
 #define STOP_CHECK_MS 50
-#define STOP_LONGEST_MS 60000 /* a stream that never ends does not hold us */
-/* Callers' balancer looks at /healthz; it gets this long to see "draining"
- * before we refuse, so that a planned stop turns nobody away. */
+#define STOP_TIMEOUT_MS 60000 /* limit on the wait for open streams */
+/* The callers' load balancer polls /healthz. It gets this long to see
+ * "draining" before requests are refused, so that a planned stop refuses
+ * none. */
 #define STOP_NOTICE_MS 1000
 
 bool
@@ -87,7 +89,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-count_entry(const struct mem_member *member, void *ctx)
+count_gateway(const struct mem_member *member, void *ctx)
 {
 	unsigned int *n = ctx;
 
@@ -112,8 +114,8 @@
 	if (member->state == MEM_DEAD)
 		claims_entry_gone(entry, member->node.id);
 	if (entry->proc.agr == NULL)
-		return; /* still joining; the next change counts all */
-	agr_each_member(entry->proc.agr, count_entry, &n);
+		return; /* still joining; counted at the next change */
+	agr_each_member(entry->proc.agr, count_gateway, &n);
 	if (n == entry->live_entries)
 		return;
 	entry->live_entries = n;
@@ -122,7 +124,7 @@
 }
 
 static void
-take_root(struct entry *entry, struct cfg *cfg)
+apply_root(struct entry *entry, struct cfg *cfg)
 {
 	cfg_free(entry->root);
 	entry->root = cfg;
@@ -146,7 +148,7 @@
 		return;
 	}
 	if (root) {
-		take_root(entry, cfg);
+		apply_root(entry, cfg);
 		return;
 	}
 	g_hash_table_replace(entry->teams, g_strdup(branch->name),
@@ -161,7 +163,7 @@
 	struct entry *entry = ctx;
 
 	tl_add(entry->proc.timeline, "ready", entry->proc.node.id,
-	    "settings are in force");
+	    "settings are active");
 	log_info("entry %s is ready", entry->proc.node.id);
 }
 
@@ -170,20 +172,20 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-listen_at(SoupServer *server, GSocketAddress *at, GError **error)
+listen_on(SoupServer *server, GSocketAddress *at, GError **error)
 {
 	GSocket *socket = g_socket_new(g_socket_address_get_family(at),
 	    G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error);
-	bool good;
+	bool ok;
 
 	if (socket == NULL)
 		return false;
 	g_socket_set_listen_backlog(socket, LISTEN_BACKLOG);
-	good = g_socket_bind(socket, at, TRUE, error) &&
+	ok = g_socket_bind(socket, at, TRUE, error) &&
 	    g_socket_listen(socket, error) &&
 	    soup_server_listen_socket(server, socket, 0, error);
 	g_object_unref(socket);
-	return good;
+	return ok;
 }
 
 static bool
@@ -212,7 +214,7 @@
 	    entry->http, ctr_get(entry->proc.counters, "caller_malformed"));
 	caller_open(entry);
 	ops_open(entry);
-	if (!listen_at(entry->http, at, &error)) {
+	if (!listen_on(entry->http, at, &error)) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
 		    "cannot listen on %s: %s", address, error->message);
 		g_error_free(error);
@@ -259,14 +261,14 @@
 }
 
 static gboolean
-check_stopped(gpointer data)
+on_stop_tick(gpointer data)
 {
 	struct entry *entry = data;
 	static int waited_ms;
 
 	waited_ms += STOP_CHECK_MS;
 	if (waited_ms < STOP_NOTICE_MS ||
-	    (entry->open_requests > 0 && waited_ms < STOP_LONGEST_MS))
+	    (entry->open_requests > 0 && waited_ms < STOP_TIMEOUT_MS))
 		return G_SOURCE_CONTINUE;
 	entry->stop_timer = 0;
 	proc_quit(&entry->proc);
@@ -274,9 +276,9 @@
 }
 
 static void
-hand_over(gpointer team, gpointer lead, gpointer data)
+resign_role(gpointer workspace, gpointer leader, gpointer data)
 {
-	lead_hand_over(lead);
+	lead_hand_over(leader);
 }
 
 static void
@@ -290,10 +292,10 @@
 	tl_add(entry->proc.timeline, "leaving", entry->proc.node.id,
 	    "%u requests open", entry->open_requests);
 	log_info("entry %s is leaving", entry->proc.node.id);
-	g_hash_table_foreach(entry->leads, hand_over, NULL);
+	g_hash_table_foreach(entry->leads, resign_role, NULL);
 	agr_leave(entry->proc.agr);
 	claims_leave(entry);
-	entry->stop_timer = g_timeout_add(STOP_CHECK_MS, check_stopped, entry);
+	entry->stop_timer = g_timeout_add(STOP_CHECK_MS, on_stop_tick, entry);
 }
 
 int
