--- a/programs/entry/caller.c
+++ b/programs/entry/caller.c
@@ -8,9 +8,9 @@
 
 #define NOT_READY_RETRY_MS 1000
 #define PRIORITY_DEFAULT 100
-#define PRIORITY_MOST 1000
-#define TOKENS_DEFAULT 16 /* where a request does not say max_tokens */
-#define TOKENS_MOST 100000
+#define PRIORITY_MAX 1000
+#define TOKENS_DEFAULT 16 /* of a request without max_tokens */
+#define TOKENS_MAX 100000
 #define SERVICES_PREFIX "/services/"
 
 /* ------------------------------------------------------------------ */
@@ -71,7 +71,7 @@
 	return digest_equal_secret(&got, want);
 }
 
-/* Every refusal before a request is begun: counted, NOT_RUN. */
+/* Answers a request that is refused before it starts: counted, NOT_RUN. */
 static void
 refuse(struct entry *entry, SoupServerMessage *message, const struct err *err)
 {
@@ -91,98 +91,102 @@
 }
 
 static bool
-read_number(SoupServerMessage *message, const char *name, guint64 least,
-    guint64 most, unsigned int *out, struct err *err)
+read_number_header(SoupServerMessage *message, const char *name, guint64 min,
+    guint64 max, unsigned int *out, struct err *err)
 {
 	const char *text = header(message, name);
 	guint64 value;
 
 	if (text == NULL)
 		return true;
-	if (!g_ascii_string_to_unsigned(text, 10, least, most, &value, NULL)) {
+	if (!g_ascii_string_to_unsigned(text, 10, min, max, &value, NULL)) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "header %s: a number from %" G_GUINT64_FORMAT
-		    " to %" G_GUINT64_FORMAT " is needed",
-		    name, least, most);
+		    "header %s must be a number from %" G_GUINT64_FORMAT
+		    " to %" G_GUINT64_FORMAT,
+		    name, min, max);
 	}
 	*out = (unsigned int)value;
 	return true;
 }
 
-#define TOO_LARGE "currantchute-too-large" /* mark on a cut-off request */
+/* Data key, set on a message whose body was cut off. */
+#define TOO_LARGE_KEY "currantchute-too-large"
 
 static bool
 is_too_large(SoupServerMessage *message, struct err *err)
 {
-	if (g_object_get_data(G_OBJECT(message), TOO_LARGE) == NULL)
+	if (g_object_get_data(G_OBJECT(message), TOO_LARGE_KEY) == NULL)
 		return false;
-	err_set(err, ERR_TOO_LARGE, VERDICT_NOT_RUN, "body above %u bytes",
-	    RT_BODY_MAX);
+	err_set(err, ERR_TOO_LARGE, VERDICT_NOT_RUN,
+	    "the body is larger than %u bytes", RT_BODY_MAX);
 	return true;
 }
 
-/* Deadline, priority, key, body: alike for models and services. */
+/* Reads deadline, priority, key and body, for models and services. */
 static bool
 read_common(
-    SoupServerMessage *message, struct request_ask *ask, struct err *err)
+    SoupServerMessage *message, struct request_ask *params, struct err *err)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 
-	ask->deadline_ms = ask->team->default_deadline_ms;
-	ask->priority = PRIORITY_DEFAULT;
-	ask->key = header(message, "Idempotency-Key");
-	/* A longer deadline than the team's is cut to it, not refused. */
-	if (!read_number(message, "X-Deadline-Ms", 1, UINT32_MAX,
-		&ask->deadline_ms, err) ||
-	    !read_number(
-		message, "X-Priority", 0, PRIORITY_MOST, &ask->priority, err))
+	params->deadline_ms = params->team->default_deadline_ms;
+	params->priority = PRIORITY_DEFAULT;
+	params->key = header(message, "Idempotency-Key");
+	/* A deadline above the workspace's maximum is reduced to it and not
+	 * refused. */
+	if (!read_number_header(message, "X-Deadline-Ms", 1, UINT32_MAX,
+		&params->deadline_ms, err) ||
+	    !read_number_header(
+		message, "X-Priority", 0, PRIORITY_MAX, &params->priority, err))
 		return false;
-	ask->deadline_ms = MIN(ask->deadline_ms, ask->team->max_deadline_ms);
-	if (ask->key != NULL && strlen(ask->key) > RT_NAME_MAX) {
+	params->deadline_ms =
+	    MIN(params->deadline_ms, params->team->max_deadline_ms);
+	if (params->key != NULL && strlen(params->key) > RT_NAME_MAX) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "header Idempotency-Key: at most %d bytes", RT_NAME_MAX);
+		    "header Idempotency-Key is longer than %d bytes",
+		    RT_NAME_MAX);
 	}
 	if (is_too_large(message, err))
 		return false;
-	ask->body = soup_message_body_flatten(body);
+	params->body = soup_message_body_flatten(body);
 	return true;
 }
 
 static const struct rt_team *
-find_team(struct entry *entry, SoupServerMessage *message, const char *name,
-    struct err *err)
+find_workspace(struct entry *entry, SoupServerMessage *message,
+    const char *name, struct err *err)
 {
-	const struct rt_team *team = entry_team(entry, name);
+	const struct rt_team *workspace = entry_team(entry, name);
 
 	if (!entry_takes_work(entry)) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
-		    "no settings are in force here yet");
+		    "this gateway has no active settings yet");
 		err->retry_after_ms = NOT_READY_RETRY_MS;
 		return NULL;
 	}
-	if (team == NULL) {
+	if (workspace == NULL) {
 		err_set(err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
-		    "unknown team '%.40s'", name);
+		    "unknown workspace '%.40s'", name);
 		return NULL;
 	}
-	/* A team without a caller's token lets nobody in. */
-	if (digest_is_none(&team->caller_token) ||
-	    !bearer_is(message, &team->caller_token)) {
+	/* A workspace without a caller token accepts no caller. */
+	if (digest_is_none(&workspace->caller_token) ||
+	    !bearer_is(message, &workspace->caller_token)) {
 		ctr_add(ctr_get(entry->proc.counters, "caller_wrong_token"), 1);
 		err_set(err, ERR_UNAUTHORISED, VERDICT_NOT_RUN,
-		    "a caller's token of team '%.40s' is needed", name);
+		    "a caller token of workspace '%.40s' is required", name);
 		return NULL;
 	}
-	return team;
+	return workspace;
 }
 
 /* ------------------------------------------------------------------ */
 /* Models                                                              */
 /* ------------------------------------------------------------------ */
 
-/* What a chat request says in its JSON body. */
+/* Fields of a chat request's JSON body. */
 struct chat {
-	char *team, *model; /* of "model": "TEAM/MODEL" */
+	char *workspace, *model; /* "model" is WORKSPACE/MODEL */
 	bool streamed;
 	uint64_t prefix;
 	unsigned int tokens;
@@ -242,7 +246,7 @@
 		err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
 		    "'model' must be TEAM/MODEL");
 	else {
-		chat->team = g_strndup(name, (gsize)(slash - name));
+		chat->workspace = g_strndup(name, (gsize)(slash - name));
 		chat->model = g_strdup(slash + 1);
 		chat->streamed = json_object_get_boolean_member_with_default(
 		    o, "stream", FALSE);
@@ -250,7 +254,7 @@
 		chat->tokens =
 		    (unsigned int)CLAMP(json_object_get_int_member_with_default(
 					    o, "max_tokens", TOKENS_DEFAULT),
-			1, TOKENS_MOST);
+			1, TOKENS_MAX);
 	}
 	g_bytes_unref(bytes);
 	g_object_unref(parser);
@@ -261,9 +265,9 @@
 start_chat(struct entry *entry, SoupServerMessage *message,
     const struct chat *chat, struct err *err)
 {
-	struct request_ask ask = {
+	struct request_ask params = {
 		.message = message,
-		.team = find_team(entry, message, chat->team, err),
+		.team = find_workspace(entry, message, chat->workspace, err),
 		.method = "POST",
 		.path = "/v1/chat/completions",
 		.streamed = chat->streamed,
@@ -271,22 +275,22 @@
 		.tokens = chat->tokens,
 	};
 
-	if (ask.team == NULL)
+	if (params.team == NULL)
 		return;
-	ask.model = rt_team_model(ask.team, chat->model);
-	if (ask.model == NULL) {
+	params.model = rt_team_model(params.team, chat->model);
+	if (params.model == NULL) {
 		err_set(err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
-		    "unknown model '%.40s' of team '%.40s'", chat->model,
-		    chat->team);
+		    "unknown model '%.40s' of workspace '%.40s'", chat->model,
+		    chat->workspace);
 		return;
 	}
-	if (!read_common(message, &ask, err))
+	if (!read_common(message, &params, err))
 		return;
-	/* Drawing an answer twice harms nobody, unless the caller says by a
-	 * key that it must happen once. */
-	ask.idempotent = ask.key == NULL;
-	request_start(entry, &ask, err);
-	g_bytes_unref(ask.body);
+	/* Generating an answer twice is harmless, unless the caller requires
+	 * at most one run by sending a key. */
+	params.idempotent = params.key == NULL;
+	request_start(entry, &params, err);
+	g_bytes_unref(params.body);
 }
 
 static void
@@ -299,14 +303,14 @@
 
 	if (strcmp(soup_server_message_get_method(message), "POST") != 0)
 		err_set(&err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "POST is the method here");
+		    "the method must be POST");
 	else if (!is_too_large(message, &err) &&
 	    read_chat(
 		soup_server_message_get_request_body(message), &chat, &err))
 		start_chat(entry, message, &chat, &err);
 	if (err_is(&err))
 		refuse(entry, message, &err);
-	g_free(chat.team);
+	g_free(chat.workspace);
 	g_free(chat.model);
 }
 
@@ -315,33 +319,35 @@
 /* ------------------------------------------------------------------ */
 
 static void
-start_service(struct entry *entry, SoupServerMessage *message, const char *team,
-    const char *service, const char *rest, struct err *err)
+start_service(struct entry *entry, SoupServerMessage *message,
+    const char *workspace, const char *service, const char *rest,
+    struct err *err)
 {
 	const char *query =
 	    g_uri_get_query(soup_server_message_get_uri(message));
 	char *path = g_strdup_printf("/%s%s%s", rest, query == NULL ? "" : "?",
 	    query == NULL ? "" : query);
-	struct request_ask ask = {
+	struct request_ask params = {
 		.message = message,
-		.team = find_team(entry, message, team, err),
+		.team = find_workspace(entry, message, workspace, err),
 		.method = soup_server_message_get_method(message),
 		.path = path,
 	};
 
-	if (ask.team != NULL)
-		ask.service = rt_team_service(ask.team, service);
-	if (ask.team != NULL && ask.service == NULL)
+	if (params.team != NULL)
+		params.service = rt_team_service(params.team, service);
+	if (params.team != NULL && params.service == NULL)
 		err_set(err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
-		    "unknown service '%.40s' of team '%.40s'", service, team);
+		    "unknown service '%.40s' of workspace '%.40s'", service,
+		    workspace);
 	if (strlen(path) > RT_PATH_MAX)
 		err_set(err, ERR_TOO_LARGE, VERDICT_NOT_RUN,
-		    "path above %d bytes", RT_PATH_MAX);
-	if (!err_is(err) && read_common(message, &ask, err)) {
-		ask.idempotent =
-		    rt_service_is_idempotent(ask.service, ask.method);
-		request_start(entry, &ask, err);
-		g_bytes_unref(ask.body);
+		    "the path is longer than %d bytes", RT_PATH_MAX);
+	if (!err_is(err) && read_common(message, &params, err)) {
+		params.idempotent =
+		    rt_service_is_idempotent(params.service, params.method);
+		request_start(entry, &params, err);
+		g_bytes_unref(params.body);
 	}
 	g_free(path);
 }
@@ -357,7 +363,7 @@
 
 	if (n < 2)
 		err_set(&err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
-		    "/services/TEAM/SERVICE/... is the form");
+		    "the path must be /services/TEAM/SERVICE/...");
 	else
 		start_service(entry, message, part[0], part[1],
 		    n == 3 ? part[2] : "", &err);
@@ -367,25 +373,25 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Bodies too large                                                    */
+/* Limit on bodies                                                     */
 /* ------------------------------------------------------------------ */
 
 static void
-on_chunk(SoupServerMessage *message, GBytes *chunk, gpointer data)
+bound_body(SoupServerMessage *message, GBytes *chunk, gpointer data)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 
 	if (body->length <= RT_BODY_MAX)
 		return;
-	/* Without a length in its head a body is cut off here; what came is
-	 * dropped, so that one caller cannot fill our memory. */
+	/* A body without Content-Length is cut off here. What was received is
+	 * dropped, so that one caller cannot exhaust the memory. */
 	soup_message_body_truncate(body);
 	soup_message_body_set_accumulate(body, FALSE);
-	g_object_set_data(G_OBJECT(message), TOO_LARGE, message);
+	g_object_set_data(G_OBJECT(message), TOO_LARGE_KEY, message);
 }
 
 static void
-on_early(SoupServer *server, SoupServerMessage *message, const char *path,
+check_length(SoupServer *server, SoupServerMessage *message, const char *path,
     GHashTable *query, gpointer data)
 {
 	SoupMessageHeaders *headers =
@@ -396,11 +402,11 @@
 		SOUP_ENCODING_CONTENT_LENGTH &&
 	    soup_message_headers_get_content_length(headers) > RT_BODY_MAX) {
 		err_set(&err, ERR_TOO_LARGE, VERDICT_NOT_RUN,
-		    "body above %u bytes", RT_BODY_MAX);
+		    "the body is larger than %u bytes", RT_BODY_MAX);
 		refuse(data, message, &err);
 		return;
 	}
-	g_signal_connect(message, "got-chunk", G_CALLBACK(on_chunk), NULL);
+	g_signal_connect(message, "got-chunk", G_CALLBACK(bound_body), NULL);
 }
 
 /* ------------------------------------------------------------------ */
@@ -454,8 +460,8 @@
 }
 
 static void
-on_other(SoupServer *server, SoupServerMessage *message, const char *path,
-    GHashTable *query, gpointer data)
+on_unknown_path(SoupServer *server, SoupServerMessage *message,
+    const char *path, GHashTable *query, gpointer data)
 {
 	struct err err = { 0 };
 
@@ -463,19 +469,20 @@
 	refuse(data, message, &err);
 }
 
-/* The server looks up one entry per path, so the early check that bounds
- * bodies goes with every handler. */
+/* libsoup runs the handlers of one path only, so the check that bounds bodies
+ * is added with every handler. */
 void
 caller_handle(struct entry *entry, const char *path, SoupServerCallback handler)
 {
-	soup_server_add_early_handler(entry->http, path, on_early, entry, NULL);
+	soup_server_add_early_handler(
+	    entry->http, path, check_length, entry, NULL);
 	soup_server_add_handler(entry->http, path, handler, entry, NULL);
 }
 
 void
 caller_open(struct entry *entry)
 {
-	caller_handle(entry, NULL, on_other);
+	caller_handle(entry, NULL, on_unknown_path);
 	caller_handle(entry, "/v1/chat/completions", on_chat);
 	caller_handle(entry, "/services", on_service);
 	caller_handle(entry, "/healthz", on_health);
