--- a/programs/entry/ops.c
+++ b/programs/entry/ops.c
@@ -1,4 +1,4 @@
-/* HTTP for operators: settings, status, rollouts, the time line. */
+/* HTTP for operators: settings, status, rollouts, the timeline. */
 
 #include <json-glib/json-glib.h>
 #include <string.h>
@@ -7,25 +7,28 @@
 
 #define SETTINGS_PREFIX "/v1/settings/"
 #define ROLLOUT_PREFIX "/v1/rollout/"
-#define OVERDUE_MAX 20 /* names shown; the count is whole */
-#define STATUS_WAIT_MS 250 /* for sides to say how far they are */
+#define OVERDUE_MAX 20 /* names listed; the count covers all */
+#define STATUS_WAIT_MS 250 /* for the sidecars' status answers */
 
 /* ------------------------------------------------------------------ */
 /* Tokens                                                              */
 /* ------------------------------------------------------------------ */
 
-/* The root operator's token opens every branch, a team's only its own. */
+/* The root operator's token is valid for every branch, a workspace's operator
+ * token for its own branch only. */
 static bool
-may_operate(struct entry *entry, SoupServerMessage *message, const char *branch)
+is_authorised(
+    struct entry *entry, SoupServerMessage *message, const char *branch)
 {
-	const struct rt_team *team = entry_team(entry, branch);
+	const struct rt_team *workspace = entry_team(entry, branch);
 	struct digest want;
 
 	if (digest_from_hex(cfg_str(entry->proc.cfg, "node.operator"), &want) &&
 	    bearer_is(message, &want))
 		return true;
-	return team != NULL && !digest_is_none(&team->operator_token) &&
-	    bearer_is(message, &team->operator_token);
+	return workspace != NULL &&
+	    !digest_is_none(&workspace->operator_token) &&
+	    bearer_is(message, &workspace->operator_token);
 }
 
 static void
@@ -42,7 +45,7 @@
 
 	ctr_add(ctr_get(entry->proc.counters, "ops_wrong_token"), 1);
 	err_set(&err, ERR_UNAUTHORISED, VERDICT_NOT_RUN,
-	    "an operator's token for this branch is needed");
+	    "an operator token for this branch is required");
 	refuse(entry, message, &err);
 }
 
@@ -96,18 +99,18 @@
 	finish(message, SOUP_STATUS_OK, b);
 }
 
-/* A write on its way to the object API. */
-struct setting {
+/* A settings write that the object API has not answered. */
+struct settings_write {
 	struct entry *entry;
 	SoupServerMessage *message;
 	char *name;
 };
 
 static void
-on_set(uint64_t version, const struct obj_object *now, const struct err *err,
-    void *ctx)
+on_settings_written(uint64_t version, const struct obj_object *now,
+    const struct err *err, void *ctx)
 {
-	struct setting *s = ctx;
+	struct settings_write *s = ctx;
 	JsonBuilder *b;
 
 	if (err == NULL) {
@@ -160,7 +163,7 @@
 	JsonParser *parser = json_parser_new();
 	struct err err = { 0 };
 	JsonObject *o = read_object(parser, message, &err);
-	struct setting *s;
+	struct settings_write *s;
 	const char *yaml, *op;
 
 	if (o == NULL) {
@@ -173,12 +176,12 @@
 	if (op[0] == '\0' || strlen(op) >= OBJ_OP_MAX ||
 	    !json_object_has_member(o, "if_version")) {
 		err_set(&err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "'op', 'if_version' and 'yaml' are needed");
+		    "'op', 'if_version' and 'yaml' are required");
 		refuse(entry, message, &err);
 		g_object_unref(parser);
 		return;
 	}
-	s = g_new0(struct setting, 1);
+	s = g_new0(struct settings_write, 1);
 	s->entry = entry;
 	s->message = g_object_ref(message);
 	s->name = g_strdup(name);
@@ -186,7 +189,7 @@
 	agr_set_branch(entry->proc.agr, name, yaml,
 	    (uint64_t)json_object_get_int_member_with_default(
 		o, "if_version", 0),
-	    op, on_set, s);
+	    op, on_settings_written, s);
 	g_object_unref(parser);
 }
 
@@ -212,8 +215,8 @@
 
 	if (!is_branch_name(name))
 		err_set(&err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
-		    "/v1/settings/BRANCH is the form");
-	else if (!may_operate(entry, message, name))
+		    "the path must be /v1/settings/BRANCH");
+	else if (!is_authorised(entry, message, name))
 		refuse_token(entry, message);
 	else if (strcmp(method, "GET") == 0)
 		get_settings(entry, message, name);
@@ -221,7 +224,7 @@
 		put_settings(entry, message, name);
 	else
 		err_set(&err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "GET or PUT is the method here");
+		    "the method must be GET or PUT");
 	if (err_is(&err))
 		refuse(entry, message, &err);
 }
@@ -279,9 +282,9 @@
 	JsonBuilder *b;
 	struct rt_target *t;
 	GHashTableIter iter;
-	gpointer team;
+	gpointer workspace;
 
-	if (!may_operate(entry, message, INF_ROOT_BRANCH)) {
+	if (!is_authorised(entry, message, INF_ROOT_BRANCH)) {
 		refuse_token(entry, message);
 		return;
 	}
@@ -300,9 +303,9 @@
 	json_builder_set_member_name(b, "leads_here");
 	json_builder_begin_array(b);
 	g_hash_table_iter_init(&iter, entry->teams);
-	while (g_hash_table_iter_next(&iter, &team, NULL)) {
-		if (lead_holds(entry, team))
-			json_builder_add_string_value(b, team);
+	while (g_hash_table_iter_next(&iter, &workspace, NULL)) {
+		if (lead_holds(entry, workspace))
+			json_builder_add_string_value(b, workspace);
 	}
 	json_builder_end_array(b);
 	finish(message, SOUP_STATUS_OK, b);
@@ -320,23 +323,23 @@
 	[WTS_NO_ROOM] = "no_room",
 };
 
-/* A question about a rollout that waits for the sides' answers. */
-struct asking {
+/* A rollout query that waits for the sidecars' status answers. */
+struct rollout_query {
 	struct entry *entry;
 	SoupServerMessage *message;
-	char *team;
+	char *workspace;
 	char *model;
 };
 
 static void
-add_place(JsonBuilder *b, const struct rt_target *t, const struct rt_version *v)
+add_host(JsonBuilder *b, const struct rt_target *t, const struct rt_version *v)
 {
-	struct entry_side *side = t->owner;
+	struct entry_side *sidecar = t->owner;
 	const struct side_status *s =
-	    g_hash_table_lookup(side->statuses, &v->root);
+	    g_hash_table_lookup(sidecar->statuses, &v->root);
 
 	json_builder_begin_object(b);
-	put_string(b, "host", side->id);
+	put_string(b, "host", sidecar->id);
 	put_string(b, "target", t->name);
 	json_builder_set_member_name(b, "loaded");
 	json_builder_add_boolean_value(b, digest_equal(&t->loaded, &v->root));
@@ -351,85 +354,85 @@
 }
 
 static void
-add_places(JsonBuilder *b, struct entry *entry, const struct rt_team *team,
+add_hosts(JsonBuilder *b, struct entry *entry, const struct rt_team *workspace,
     const struct rt_model *model)
 {
 	const struct rt_version *v = model->rollout;
 	const struct rt_target *t;
-	unsigned int places = 0, loaded = 0;
+	unsigned int placed = 0, loaded = 0;
 
 	put_string(b, "version", v->name);
 	json_builder_set_member_name(b, "hosts");
 	json_builder_begin_array(b);
 	TAILQ_FOREACH (t, &entry->targets, link) {
 		if (t->kind != RT_ENGINE ||
-		    strcmp(t->workspace, team->name) != 0 ||
+		    strcmp(t->workspace, workspace->name) != 0 ||
 		    !rt_model_placed(model, t->pool, t->domain))
 			continue;
-		places++;
+		placed++;
 		if (t->reachable && digest_equal(&t->loaded, &v->root))
 			loaded++;
-		add_place(b, t, v);
+		add_host(b, t, v);
 	}
 	json_builder_end_array(b);
-	put_int(b, "places", places);
+	put_int(b, "places", placed);
 	put_int(b, "loaded", loaded);
 }
 
 static gboolean
 answer_rollout(gpointer data)
 {
-	struct asking *a = data;
-	const struct rt_team *team = entry_team(a->entry, a->team);
+	struct rollout_query *a = data;
+	const struct rt_team *workspace = entry_team(a->entry, a->workspace);
 	const struct rt_model *model =
-	    team == NULL ? NULL : rt_team_model(team, a->model);
+	    workspace == NULL ? NULL : rt_team_model(workspace, a->model);
 	JsonBuilder *b = json_builder_new();
 
 	json_builder_begin_object(b);
 	if (model != NULL && model->rollout != NULL)
-		add_places(b, a->entry, team, model);
+		add_hosts(b, a->entry, workspace, model);
 	finish(a->message, SOUP_STATUS_OK, b);
 	soup_server_message_unpause(a->message);
 	g_object_unref(a->message);
-	g_free(a->team);
+	g_free(a->workspace);
 	g_free(a->model);
 	g_free(a);
 	return G_SOURCE_REMOVE;
 }
 
 static void
-ask_sides(struct entry *entry, const struct digest *root)
+request_statuses(struct entry *entry, const struct digest *root)
 {
 	struct rt_status_get get = { .root = *root };
-	struct entry_side *side;
+	struct entry_side *sidecar;
 
-	TAILQ_FOREACH (side, &entry->sides, link) {
-		if (side->open)
-			conn_send(side->conn, &rt_status_get_desc, &get);
+	TAILQ_FOREACH (sidecar, &entry->sides, link) {
+		if (sidecar->open)
+			conn_send(sidecar->conn, &rt_status_get_desc, &get);
 	}
 }
 
 static void
-start_asking(struct entry *entry, SoupServerMessage *message,
-    const char *team_name, const char *model_name)
+start_rollout_query(struct entry *entry, SoupServerMessage *message,
+    const char *workspace_name, const char *model_name)
 {
-	const struct rt_team *team = entry_team(entry, team_name);
+	const struct rt_team *workspace = entry_team(entry, workspace_name);
 	const struct rt_model *model =
-	    team == NULL ? NULL : rt_team_model(team, model_name);
+	    workspace == NULL ? NULL : rt_team_model(workspace, model_name);
 	struct err err = { 0 };
-	struct asking *a;
+	struct rollout_query *a;
 
 	if (model == NULL || model->rollout == NULL) {
 		err_set(&err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
-		    "no rollout of %.40s/%.40s", team_name, model_name);
+		    "no rollout of %.40s/%.40s", workspace_name, model_name);
 		refuse(entry, message, &err);
 		return;
 	}
-	ask_sides(entry, &model->rollout->root);
-	a = g_new0(struct asking, 1);
+	request_statuses(entry, &model->rollout->root);
+	a = g_new0(struct rollout_query, 1);
 	a->entry = entry;
 	a->message = g_object_ref(message);
-	a->team = g_strdup(team_name);
+	a->workspace = g_strdup(workspace_name);
 	a->model = g_strdup(model_name);
 	soup_server_message_pause(message);
 	g_timeout_add(STATUS_WAIT_MS, answer_rollout, a);
@@ -449,12 +452,12 @@
 
 	if (g_strv_length(part) != 2) {
 		err_set(&err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
-		    "/v1/rollout/TEAM/MODEL is the form");
+		    "the path must be /v1/rollout/TEAM/MODEL");
 		refuse(entry, message, &err);
-	} else if (!may_operate(entry, message, part[0])) {
+	} else if (!is_authorised(entry, message, part[0])) {
 		refuse_token(entry, message);
 	} else {
-		start_asking(entry, message, part[0], part[1]);
+		start_rollout_query(entry, message, part[0], part[1]);
 	}
 	g_strfreev(part);
 }
@@ -465,7 +468,7 @@
 {
 	struct entry *entry = data;
 
-	if (!may_operate(entry, message, INF_ROOT_BRANCH))
+	if (!is_authorised(entry, message, INF_ROOT_BRANCH))
 		refuse_token(entry, message);
 	else
 		timeline_collect(entry, message);
