--- a/programs/entry/peers.c
+++ b/programs/entry/peers.c
@@ -1,7 +1,7 @@
 /*
- * Connections to the other entries. Each entry sends over the ones it
- * dialled and hears over the ones it accepted, so that no message depends
- * on who dialled whom first.
+ * Connections to the other gateways. Each gateway sends over the connections
+ * it dialled and receives over those it accepted, so that no message depends
+ * on which of two gateways dialled first.
  */
 
 #include <string.h>
@@ -46,7 +46,7 @@
 static void
 on_message(struct conn *c, const struct msg *m, void *ctx)
 {
-	/* Answers come over the other entry's own connection to us. */
+	/* The peer answers over the connection that it dialled. */
 }
 
 static void
@@ -73,7 +73,7 @@
 }
 
 static void
-forget(struct entry_peer *p)
+disconnect(struct entry_peer *p)
 {
 	p->address[0] = '\0';
 	if (p->timer != 0)
@@ -93,7 +93,7 @@
 		return;
 	if (member->state == MEM_DEAD) {
 		if (p != NULL)
-			forget(p);
+			disconnect(p);
 		return;
 	}
 	if (p == NULL) {
@@ -103,7 +103,7 @@
 		TAILQ_INSERT_TAIL(&entry->peers, p, link);
 	}
 	if (strcmp(p->address, node->address) != 0) {
-		forget(p);
+		disconnect(p);
 		g_strlcpy(p->address, node->address, sizeof(p->address));
 	}
 	if (p->conn == NULL && p->timer == 0)
