--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -2,9 +2,9 @@
 #define ENTRY_H
 
 /*
- * The entry process: takes callers' HTTP, chooses a target, forwards through
- * the target's side process and keeps the verdict; answers operators; holds
- * leased roles.
+ * The entry process, a gateway: accepts callers' HTTP requests, chooses a
+ * target, forwards through the target's sidecar and tracks the verdict; serves
+ * the operators' HTTP; holds leased roles.
  */
 
 #include <json-glib/json-glib.h>
@@ -23,7 +23,7 @@
 struct lead;
 struct request;
 
-/* A side process as this entry knows it. */
+/* A sidecar as known at this gateway. */
 struct entry_side {
 	TAILQ_ENTRY(entry_side) link;
 	struct entry *entry;
@@ -31,17 +31,18 @@
 	char address[MEM_ADDRESS_MAX + 1];
 	char domain[RT_NAME_MAX + 1];
 	char info[MEM_INFO_MAX + 1];
-	struct conn *conn; /* NULL between tries */
+	struct conn *conn; /* NULL between connection attempts */
 	bool open;
-	bool leaving; /* said so by membership */
+	bool leaving; /* by its membership state */
 	guint retry_timer;
 	unsigned int retry_ms;
 	GHashTable *streams; /* stream number -> struct request */
 	GHashTable *statuses; /* struct digest -> struct side_status */
-	GHashTable *asked; /* struct digest -> time (us) the lead last asked */
+	GHashTable
+	    *asked; /* struct digest -> time (us) of the last status request */
 };
 
-/* How far a version has come at a side, as it last said. */
+/* Transfer of a version to a sidecar's host, as last reported. */
 struct side_status {
 	struct digest root;
 	enum wts_phase phase;
@@ -63,20 +64,20 @@
 	struct claims *claims;
 	GHashTable *asking; /* number -> struct claim */
 	uint64_t next_claim;
-	unsigned int live_entries; /* this one included */
+	unsigned int live_entries; /* gateways, this one included */
 	struct rt_targets targets;
-	struct rt_fleet *fleet; /* the same targets, to choose from */
+	struct rt_fleet *fleet; /* index of `targets`, for the choice */
 	GHashTable *teams; /* branch name -> struct rt_team */
-	struct cfg *root; /* the root branch; NULL before it is in force */
+	struct cfg *root; /* the root branch; NULL before it is active */
 	struct rng rng;
 	uint64_t next_stream;
 	uint64_t next_request;
-	uint32_t run_id; /* so that ids differ from those before a restart */
+	uint32_t run_id; /* random; ids must differ after a restart */
 	unsigned int open_requests;
-	GHashTable *leads; /* team name -> struct lead */
+	GHashTable *leads; /* workspace name -> struct lead */
 	guint lead_idle;
-	bool leaving; /* told to stop */
-	bool draining; /* the settings drain this entry */
+	bool leaving; /* a planned stop is under way */
+	bool draining; /* the settings drain this process */
 	guint stop_timer;
 };
 
@@ -85,64 +86,68 @@
 bool entry_takes_work(const struct entry *entry);
 const struct rt_team *entry_team(const struct entry *entry, const char *name);
 
-/* sides.c: connections to the sides and what they say. */
+/* sides.c: connections to the sidecars and their messages. */
 void sides_member(struct entry *entry, const struct mem_member *member);
 struct entry_side *sides_find(struct entry *entry, const char *id);
-/* The drain settings changed. */
+/* To be called when the drain settings change. */
 void sides_apply_drain(struct entry *entry);
 
-/* request.c: one caller's request over its attempts. */
+/* request.c: one caller's request and its attempts. */
 struct request_ask { /* borrowed; copied by request_start */
 	SoupServerMessage *message;
 	const struct rt_team *team;
-	const struct rt_model *model; /* or */
+	/* One of these two is set. */
+	const struct rt_model *model;
 	const struct rt_service *service;
 	const char *method;
 	const char *path;
 	const char *key; /* Idempotency-Key; NULL: none */
 	GBytes *body;
-	bool streamed; /* server-sent events, passed on piece by piece */
+	bool streamed; /* server-sent events, forwarded as they arrive */
 	bool idempotent;
 	unsigned int deadline_ms;
 	unsigned int priority;
-	uint64_t prefix; /* hash of the prompt's begin; 0: none */
-	unsigned int tokens; /* asked for; 0: not a model's request */
+	uint64_t prefix; /* hash of the prompt's first bytes; 0: none */
+	unsigned int tokens; /* requested; 0: not a request to a model */
 };
-/* False when it is refused before it is begun; the caller is to be told. */
+/* Returns false when the request is refused before it starts; `err` is then to
+ * be sent to the caller. */
 bool request_start(
     struct entry *entry, const struct request_ask *ask, struct err *err);
-/* What admission does with the tickets inside requests. */
+/* Callbacks of admission for the tickets in requests. */
 const struct adm_ops *request_adm_ops(void);
 void request_head(struct request *r, const struct rt_head *head);
 void request_data(struct request *r, const uint8_t *bytes, size_t len);
 void request_end(struct request *r, const struct err *err);
-/* Of the attempt that runs now. */
+/* The target of the current attempt. */
 struct rt_target *request_target(const struct request *r);
 
-/* peers.c: connections to the other entries. */
+/* peers.c: connections to the other gateways. */
 void peers_member(struct entry *entry, const struct mem_member *member);
-/* False when there is no connection now; nothing is kept for later. */
+/* Returns false when there is no open connection; nothing is queued. */
 bool peers_send(struct entry *entry, const char *id,
     const struct msg_desc *desc, const void *message);
 void peers_send_all(
     struct entry *entry, const struct msg_desc *desc, const void *message);
 
-/* claims.c: the buckets of claims, as their owner sees them. */
+/* claims.c: the buckets of claims, at their owner. */
 void claims_open(struct entry *entry);
-/* An ask by this or another entry; claim_take_answer there follows. */
+/* Handles a claim request of this or another gateway (`from`), which receives
+ * the answer by claim_take_answer. */
 void claims_ask(
     struct entry *entry, const char *from, const struct rt_claim *claim);
 void claims_settle(struct entry *entry, const struct rt_claim_settle *settle);
-/* RT_CLAIM and RT_CLAIM_SETTLE from another entry. */
+/* RT_CLAIM and RT_CLAIM_SETTLE from another gateway. */
 void claims_message(struct entry *entry, const char *from, const struct msg *m);
-/* Who should own a bucket: the same on all entries with the same view. */
+/* The gateway that should own a bucket: the same at all gateways that know the
+ * same members. */
 const char *claims_owner(struct entry *entry, unsigned int bucket);
 void claims_members(struct entry *entry);
 void claims_entry_gone(struct entry *entry, const char *id);
-/* Planned stop: the buckets go to others at once. */
+/* Planned stop: releases all buckets at once, so that others can own them. */
 void claims_leave(struct entry *entry);
 
-/* claim_ask.c: the claim of one request, asked of the bucket's owner. */
+/* claim_ask.c: the claim of one request, requested from the bucket's owner. */
 struct claim;
 struct claim_wish { /* copied */
 	const char *key;
@@ -151,31 +156,33 @@
 	unsigned int keep_ms;
 	int64_t until_us;
 };
-/* From the loop, once; the claim is gone after it. */
+/* Called once, from the main loop; the claim is freed after it. */
 typedef void claim_cb(
     enum clm_result result, const struct clm_outcome *outcome, void *ctx);
 struct claim *claim_start(struct entry *entry, const struct claim_wish *wish,
     claim_cb *done, void *ctx);
-/* No callback follows. What was claimed is to be settled by claim_settle. */
+/* Cancels the callback. The key, which may have been claimed, is still to be
+ * settled by claim_settle. */
 void claim_drop(struct claim *claim);
 void claim_settle(struct entry *entry, const char *key, const char *asker,
     const struct clm_outcome *outcome);
 void claim_take_answer(
     struct entry *entry, const struct rt_claim_answer *answer);
-void claim_message(struct entry *entry, const struct msg *m); /* its frame */
+/* RT_CLAIM_ANSWER from another gateway. */
+void claim_message(struct entry *entry, const struct msg *m);
 
-/* gatekeeper.c: limits, queues and the retry budget. */
+/* gatekeeper.c: rate limits, admission queues and the retry budget. */
 void gatekeeper_open(struct entry *entry);
 void gatekeeper_team(struct entry *entry, const struct rt_team *team);
 void gatekeeper_members(struct entry *entry);
 void gatekeeper_entry_gone(struct entry *entry, const char *id);
 void gatekeeper_told(
     struct entry *entry, const char *from, const struct msg *m);
-/* A target's side said something new of it. */
+/* To be called when the state of a target changed. */
 void gatekeeper_spoke(struct entry *entry, const struct rt_target *target);
 struct adm_queue *gatekeeper_lane(struct entry *entry, const char *team,
     const char *model, const char *service);
-/* Takes one request from the team's limit; ERR_OVERLOADED when over it. */
+/* Counts a request against the workspace's limit; ERR_OVERLOADED above it. */
 bool gatekeeper_take(struct entry *entry, const char *team, struct err *err);
 bool gatekeeper_may_retry(struct entry *entry, const char *team);
 void gatekeeper_retried(struct entry *entry, const char *team);
@@ -185,7 +192,7 @@
 /* Adds a handler together with the check that bounds bodies. */
 void caller_handle(
     struct entry *entry, const char *path, SoupServerCallback handler);
-/* Answers with an error object, its verdict and Retry-After. */
+/* Answers with an error object, the verdict and Retry-After. */
 void answer_error(SoupServerMessage *message, const struct err *err);
 void answer_json(
     SoupServerMessage *message, unsigned int status, JsonNode *node);
@@ -195,20 +202,20 @@
 /* ops.c: HTTP for operators. */
 void ops_open(struct entry *entry);
 
-/* lead.c: the leased role that gives a team's load orders. */
+/* lead.c: the leased role whose holder gives a workspace's load orders. */
 void lead_teams_changed(struct entry *entry);
 void lead_wake(struct entry *entry);
 void lead_order_done(struct entry *entry, struct entry_side *side,
     const struct rt_order_done *done);
 /* Planned stop: gives the role up at once. */
 void lead_hand_over(struct lead *lead);
-/* Whether this entry holds the role of a team. */
+/* Whether this gateway holds the role of a workspace. */
 bool lead_holds(const struct entry *entry, const char *team);
 
-/* timeline.c: the events of all processes in one order. */
+/* timeline.c: the events of all processes, merged by time. */
 void timeline_collect(struct entry *entry, SoupServerMessage *message);
 
-/* cli.c: operators' commands over HTTP to any entry. */
+/* cli.c: operators' commands, over HTTP to any gateway. */
 int cli_main(int argc, const char **argv);
 
 #endif
