--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -212,7 +212,8 @@
 /* Whether this gateway holds the role of a workspace. */
 bool lead_holds(const struct entry *entry, const char *team);
 
-/* timeline.c: the events of all processes, merged by time. */
+/* timeline.c: the events of all processes, in the order of their
+ * hybrid logical clocks. */
 void timeline_collect(struct entry *entry, SoupServerMessage *message);
 
 /* cli.c: operators' commands, over HTTP to any gateway. */
