--- a/programs/entry/caller.c
+++ b/programs/entry/caller.c
@@ -125,11 +125,11 @@
 /* Reads deadline, priority, key and body, for models and services. */
 static bool
 read_common(
-    SoupServerMessage *message, struct request_ask *params, struct err *err)
+    SoupServerMessage *message, struct request_params *params, struct err *err)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 
-	params->deadline_ms = params->team->default_deadline_ms;
+	params->deadline_ms = params->workspace->default_deadline_ms;
 	params->priority = PRIORITY_DEFAULT;
 	params->key = header(message, "Idempotency-Key");
 	/* A deadline above the workspace's maximum is reduced to it and not
@@ -140,7 +140,7 @@
 		message, "X-Priority", 0, PRIORITY_MAX, &params->priority, err))
 		return false;
 	params->deadline_ms =
-	    MIN(params->deadline_ms, params->team->max_deadline_ms);
+	    MIN(params->deadline_ms, params->workspace->max_deadline_ms);
 	if (params->key != NULL && strlen(params->key) > RT_NAME_MAX) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
 		    "header Idempotency-Key is longer than %d bytes",
@@ -156,9 +156,9 @@
 find_workspace(struct entry *entry, SoupServerMessage *message,
     const char *name, struct err *err)
 {
-	const struct rt_team *workspace = entry_team(entry, name);
+	const struct rt_team *workspace = entry_workspace(entry, name);
 
-	if (!entry_takes_work(entry)) {
+	if (!entry_is_ready(entry)) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
 		    "this gateway has no active settings yet");
 		err->retry_after_ms = NOT_READY_RETRY_MS;
@@ -265,9 +265,10 @@
 start_chat(struct entry *entry, SoupServerMessage *message,
     const struct chat *chat, struct err *err)
 {
-	struct request_ask params = {
+	struct request_params params = {
 		.message = message,
-		.team = find_workspace(entry, message, chat->workspace, err),
+		.workspace =
+		    find_workspace(entry, message, chat->workspace, err),
 		.method = "POST",
 		.path = "/v1/chat/completions",
 		.streamed = chat->streamed,
@@ -275,9 +276,9 @@
 		.tokens = chat->tokens,
 	};
 
-	if (params.team == NULL)
+	if (params.workspace == NULL)
 		return;
-	params.model = rt_team_model(params.team, chat->model);
+	params.model = rt_team_model(params.workspace, chat->model);
 	if (params.model == NULL) {
 		err_set(err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
 		    "unknown model '%.40s' of workspace '%.40s'", chat->model,
@@ -327,16 +328,16 @@
 	    g_uri_get_query(soup_server_message_get_uri(message));
 	char *path = g_strdup_printf("/%s%s%s", rest, query == NULL ? "" : "?",
 	    query == NULL ? "" : query);
-	struct request_ask params = {
+	struct request_params params = {
 		.message = message,
-		.team = find_workspace(entry, message, workspace, err),
+		.workspace = find_workspace(entry, message, workspace, err),
 		.method = soup_server_message_get_method(message),
 		.path = path,
 	};
 
-	if (params.team != NULL)
-		params.service = rt_team_service(params.team, service);
-	if (params.team != NULL && params.service == NULL)
+	if (params.workspace != NULL)
+		params.service = rt_team_service(params.workspace, service);
+	if (params.workspace != NULL && params.service == NULL)
 		err_set(err, ERR_NOT_FOUND, VERDICT_NOT_RUN,
 		    "unknown service '%.40s' of workspace '%.40s'", service,
 		    workspace);
@@ -422,7 +423,7 @@
 	if (entry->leaving || entry->draining)
 		http_answer_text(message, SOUP_STATUS_SERVICE_UNAVAILABLE,
 		    "application/json", "{\"state\":\"draining\"}\n");
-	else if (!entry_takes_work(entry))
+	else if (!entry_is_ready(entry))
 		http_answer_text(message, SOUP_STATUS_SERVICE_UNAVAILABLE,
 		    "application/json", "{\"state\":\"starting\"}\n");
 	else
--- a/programs/entry/claim_ask.c
+++ b/programs/entry/claim_ask.c
@@ -51,11 +51,11 @@
 }
 
 void
-claim_drop(struct claim *c)
+claim_cancel(struct claim *c)
 {
 	if (c->timer != 0)
 		g_source_remove(c->timer);
-	g_hash_table_remove(c->entry->asking, &c->number);
+	g_hash_table_remove(c->entry->pending_claims, &c->number);
 	g_free(c->key);
 	g_free(c->claimant);
 	g_free(c->type);
@@ -70,7 +70,7 @@
 
 	c->timer = 0;
 	c->done(c->result, &c->outcome, c->ctx);
-	claim_drop(c);
+	claim_cancel(c);
 	return G_SOURCE_REMOVE;
 }
 
@@ -107,7 +107,7 @@
 
 	c->timer = g_timeout_add(RETRY_MS, on_retry, c);
 	if (strcmp(owner, self) == 0)
-		claims_ask(c->entry, self, &message);
+		claims_request(c->entry, self, &message);
 	else
 		peers_send(c->entry, owner, &rt_claim_desc, &message);
 }
@@ -130,23 +130,24 @@
 }
 
 struct claim *
-claim_start(struct entry *entry, const struct claim_wish *params,
+claim_start(struct entry *entry, const struct claim_params *params,
     claim_cb *done, void *ctx)
 {
 	struct claim *c = g_new0(struct claim, 1);
 
-	if (entry->asking == NULL)
-		entry->asking = g_hash_table_new(g_int64_hash, g_int64_equal);
+	if (entry->pending_claims == NULL)
+		entry->pending_claims =
+		    g_hash_table_new(g_int64_hash, g_int64_equal);
 	c->entry = entry;
 	c->number = ++entry->next_claim;
 	c->key = g_strdup(params->key);
-	c->claimant = g_strdup(params->asker);
+	c->claimant = g_strdup(params->claimant);
 	c->body = params->body;
 	c->keep_ms = params->keep_ms;
 	c->deadline_us = params->until_us;
 	c->done = done;
 	c->ctx = ctx;
-	g_hash_table_insert(entry->asking, &c->number, c);
+	g_hash_table_insert(entry->pending_claims, &c->number, c);
 	send_request(c);
 	return c;
 }
@@ -171,11 +172,11 @@
 }
 
 void
-claim_take_answer(struct entry *entry, const struct rt_claim_answer *answer)
+claim_answered(struct entry *entry, const struct rt_claim_answer *answer)
 {
-	struct claim *c = entry->asking == NULL
+	struct claim *c = entry->pending_claims == NULL
 	    ? NULL
-	    : g_hash_table_lookup(entry->asking, &answer->number);
+	    : g_hash_table_lookup(entry->pending_claims, &answer->number);
 
 	/* Not found: a duplicate answer, or the request has ended and its
 	 * claim was settled then. */
@@ -199,12 +200,12 @@
 }
 
 void
-claim_message(struct entry *entry, const struct msg *m)
+claim_answer_message(struct entry *entry, const struct msg *m)
 {
 	struct rt_claim_answer answer;
 
 	if (msg_read(m, &rt_claim_answer_desc, &answer, NULL))
-		claim_take_answer(entry, &answer);
+		claim_answered(entry, &answer);
 }
 
 /* ------------------------------------------------------------------ */
--- a/programs/entry/claims.c
+++ b/programs/entry/claims.c
@@ -102,7 +102,7 @@
 		answer.digest = outcome->digest;
 	}
 	if (strcmp(request->from, entry->proc.node.id) == 0)
-		claim_take_answer(entry, &answer);
+		claim_answered(entry, &answer);
 	else
 		peers_send(
 		    entry, request->from, &rt_claim_answer_desc, &answer);
@@ -235,7 +235,8 @@
 /* ------------------------------------------------------------------ */
 
 void
-claims_ask(struct entry *entry, const char *from, const struct rt_claim *claim)
+claims_request(
+    struct entry *entry, const char *from, const struct rt_claim *claim)
 {
 	struct claims *claims = entry->claims;
 	char *id =
@@ -292,7 +293,7 @@
 	struct rt_claim_settle settle;
 
 	if (m->type == RT_CLAIM && msg_read(m, &rt_claim_desc, &claim, NULL))
-		claims_ask(entry, from, &claim);
+		claims_request(entry, from, &claim);
 	else if (m->type == RT_CLAIM_SETTLE &&
 	    msg_read(m, &rt_claim_settle_desc, &settle, NULL))
 		claims_settle(entry, &settle);
@@ -361,7 +362,7 @@
 /* The set of gateways changed. When a node starts, many changes arrive at
  * once: they are handled together when the main loop is idle. */
 void
-claims_members(struct entry *entry)
+claims_members_changed(struct entry *entry)
 {
 	struct claims *claims = entry->claims;
 
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -20,12 +20,12 @@
 struct claims;
 struct entry_peer;
 struct gatekeeper;
-struct lead;
+struct rollout_leader;
 struct request;
 
 /* A sidecar as known at this gateway. */
-struct entry_side {
-	TAILQ_ENTRY(entry_side) link;
+struct entry_sidecar {
+	TAILQ_ENTRY(entry_sidecar) link;
 	struct entry *entry;
 	char id[RT_NAME_MAX + 1];
 	char address[MEM_ADDRESS_MAX + 1];
@@ -37,20 +37,20 @@
 	guint retry_timer;
 	unsigned int retry_ms;
 	GHashTable *streams; /* stream number -> struct request */
-	GHashTable *statuses; /* struct digest -> struct side_status */
-	GHashTable
-	    *asked; /* struct digest -> time (us) of the last status request */
+	GHashTable *statuses; /* struct digest -> struct version_status */
+	/* struct digest -> time (us) of the last status request. */
+	GHashTable *status_requested_us;
 };
 
 /* Transfer of a version to a sidecar's host, as last reported. */
-struct side_status {
+struct version_status {
 	struct digest root;
 	enum wts_phase phase;
 	uint64_t have, total;
 	char why[120];
 };
 
-TAILQ_HEAD(entry_sides, entry_side);
+TAILQ_HEAD(entry_sidecars, entry_sidecar);
 TAILQ_HEAD(entry_peers, entry_peer);
 
 struct entry {
@@ -58,24 +58,24 @@
 	SoupServer *http;
 	struct conn_server *server;
 	struct att_chart *attempts;
-	struct entry_sides sides;
+	struct entry_sidecars sidecars;
 	struct entry_peers peers;
 	struct gatekeeper *gatekeeper;
 	struct claims *claims;
-	GHashTable *asking; /* number -> struct claim */
+	GHashTable *pending_claims; /* number -> struct claim */
 	uint64_t next_claim;
 	unsigned int live_entries; /* gateways, this one included */
 	struct rt_targets targets;
 	struct rt_fleet *fleet; /* index of `targets`, for the choice */
-	GHashTable *teams; /* branch name -> struct rt_team */
+	GHashTable *workspaces; /* branch name -> struct rt_team */
 	struct cfg *root; /* the root branch; NULL before it is active */
 	struct rng rng;
 	uint64_t next_stream;
 	uint64_t next_request;
 	uint32_t run_id; /* random; ids must differ after a restart */
 	unsigned int open_requests;
-	GHashTable *leads; /* workspace name -> struct lead */
-	guint lead_idle;
+	GHashTable *leaders; /* workspace name -> struct rollout_leader */
+	guint leader_idle;
 	bool leaving; /* a planned stop is under way */
 	bool draining; /* the settings drain this process */
 	guint stop_timer;
@@ -83,19 +83,21 @@
 
 /* serve.c */
 int serve_main(const char *settings);
-bool entry_takes_work(const struct entry *entry);
-const struct rt_team *entry_team(const struct entry *entry, const char *name);
+bool entry_is_ready(const struct entry *entry);
+const struct rt_team *entry_workspace(
+    const struct entry *entry, const char *name);
 
 /* sides.c: connections to the sidecars and their messages. */
-void sides_member(struct entry *entry, const struct mem_member *member);
-struct entry_side *sides_find(struct entry *entry, const char *id);
+void sidecars_member_changed(
+    struct entry *entry, const struct mem_member *member);
+struct entry_sidecar *sidecars_find(struct entry *entry, const char *id);
 /* To be called when the drain settings change. */
-void sides_apply_drain(struct entry *entry);
+void sidecars_apply_drain(struct entry *entry);
 
 /* request.c: one caller's request and its attempts. */
-struct request_ask { /* borrowed; copied by request_start */
+struct request_params { /* borrowed; copied by request_start */
 	SoupServerMessage *message;
-	const struct rt_team *team;
+	const struct rt_team *workspace;
 	/* One of these two is set. */
 	const struct rt_model *model;
 	const struct rt_service *service;
@@ -113,7 +115,7 @@
 /* Returns false when the request is refused before it starts; `err` is then to
  * be sent to the caller. */
 bool request_start(
-    struct entry *entry, const struct request_ask *ask, struct err *err);
+    struct entry *entry, const struct request_params *params, struct err *err);
 /* Callbacks of admission for the tickets in requests. */
 const struct adm_ops *request_adm_ops(void);
 void request_head(struct request *r, const struct rt_head *head);
@@ -123,7 +125,7 @@
 struct rt_target *request_target(const struct request *r);
 
 /* peers.c: connections to the other gateways. */
-void peers_member(struct entry *entry, const struct mem_member *member);
+void peers_member_changed(struct entry *entry, const struct mem_member *member);
 /* Returns false when there is no open connection; nothing is queued. */
 bool peers_send(struct entry *entry, const char *id,
     const struct msg_desc *desc, const void *message);
@@ -133,8 +135,8 @@
 /* claims.c: the buckets of claims, at their owner. */
 void claims_open(struct entry *entry);
 /* Handles a claim request of this or another gateway (`from`), which receives
- * the answer by claim_take_answer. */
-void claims_ask(
+ * the answer by claim_answered. */
+void claims_request(
     struct entry *entry, const char *from, const struct rt_claim *claim);
 void claims_settle(struct entry *entry, const struct rt_claim_settle *settle);
 /* RT_CLAIM and RT_CLAIM_SETTLE from another gateway. */
@@ -142,50 +144,50 @@
 /* The gateway that should own a bucket: the same at all gateways that know the
  * same members. */
 const char *claims_owner(struct entry *entry, unsigned int bucket);
-void claims_members(struct entry *entry);
+void claims_members_changed(struct entry *entry);
 void claims_entry_gone(struct entry *entry, const char *id);
 /* Planned stop: releases all buckets at once, so that others can own them. */
 void claims_leave(struct entry *entry);
 
 /* claim_ask.c: the claim of one request, requested from the bucket's owner. */
 struct claim;
-struct claim_wish { /* copied */
+struct claim_params { /* copied */
 	const char *key;
 	struct digest body;
-	const char *asker; /* "ENTRY/..." */
+	const char *claimant; /* "ENTRY/..." */
 	unsigned int keep_ms;
 	int64_t until_us;
 };
 /* Called once, from the main loop; the claim is freed after it. */
 typedef void claim_cb(
     enum clm_result result, const struct clm_outcome *outcome, void *ctx);
-struct claim *claim_start(struct entry *entry, const struct claim_wish *wish,
-    claim_cb *done, void *ctx);
+struct claim *claim_start(struct entry *entry,
+    const struct claim_params *params, claim_cb *done, void *ctx);
 /* Cancels the callback. The key, which may have been claimed, is still to be
  * settled by claim_settle. */
-void claim_drop(struct claim *claim);
-void claim_settle(struct entry *entry, const char *key, const char *asker,
+void claim_cancel(struct claim *claim);
+void claim_settle(struct entry *entry, const char *key, const char *claimant,
     const struct clm_outcome *outcome);
-void claim_take_answer(
-    struct entry *entry, const struct rt_claim_answer *answer);
+void claim_answered(struct entry *entry, const struct rt_claim_answer *answer);
 /* RT_CLAIM_ANSWER from another gateway. */
-void claim_message(struct entry *entry, const struct msg *m);
+void claim_answer_message(struct entry *entry, const struct msg *m);
 
 /* gatekeeper.c: rate limits, admission queues and the retry budget. */
 void gatekeeper_open(struct entry *entry);
-void gatekeeper_team(struct entry *entry, const struct rt_team *team);
+void gatekeeper_team(struct entry *entry, const struct rt_team *workspace);
 void gatekeeper_members(struct entry *entry);
 void gatekeeper_entry_gone(struct entry *entry, const char *id);
 void gatekeeper_told(
     struct entry *entry, const char *from, const struct msg *m);
 /* To be called when the state of a target changed. */
 void gatekeeper_spoke(struct entry *entry, const struct rt_target *target);
-struct adm_queue *gatekeeper_lane(struct entry *entry, const char *team,
+struct adm_queue *gatekeeper_lane(struct entry *entry, const char *workspace,
     const char *model, const char *service);
 /* Counts a request against the workspace's limit; ERR_OVERLOADED above it. */
-bool gatekeeper_take(struct entry *entry, const char *team, struct err *err);
-bool gatekeeper_may_retry(struct entry *entry, const char *team);
-void gatekeeper_retried(struct entry *entry, const char *team);
+bool gatekeeper_take(
+    struct entry *entry, const char *workspace, struct err *err);
+bool gatekeeper_may_retry(struct entry *entry, const char *workspace);
+void gatekeeper_retried(struct entry *entry, const char *workspace);
 
 /* caller.c: HTTP for callers, health, counters, events. */
 void caller_open(struct entry *entry);
@@ -203,14 +205,14 @@
 void ops_open(struct entry *entry);
 
 /* lead.c: the leased role whose holder gives a workspace's load orders. */
-void lead_teams_changed(struct entry *entry);
-void lead_wake(struct entry *entry);
-void lead_order_done(struct entry *entry, struct entry_side *side,
+void leader_workspaces_changed(struct entry *entry);
+void leader_wake(struct entry *entry);
+void leader_order_done(struct entry *entry, struct entry_sidecar *sidecar,
     const struct rt_order_done *done);
 /* Planned stop: gives the role up at once. */
-void lead_hand_over(struct lead *lead);
+void leader_resign(struct rollout_leader *leader);
 /* Whether this gateway holds the role of a workspace. */
-bool lead_holds(const struct entry *entry, const char *team);
+bool leader_is_local(const struct entry *entry, const char *workspace);
 
 /* timeline.c: the events of all processes, in the order of their
  * hybrid logical clocks. */
--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -108,7 +108,7 @@
 void
 gatekeeper_spoke(struct entry *entry, const struct rt_target *target)
 {
-	const struct rt_team *team = entry_team(entry, target->workspace);
+	const struct rt_team *team = entry_workspace(entry, target->workspace);
 	size_t i;
 
 	if (team == NULL)
@@ -136,7 +136,7 @@
 	size_t i;
 
 	rt_fleet_refresh(entry->fleet, now_us());
-	g_hash_table_iter_init(&iter, entry->teams);
+	g_hash_table_iter_init(&iter, entry->workspaces);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		team = value;
 		for (i = 0; i < team->nmodels; i++)
@@ -194,7 +194,8 @@
 
 	g_hash_table_iter_init(&iter, g->teams);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		team = entry_team(entry, ((struct gate_team *)value)->name);
+		team =
+		    entry_workspace(entry, ((struct gate_team *)value)->name);
 		if (team != NULL)
 			set_team(g, value, team);
 	}
--- a/programs/entry/keyed.c
+++ b/programs/entry/keyed.c
@@ -48,9 +48,9 @@
 {
 	struct request *r = ctx;
 	int64_t now_us = clk_now_us(clk_system());
-	struct claim_wish params = {
+	struct claim_params params = {
 		.key = r->key,
-		.asker = r->claimant,
+		.claimant = r->claimant,
 		.keep_ms = (unsigned int)MAX(request_remaining_ms(r), 0),
 		.until_us =
 		    MIN(r->deadline_us, now_us + CLAIM_TIMEOUT_MS * 1000LL),
@@ -87,7 +87,7 @@
 	char *answer = NULL;
 
 	if (r->claim != NULL)
-		claim_drop(r->claim);
+		claim_cancel(r->claim);
 	r->claim = NULL;
 	if (r->complete) {
 		if (!r->head_sent && is_recordable(r->buffer))
--- a/programs/entry/lead.c
+++ b/programs/entry/lead.c
@@ -25,7 +25,7 @@
 	int64_t until_us;
 };
 
-struct lead {
+struct rollout_leader {
 	struct entry *entry;
 	char workspace[RT_NAME_MAX + 1];
 	char role_name[RT_NAME_MAX + 1];
@@ -42,7 +42,7 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-has_order(const struct lead *leader, const struct rt_target *target)
+has_order(const struct rollout_leader *leader, const struct rt_target *target)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -56,7 +56,7 @@
 }
 
 static bool
-in_backoff(const struct lead *leader, const struct rt_target *target)
+in_backoff(const struct rollout_leader *leader, const struct rt_target *target)
 {
 	const struct target_backoff *backoff =
 	    g_hash_table_lookup(leader->backoffs, target);
@@ -65,7 +65,7 @@
 }
 
 static void
-send_order(struct lead *leader, struct rt_target *target,
+send_order(struct rollout_leader *leader, struct rt_target *target,
     const struct rt_model *model, enum rt_order_kind kind)
 {
 	static const char *const kinds[] = {
@@ -74,7 +74,7 @@
 		[RT_ORDER_ADMIT] = "admit",
 	};
 	const struct rt_version *v = model->rollout;
-	struct entry_side *sidecar = target->owner;
+	struct entry_sidecar *sidecar = target->owner;
 	/* Read just before sending: the lease may have expired while this
 	 * process was paused. */
 	uint64_t fence = agr_role_fence(leader->role);
@@ -117,11 +117,11 @@
 /* The answers to orders sent over a connection that was closed are lost. Orders
  * are idempotent and are sent again. */
 static void
-drop_lost_orders(struct lead *leader)
+drop_lost_orders(struct rollout_leader *leader)
 {
-	struct entry_side *sidecar;
+	struct entry_sidecar *sidecar;
 
-	TAILQ_FOREACH (sidecar, &leader->entry->sides, link) {
+	TAILQ_FOREACH (sidecar, &leader->entry->sidecars, link) {
 		if (!sidecar->open)
 			g_hash_table_foreach_remove(
 			    leader->orders, is_of_sidecar, sidecar);
@@ -131,7 +131,7 @@
 /* The load failed: the target enters backoff, which grows with each consecutive
  * failure. */
 static void
-start_backoff(struct lead *leader, struct rt_target *target)
+start_backoff(struct rollout_leader *leader, struct rt_target *target)
 {
 	struct target_backoff *backoff =
 	    g_hash_table_lookup(leader->backoffs, target);
@@ -147,8 +147,8 @@
 }
 
 static void
-finish_order(
-    struct lead *leader, const char *id, const struct rt_order_done *done)
+finish_order(struct rollout_leader *leader, const char *id,
+    const struct rt_order_done *done)
 {
 	struct order *order = g_hash_table_lookup(leader->orders, id);
 
@@ -162,18 +162,18 @@
 }
 
 void
-lead_order_done(struct entry *entry, struct entry_side *sidecar,
+leader_order_done(struct entry *entry, struct entry_sidecar *sidecar,
     const struct rt_order_done *done)
 {
 	char *id = slice_dup(done->order_id);
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, entry->leads);
+	g_hash_table_iter_init(&iter, entry->leaders);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		finish_order(value, id, done);
 	g_free(id);
-	lead_wake(entry);
+	leader_wake(entry);
 }
 
 /* ------------------------------------------------------------------ */
@@ -181,7 +181,7 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-is_placed(const struct rt_target *t, const struct lead *leader,
+is_placed(const struct rt_target *t, const struct rollout_leader *leader,
     const struct rt_model *model, const GArray *hosts)
 {
 	return t->kind == RT_ENGINE &&
@@ -194,10 +194,11 @@
  * they reported before this gateway watched them, and is repeated every
  * STATUS_REQUEST_MS only. */
 static void
-request_status(struct entry_side *sidecar, const struct digest *root)
+request_status(struct entry_sidecar *sidecar, const struct digest *root)
 {
 	struct rt_status_get get = { .root = *root };
-	int64_t *asked_us = g_hash_table_lookup(sidecar->asked, root);
+	int64_t *asked_us =
+	    g_hash_table_lookup(sidecar->status_requested_us, root);
 	int64_t now_us = clk_now_us(clk_system());
 
 	if (!sidecar->open ||
@@ -206,17 +207,17 @@
 		return;
 	asked_us = g_new(int64_t, 1);
 	*asked_us = now_us;
-	g_hash_table_replace(
-	    sidecar->asked, g_memdup2(root, sizeof(*root)), asked_us);
+	g_hash_table_replace(sidecar->status_requested_us,
+	    g_memdup2(root, sizeof(*root)), asked_us);
 	conn_send(sidecar->conn, &rt_status_get_desc, &get);
 }
 
 static struct act_target
-target_facts(const struct lead *leader, const struct rt_target *t,
+target_facts(const struct rollout_leader *leader, const struct rt_target *t,
     const struct digest *root)
 {
-	const struct entry_side *sidecar = t->owner;
-	const struct side_status *status =
+	const struct entry_sidecar *sidecar = t->owner;
+	const struct version_status *status =
 	    g_hash_table_lookup(sidecar->statuses, root);
 
 	return (struct act_target){
@@ -232,7 +233,7 @@
 }
 
 static void
-step_target(struct lead *leader, struct rt_target *t,
+step_target(struct rollout_leader *leader, struct rt_target *t,
     const struct rt_model *model, struct act_rules *rules)
 {
 	struct act_target facts =
@@ -258,7 +259,8 @@
 }
 
 static void
-report_done(struct lead *leader, const struct rt_model *model, unsigned int n)
+report_done(
+    struct rollout_leader *leader, const struct rt_model *model, unsigned int n)
 {
 	struct digest *root = g_hash_table_lookup(leader->done, model->name);
 
@@ -288,7 +290,7 @@
 }
 
 static GArray *
-hosts_of(struct lead *leader, const struct rt_model *model)
+hosts_of(struct rollout_leader *leader, const struct rt_model *model)
 {
 	struct host_list list = { rt_place_new(leader->workspace, model) };
 
@@ -297,8 +299,8 @@
 }
 
 static unsigned int
-count_unavailable(const struct lead *leader, const struct rt_model *model,
-    const GArray *hosts)
+count_unavailable(const struct rollout_leader *leader,
+    const struct rt_model *model, const GArray *hosts)
 {
 	const struct rt_target *t;
 	unsigned int n = 0;
@@ -311,7 +313,7 @@
 }
 
 static void
-step_model(struct lead *leader, const struct rt_model *model)
+step_model(struct rollout_leader *leader, const struct rt_model *model)
 {
 	GArray *hosts = hosts_of(leader, model);
 	struct act_rules rules = {
@@ -337,10 +339,10 @@
 }
 
 static void
-tick(struct lead *leader)
+tick(struct rollout_leader *leader)
 {
 	const struct rt_team *workspace =
-	    entry_team(leader->entry, leader->workspace);
+	    entry_workspace(leader->entry, leader->workspace);
 	size_t i;
 
 	if (workspace == NULL || leader->role == NULL ||
@@ -356,7 +358,7 @@
 static gboolean
 on_tick(gpointer data)
 {
-	struct lead *leader = data;
+	struct rollout_leader *leader = data;
 
 	tick(leader);
 	return G_SOURCE_CONTINUE;
@@ -369,20 +371,20 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	entry->lead_idle = 0;
-	g_hash_table_iter_init(&iter, entry->leads);
+	entry->leader_idle = 0;
+	g_hash_table_iter_init(&iter, entry->leaders);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		tick(value);
 	return G_SOURCE_REMOVE;
 }
 
 void
-lead_wake(struct entry *entry)
+leader_wake(struct entry *entry)
 {
 	/* Changes come in bursts; one pass when the main loop is idle handles
 	 * them all. */
-	if (entry->lead_idle == 0)
-		entry->lead_idle = g_idle_add(on_wake, entry);
+	if (entry->leader_idle == 0)
+		entry->leader_idle = g_idle_add(on_wake, entry);
 }
 
 /* ------------------------------------------------------------------ */
@@ -392,7 +394,7 @@
 static void
 on_gained(struct agr_role *role, uint64_t fence, void *ctx)
 {
-	struct lead *leader = ctx;
+	struct rollout_leader *leader = ctx;
 
 	tl_add(leader->entry->proc.timeline, "lease_gained", leader->role_name,
 	    "fence %" G_GUINT64_FORMAT, fence);
@@ -406,7 +408,7 @@
 static void
 on_lost(struct agr_role *role, void *ctx)
 {
-	struct lead *leader = ctx;
+	struct rollout_leader *leader = ctx;
 
 	tl_add(leader->entry->proc.timeline, "lease_lost", leader->role_name,
 	    "this process sends no more orders");
@@ -423,7 +425,7 @@
 		.gained = on_gained,
 		.lost = on_lost,
 	};
-	struct lead *leader = g_new0(struct lead, 1);
+	struct rollout_leader *leader = g_new0(struct rollout_leader, 1);
 
 	leader->entry = entry;
 	g_strlcpy(leader->workspace, workspace, sizeof(leader->workspace));
@@ -434,28 +436,28 @@
 	leader->backoffs = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	leader->done =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_hash_table_insert(entry->leads, leader->workspace, leader);
+	g_hash_table_insert(entry->leaders, leader->workspace, leader);
 	leader->role =
 	    agr_role_join(entry->proc.agr, leader->role_name, &ops, leader);
 }
 
 void
-lead_teams_changed(struct entry *entry)
+leader_workspaces_changed(struct entry *entry)
 {
 	GHashTableIter iter;
 	gpointer name;
 
 	if (entry->leaving)
 		return;
-	g_hash_table_iter_init(&iter, entry->teams);
+	g_hash_table_iter_init(&iter, entry->workspaces);
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
-		if (!g_hash_table_contains(entry->leads, name))
+		if (!g_hash_table_contains(entry->leaders, name))
 			join_role(entry, name);
 	}
 }
 
 void
-lead_hand_over(struct lead *leader)
+leader_resign(struct rollout_leader *leader)
 {
 	/* The role may be freed after this. Ticks that still run while the last
 	 * requests end must not use it. */
@@ -464,9 +466,10 @@
 }
 
 bool
-lead_holds(const struct entry *entry, const char *workspace)
+leader_is_local(const struct entry *entry, const char *workspace)
 {
-	struct lead *leader = g_hash_table_lookup(entry->leads, workspace);
+	struct rollout_leader *leader =
+	    g_hash_table_lookup(entry->leaders, workspace);
 
 	return leader != NULL && leader->role != NULL &&
 	    agr_role_fence(leader->role) != 0;
--- a/programs/entry/ops.c
+++ b/programs/entry/ops.c
@@ -20,7 +20,7 @@
 is_authorised(
     struct entry *entry, SoupServerMessage *message, const char *branch)
 {
-	const struct rt_team *workspace = entry_team(entry, branch);
+	const struct rt_team *workspace = entry_workspace(entry, branch);
 	struct digest want;
 
 	if (digest_from_hex(cfg_str(entry->proc.cfg, "node.operator"), &want) &&
@@ -302,9 +302,9 @@
 	json_builder_end_array(b);
 	json_builder_set_member_name(b, "leads_here");
 	json_builder_begin_array(b);
-	g_hash_table_iter_init(&iter, entry->teams);
+	g_hash_table_iter_init(&iter, entry->workspaces);
 	while (g_hash_table_iter_next(&iter, &workspace, NULL)) {
-		if (lead_holds(entry, workspace))
+		if (leader_is_local(entry, workspace))
 			json_builder_add_string_value(b, workspace);
 	}
 	json_builder_end_array(b);
@@ -334,8 +334,8 @@
 static void
 add_host(JsonBuilder *b, const struct rt_target *t, const struct rt_version *v)
 {
-	struct entry_side *sidecar = t->owner;
-	const struct side_status *s =
+	struct entry_sidecar *sidecar = t->owner;
+	const struct version_status *s =
 	    g_hash_table_lookup(sidecar->statuses, &v->root);
 
 	json_builder_begin_object(b);
@@ -383,7 +383,8 @@
 answer_rollout(gpointer data)
 {
 	struct rollout_query *a = data;
-	const struct rt_team *workspace = entry_team(a->entry, a->workspace);
+	const struct rt_team *workspace =
+	    entry_workspace(a->entry, a->workspace);
 	const struct rt_model *model =
 	    workspace == NULL ? NULL : rt_team_model(workspace, a->model);
 	JsonBuilder *b = json_builder_new();
@@ -404,9 +405,9 @@
 request_statuses(struct entry *entry, const struct digest *root)
 {
 	struct rt_status_get get = { .root = *root };
-	struct entry_side *sidecar;
+	struct entry_sidecar *sidecar;
 
-	TAILQ_FOREACH (sidecar, &entry->sides, link) {
+	TAILQ_FOREACH (sidecar, &entry->sidecars, link) {
 		if (sidecar->open)
 			conn_send(sidecar->conn, &rt_status_get_desc, &get);
 	}
@@ -416,7 +417,8 @@
 start_rollout_query(struct entry *entry, SoupServerMessage *message,
     const char *workspace_name, const char *model_name)
 {
-	const struct rt_team *workspace = entry_team(entry, workspace_name);
+	const struct rt_team *workspace =
+	    entry_workspace(entry, workspace_name);
 	const struct rt_model *model =
 	    workspace == NULL ? NULL : rt_team_model(workspace, model_name);
 	struct err err = { 0 };
--- a/programs/entry/peers.c
+++ b/programs/entry/peers.c
@@ -84,7 +84,7 @@
 }
 
 void
-peers_member(struct entry *entry, const struct mem_member *member)
+peers_member_changed(struct entry *entry, const struct mem_member *member)
 {
 	const struct mem_node *node = &member->node;
 	struct entry_peer *p = find(entry, node->id);
--- a/programs/entry/request.c
+++ b/programs/entry/request.c
@@ -98,7 +98,8 @@
 static struct rt_target *
 choose_target(struct request *r, int64_t *backoff_ends_us)
 {
-	const struct rt_team *workspace = entry_team(r->entry, r->workspace);
+	const struct rt_team *workspace =
+	    entry_workspace(r->entry, r->workspace);
 	const struct rt_model *model =
 	    workspace == NULL ? NULL : rt_team_model(workspace, r->model);
 	const struct rt_service *service =
@@ -473,7 +474,7 @@
 
 	end_attempt(r, &cancelled);
 	if (r->claim != NULL)
-		claim_drop(r->claim);
+		claim_cancel(r->claim);
 	digest_stream_free(r->answer_hash);
 	g_signal_handler_disconnect(r->message, r->finished_signal);
 	g_signal_handler_disconnect(r->message, r->wrote_signal);
@@ -526,18 +527,18 @@
 
 bool
 request_start(
-    struct entry *entry, const struct request_ask *params, struct err *err)
+    struct entry *entry, const struct request_params *params, struct err *err)
 {
 	struct request *r;
 
-	if (!gatekeeper_take(entry, params->team->name, err))
+	if (!gatekeeper_take(entry, params->workspace->name, err))
 		return false;
 	r = g_new0(struct request, 1);
 	r->entry = entry;
 	r->message = g_object_ref(params->message);
 	g_snprintf(r->id, sizeof(r->id), "%.12s-%08x-%" G_GUINT64_FORMAT,
 	    entry->proc.node.id, entry->run_id, ++entry->next_request);
-	g_strlcpy(r->workspace, params->team->name, sizeof(r->workspace));
+	g_strlcpy(r->workspace, params->workspace->name, sizeof(r->workspace));
 	if (params->model != NULL)
 		g_strlcpy(r->model, params->model->name, sizeof(r->model));
 	if (params->service != NULL) {
--- a/programs/entry/request.h
+++ b/programs/entry/request.h
@@ -36,7 +36,7 @@
 	bool answer_sent; /* an answer or an error was handed to libsoup */
 
 	/* The current attempt. */
-	struct entry_side *sidecar; /* NULL: no attempt */
+	struct entry_sidecar *sidecar; /* NULL: no attempt */
 	struct rt_target *target;
 	int64_t stream;
 	int64_t sent_us;
--- a/programs/entry/serve.c
+++ b/programs/entry/serve.c
@@ -19,15 +19,15 @@
 #define STOP_NOTICE_MS 1000
 
 bool
-entry_takes_work(const struct entry *entry)
+entry_is_ready(const struct entry *entry)
 {
 	return agr_is_ready(entry->proc.agr);
 }
 
 const struct rt_team *
-entry_team(const struct entry *entry, const char *name)
+entry_workspace(const struct entry *entry, const char *name)
 {
-	return g_hash_table_lookup(entry->teams, name);
+	return g_hash_table_lookup(entry->workspaces, name);
 }
 
 /* ------------------------------------------------------------------ */
@@ -61,7 +61,7 @@
 	else if (m->type == RT_CLAIM || m->type == RT_CLAIM_SETTLE)
 		claims_message(entry, conn_peer(c), m);
 	else if (m->type == RT_CLAIM_ANSWER)
-		claim_message(entry, m);
+		claim_answer_message(entry, m);
 	else if (!agr_message(entry->proc.agr, c, m))
 		ctr_add(
 		    ctr_get(entry->proc.counters, "entry_unknown_messages"), 1);
@@ -105,10 +105,10 @@
 
 	proc_note_member(&entry->proc, member);
 	if (member->node.kind == MEM_SIDECAR) {
-		sides_member(entry, member);
+		sidecars_member_changed(entry, member);
 		return;
 	}
-	peers_member(entry, member);
+	peers_member_changed(entry, member);
 	if (member->state == MEM_DEAD || member->state == MEM_LEAVING)
 		gatekeeper_entry_gone(entry, member->node.id);
 	if (member->state == MEM_DEAD)
@@ -120,7 +120,7 @@
 		return;
 	entry->live_entries = n;
 	gatekeeper_members(entry);
-	claims_members(entry);
+	claims_members_changed(entry);
 }
 
 static void
@@ -130,7 +130,7 @@
 	entry->root = cfg;
 	entry->draining =
 	    cfg_list_has(cfg, "drain.entries", entry->proc.node.id);
-	sides_apply_drain(entry);
+	sidecars_apply_drain(entry);
 }
 
 static void
@@ -151,10 +151,10 @@
 		apply_root(entry, cfg);
 		return;
 	}
-	g_hash_table_replace(entry->teams, g_strdup(branch->name),
+	g_hash_table_replace(entry->workspaces, g_strdup(branch->name),
 	    rt_team_read(cfg, branch->version));
-	gatekeeper_team(entry, entry_team(entry, branch->name));
-	lead_teams_changed(entry);
+	gatekeeper_team(entry, entry_workspace(entry, branch->name));
+	leader_workspaces_changed(entry);
 }
 
 static void
@@ -233,15 +233,15 @@
 	};
 	uint64_t seed;
 
-	TAILQ_INIT(&entry->sides);
+	TAILQ_INIT(&entry->sidecars);
 	TAILQ_INIT(&entry->targets);
 	entry->fleet = rt_fleet_new();
 	TAILQ_INIT(&entry->peers);
 	gatekeeper_open(entry);
 	claims_open(entry);
-	entry->teams = g_hash_table_new_full(
+	entry->workspaces = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)rt_team_free);
-	entry->leads = g_hash_table_new(g_str_hash, g_str_equal);
+	entry->leaders = g_hash_table_new(g_str_hash, g_str_equal);
 	random_bytes(&seed, sizeof(seed));
 	rng_seed(&entry->rng, seed);
 	entry->run_id = (uint32_t)rng_next(&entry->rng);
@@ -278,7 +278,7 @@
 static void
 resign_role(gpointer workspace, gpointer leader, gpointer data)
 {
-	lead_hand_over(leader);
+	leader_resign(leader);
 }
 
 static void
@@ -292,7 +292,7 @@
 	tl_add(entry->proc.timeline, "leaving", entry->proc.node.id,
 	    "%u requests open", entry->open_requests);
 	log_info("entry %s is leaving", entry->proc.node.id);
-	g_hash_table_foreach(entry->leads, resign_role, NULL);
+	g_hash_table_foreach(entry->leaders, resign_role, NULL);
 	agr_leave(entry->proc.agr);
 	claims_leave(entry);
 	entry->stop_timer = g_timeout_add(STOP_CHECK_MS, on_stop_tick, entry);
--- a/programs/entry/sides.c
+++ b/programs/entry/sides.c
@@ -8,14 +8,14 @@
 #define RETRY_FIRST_MS 100
 #define RETRY_MAX_MS 3000
 
-static void dial(struct entry_side *sidecar);
+static void dial(struct entry_sidecar *sidecar);
 
 /* ------------------------------------------------------------------ */
 /* Targets                                                             */
 /* ------------------------------------------------------------------ */
 
 static struct rt_target *
-find_target(struct entry_side *sidecar, const char *name)
+find_target(struct entry_sidecar *sidecar, const char *name)
 {
 	struct rt_target *t;
 
@@ -39,7 +39,7 @@
 /* A host leaves by its own reports (not accepting), by its membership state or
  * by the drain settings; whichever arrives first stops new requests. */
 static bool
-is_leaving(const struct entry_side *sidecar)
+is_leaving(const struct entry_sidecar *sidecar)
 {
 	const struct cfg *root = sidecar->entry->root;
 
@@ -49,7 +49,7 @@
 }
 
 static void
-handle_target(struct entry_side *sidecar, const struct msg *m)
+handle_target(struct entry_sidecar *sidecar, const struct msg *m)
 {
 	struct rt_target_msg report;
 	struct rt_target *t;
@@ -81,11 +81,11 @@
 	rt_target_reported(
 	    t, (unsigned int)report.running, clk_now_us(clk_system()));
 	gatekeeper_spoke(sidecar->entry, t);
-	lead_wake(sidecar->entry);
+	leader_wake(sidecar->entry);
 }
 
 void
-sides_apply_drain(struct entry *entry)
+sidecars_apply_drain(struct entry *entry)
 {
 	struct rt_target *t;
 	bool accepting;
@@ -101,7 +101,7 @@
 }
 
 static void
-disconnect_targets(struct entry_side *sidecar)
+disconnect_targets(struct entry_sidecar *sidecar)
 {
 	struct rt_target *t, *next;
 
@@ -121,7 +121,7 @@
 /* ------------------------------------------------------------------ */
 
 static struct request *
-find_stream(struct entry_side *sidecar, uint64_t number)
+find_stream(struct entry_sidecar *sidecar, uint64_t number)
 {
 	int64_t key = (int64_t)number;
 	struct request *r = g_hash_table_lookup(sidecar->streams, &key);
@@ -136,7 +136,7 @@
 }
 
 static void
-handle_end(struct entry_side *sidecar, const struct rt_end *end)
+handle_end(struct entry_sidecar *sidecar, const struct rt_end *end)
 {
 	struct request *r = find_stream(sidecar, end->stream);
 	struct err err = { 0 };
@@ -158,9 +158,9 @@
 }
 
 static void
-handle_status(struct entry_side *sidecar, const struct rt_status *report)
+handle_status(struct entry_sidecar *sidecar, const struct rt_status *report)
 {
-	struct side_status *s = g_new0(struct side_status, 1);
+	struct version_status *s = g_new0(struct version_status, 1);
 
 	s->root = report->root;
 	s->phase = (enum wts_phase)MIN(report->phase, WTS_NO_ROOM);
@@ -168,13 +168,13 @@
 	s->total = report->total;
 	copy_slice(s->why, sizeof(s->why), report->why);
 	g_hash_table_replace(sidecar->statuses, &s->root, s);
-	lead_wake(sidecar->entry);
+	leader_wake(sidecar->entry);
 }
 
 static void
 on_message(struct conn *c, const struct msg *m, void *ctx)
 {
-	struct entry_side *sidecar = ctx;
+	struct entry_sidecar *sidecar = ctx;
 	struct request *r;
 	union {
 		struct rt_head head;
@@ -204,7 +204,7 @@
 		return;
 	case RT_ORDER_DONE:
 		if (msg_read(m, &rt_order_done_desc, &u.done, NULL))
-			lead_order_done(sidecar->entry, sidecar, &u.done);
+			leader_order_done(sidecar->entry, sidecar, &u.done);
 		return;
 	case RT_STATUS:
 		if (msg_read(m, &rt_status_desc, &u.status, NULL))
@@ -224,19 +224,19 @@
 static void
 on_opened(struct conn *c, void *ctx)
 {
-	struct entry_side *sidecar = ctx;
+	struct entry_sidecar *sidecar = ctx;
 	struct rt_watch watch = { 0 };
 
 	sidecar->open = true;
 	sidecar->retry_ms = RETRY_FIRST_MS;
 	conn_send(c, &rt_watch_desc, &watch);
-	lead_wake(sidecar->entry);
+	leader_wake(sidecar->entry);
 }
 
 static gboolean
 on_retry(gpointer data)
 {
-	struct entry_side *sidecar = data;
+	struct entry_sidecar *sidecar = data;
 
 	sidecar->retry_timer = 0;
 	dial(sidecar);
@@ -244,7 +244,7 @@
 }
 
 static void
-fail_streams(struct entry_side *sidecar, const struct err *why)
+fail_streams(struct entry_sidecar *sidecar, const struct err *why)
 {
 	GList *requests = g_hash_table_get_values(sidecar->streams), *item;
 	struct err err = *why;
@@ -260,14 +260,14 @@
 static void
 on_closed(struct conn *c, const struct err *why, void *ctx)
 {
-	struct entry_side *sidecar = ctx;
+	struct entry_sidecar *sidecar = ctx;
 
 	sidecar->conn = NULL;
 	sidecar->open = false;
 	disconnect_targets(sidecar);
 	fail_streams(sidecar, why);
 	g_hash_table_remove_all(sidecar->statuses);
-	g_hash_table_remove_all(sidecar->asked);
+	g_hash_table_remove_all(sidecar->status_requested_us);
 	if (sidecar->address[0] != '\0') {
 		sidecar->retry_timer =
 		    g_timeout_add(sidecar->retry_ms, on_retry, sidecar);
@@ -282,7 +282,7 @@
 };
 
 static void
-dial(struct entry_side *sidecar)
+dial(struct entry_sidecar *sidecar)
 {
 	sidecar->conn = conn_dial(&sidecar->entry->proc.node, sidecar->address,
 	    &sidecar_ops, sidecar);
@@ -292,22 +292,22 @@
 /* Membership                                                          */
 /* ------------------------------------------------------------------ */
 
-struct entry_side *
-sides_find(struct entry *entry, const char *id)
+struct entry_sidecar *
+sidecars_find(struct entry *entry, const char *id)
 {
-	struct entry_side *sidecar;
+	struct entry_sidecar *sidecar;
 
-	TAILQ_FOREACH (sidecar, &entry->sides, link) {
+	TAILQ_FOREACH (sidecar, &entry->sidecars, link) {
 		if (strcmp(sidecar->id, id) == 0)
 			return sidecar;
 	}
 	return NULL;
 }
 
-static struct entry_side *
+static struct entry_sidecar *
 add_sidecar(struct entry *entry, const char *id)
 {
-	struct entry_side *sidecar = g_new0(struct entry_side, 1);
+	struct entry_sidecar *sidecar = g_new0(struct entry_sidecar, 1);
 
 	sidecar->entry = entry;
 	g_strlcpy(sidecar->id, id, sizeof(sidecar->id));
@@ -315,9 +315,9 @@
 	sidecar->streams = g_hash_table_new(g_int64_hash, g_int64_equal);
 	sidecar->statuses =
 	    g_hash_table_new_full(digest_hash, digest_equal_ptr, NULL, g_free);
-	sidecar->asked = g_hash_table_new_full(
+	sidecar->status_requested_us = g_hash_table_new_full(
 	    digest_hash, digest_equal_ptr, g_free, g_free);
-	TAILQ_INSERT_TAIL(&entry->sides, sidecar, link);
+	TAILQ_INSERT_TAIL(&entry->sidecars, sidecar, link);
 	return sidecar;
 }
 
@@ -325,7 +325,7 @@
  * streams, because the member may be suspected wrongly and a broken connection
  * is closed anyway. */
 static void
-stop_dialling(struct entry_side *sidecar)
+stop_dialling(struct entry_sidecar *sidecar)
 {
 	sidecar->address[0] = '\0';
 	if (sidecar->retry_timer != 0)
@@ -336,10 +336,10 @@
 }
 
 void
-sides_member(struct entry *entry, const struct mem_member *member)
+sidecars_member_changed(struct entry *entry, const struct mem_member *member)
 {
 	const struct mem_node *node = &member->node;
-	struct entry_side *sidecar = sides_find(entry, node->id);
+	struct entry_sidecar *sidecar = sidecars_find(entry, node->id);
 	bool moved;
 
 	if (member->state == MEM_DEAD) {
@@ -354,7 +354,7 @@
 	g_strlcpy(sidecar->domain, node->domain, sizeof(sidecar->domain));
 	g_strlcpy(sidecar->info, node->info, sizeof(sidecar->info));
 	sidecar->leaving = member->state == MEM_LEAVING;
-	sides_apply_drain(entry);
+	sidecars_apply_drain(entry);
 	if (sidecar->conn == NULL && sidecar->retry_timer == 0)
 		dial(sidecar);
 	else if (moved && sidecar->conn != NULL)
