--- a/programs/entry/answer.c
+++ b/programs/entry/answer.c
@@ -83,8 +83,8 @@
 	soup_server_message_unpause(r->message);
 }
 
-/* A recorded answer is repeated byte for byte. Of one that was too long to
- * record the caller gets the digest, to compare with what it received. */
+/* A recorded answer is repeated byte for byte. Of one that was recorded as a
+ * digest only the caller gets the digest, to compare with what it received. */
 void
 answer_recorded(struct request *r)
 {
--- a/programs/entry/claims.c
+++ b/programs/entry/claims.c
@@ -25,7 +25,7 @@
 	struct obj *obj;
 	struct clm_pace pace;
 	struct bucket bucket[CLM_BUCKETS];
-	GHashTable *requests; /* "ENTRY/NUMBER" -> struct claim_request */
+	GHashTable *requests; /* "GATEWAY/NUMBER" -> struct claim_request */
 	unsigned int first_ticked; /* where on_tick starts; rotates */
 	guint timer;
 	guint members_idle;
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -154,7 +154,7 @@
 struct claim_params { /* copied */
 	const char *key;
 	struct digest body;
-	const char *claimant; /* "ENTRY/..." */
+	const char *claimant; /* "GATEWAY/REQUEST", the ids of both */
 	unsigned int keep_ms;
 	int64_t until_us;
 };
--- a/programs/entry/lead.c
+++ b/programs/entry/lead.c
@@ -197,18 +197,18 @@
 request_status(struct entry_sidecar *sidecar, const struct digest *root)
 {
 	struct rt_status_get get = { .root = *root };
-	int64_t *asked_us =
+	int64_t *requested_us =
 	    g_hash_table_lookup(sidecar->status_requested_us, root);
 	int64_t now_us = clk_now_us(clk_system());
 
 	if (!sidecar->open ||
-	    (asked_us != NULL &&
-		now_us - *asked_us < STATUS_REQUEST_MS * 1000LL))
+	    (requested_us != NULL &&
+		now_us - *requested_us < STATUS_REQUEST_MS * 1000LL))
 		return;
-	asked_us = g_new(int64_t, 1);
-	*asked_us = now_us;
+	requested_us = g_new(int64_t, 1);
+	*requested_us = now_us;
 	g_hash_table_replace(sidecar->status_requested_us,
-	    g_memdup2(root, sizeof(*root)), asked_us);
+	    g_memdup2(root, sizeof(*root)), requested_us);
 	conn_send(sidecar->conn, &rt_status_get_desc, &get);
 }
 
