--- a/programs/entry/answer.c
+++ b/programs/entry/answer.c
@@ -156,12 +156,11 @@
 		soup_server_message_unpause(r->message);
 		return;
 	}
-	event =
-	    g_strdup_printf("event: error\ndata: {\"error\":{\"code\":"
-			    "\"%s\",\"message\":\"the answer was interrupted\","
-			    "\"verdict\":\"%s\"}}\n\n",
-		err_code_name(r->last_err.code),
-		verdict_name(VERDICT_MAY_HAVE_RUN));
+	event = g_strdup_printf("event: error\ndata: {\"error\":{\"code\":"
+				"\"%s\",\"message\":\"the answer broke off\","
+				"\"verdict\":\"%s\"}}\n\n",
+	    err_code_name(r->last_err.code),
+	    verdict_name(VERDICT_MAY_HAVE_RUN));
 	answer_append(r, (const uint8_t *)event, strlen(event));
 	soup_message_body_complete(response_body(r));
 	soup_server_message_unpause(r->message);
