--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -112,7 +112,7 @@
 gatekeeper_target_changed(struct entry *entry, const struct rt_target *target)
 {
 	const struct rt_workspace *workspace =
-	    entry_team(entry, target->workspace);
+	    entry_workspace(entry, target->workspace);
 	size_t i;
 
 	if (workspace == NULL)
@@ -142,7 +142,7 @@
 	size_t i;
 
 	rt_fleet_refresh(entry->fleet, now_us());
-	g_hash_table_iter_init(&iter, entry->teams);
+	g_hash_table_iter_init(&iter, entry->workspaces);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		workspace = value;
 		for (i = 0; i < workspace->nmodels; i++)
@@ -203,8 +203,8 @@
 
 	g_hash_table_iter_init(&iter, g->workspaces);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		workspace =
-		    entry_team(entry, ((struct gate_workspace *)value)->name);
+		workspace = entry_workspace(
+		    entry, ((struct gate_workspace *)value)->name);
 		if (workspace != NULL)
 			set_workspace(g, value, workspace);
 	}
