--- a/lib/http/buf.c
+++ b/lib/http/buf.c
@@ -1,4 +1,4 @@
-/* A growing byte buffer read from the front. */
+/* A growable byte buffer that is consumed from the front. */
 
 #include <glib.h>
 #include <string.h>
--- a/lib/http/buf.h
+++ b/lib/http/buf.h
@@ -2,8 +2,8 @@
 #define HTTP_BUF_H
 
 /*
- * hbuf: a growing byte buffer read from the front. It holds no memory while
- * it is empty, so that a thousand idle connections cost none.
+ * hbuf: a growable byte buffer that is consumed from the front. An empty
+ * buffer holds no memory, so a thousand idle connections need none for it.
  */
 
 #include <stddef.h>
@@ -15,8 +15,8 @@
 };
 
 void hbuf_add(struct hbuf *b, const void *data, size_t len);
-void hbuf_use(struct hbuf *b, size_t n); /* n bytes were taken */
-void hbuf_free(struct hbuf *b); /* empties it; it can be used again */
+void hbuf_use(struct hbuf *b, size_t n); /* drops the first n bytes */
+void hbuf_free(struct hbuf *b); /* empties the buffer; it stays usable */
 
 static inline size_t
 hbuf_left(const struct hbuf *b)
--- a/lib/http/sock.c
+++ b/lib/http/sock.c
@@ -38,25 +38,26 @@
 }
 
 static void
-set(int fd, int level, int name, int value)
+set_option(int fd, int level, int name, int value)
 {
-	/* Failing is harmless here: detection only takes longer. */
+	/* Errors are ignored: without the option, a connection still works,
+	 * but the loss of its peer is detected later. */
 	(void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
 void
 sock_tune(int fd)
 {
-	set(fd, IPPROTO_TCP, TCP_NODELAY, 1);
-	set(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-	set(fd, IPPROTO_TCP, TCP_KEEPIDLE, SOCK_PROBE_IDLE_S);
-	set(fd, IPPROTO_TCP, TCP_KEEPINTVL, SOCK_PROBE_EVERY_S);
-	set(fd, IPPROTO_TCP, TCP_KEEPCNT, SOCK_PROBE_COUNT);
-	set(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, SOCK_UNACKED_MS);
+	set_option(fd, IPPROTO_TCP, TCP_NODELAY, 1);
+	set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, SOCK_PROBE_IDLE_S);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, SOCK_PROBE_EVERY_S);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, SOCK_PROBE_COUNT);
+	set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, SOCK_UNACKED_MS);
 }
 
 static int
-fail(int fd)
+close_failed(int fd)
 {
 	int error = errno;
 
@@ -75,7 +76,7 @@
 	sock_tune(fd);
 	if (connect(fd, (const struct sockaddr *)to, sizeof(*to)) != 0 &&
 	    errno != EINPROGRESS)
-		return fail(fd);
+		return close_failed(fd);
 	return fd;
 }
 
@@ -86,10 +87,10 @@
 
 	if (fd < 0)
 		return -1;
-	set(fd, SOL_SOCKET, SO_REUSEADDR, 1);
+	set_option(fd, SOL_SOCKET, SO_REUSEADDR, 1);
 	if (bind(fd, (const struct sockaddr *)at, sizeof(*at)) != 0)
-		return fail(fd);
+		return close_failed(fd);
 	if (listen(fd, backlog) != 0)
-		return fail(fd);
+		return close_failed(fd);
 	return fd;
 }
