--- a/lib/http/parse.c
+++ b/lib/http/parse.c
@@ -1,11 +1,11 @@
-/* HTTP messages out of a byte stream, by http-parser. */
+/* Parses HTTP messages from a byte stream with http-parser. */
 
 #include <glib.h>
 #include <string.h>
 
 #include "http/parse.h"
 
-#define HEADERS_FIRST 16 /* slots made at first */
+#define HEADERS_INITIAL 16 /* initial capacity of the header array */
 
 /* ------------------------------------------------------------------ */
 /* Slices                                                              */
@@ -86,7 +86,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Callbacks of the library                                            */
+/* http-parser callbacks                                               */
 /* ------------------------------------------------------------------ */
 
 static int
@@ -103,11 +103,11 @@
 {
 	struct hparse *p = hp->data;
 
-	/* Trailers of a chunked body come here too; they are not passed on. */
+	/* Also called for trailers of a chunked body, which are dropped. */
 	if (p->head_done)
 		return 0;
 	if (p->msg.nheaders == p->headers_size) {
-		p->headers_size = MAX(HEADERS_FIRST, 2 * p->headers_size);
+		p->headers_size = MAX(HEADERS_INITIAL, 2 * p->headers_size);
 		p->msg.headers =
 		    g_renew(struct hheader, p->msg.headers, p->headers_size);
 	}
@@ -139,8 +139,8 @@
 	p->msg.chunked = (hp->flags & F_CHUNKED) != 0;
 	p->msg.has_length = p->msg.chunked || hp->content_length != UINT64_MAX;
 	p->msg.length = p->msg.has_length ? hp->content_length : 0;
-	/* No other protocol is spoken here: the bytes that follow are a
-	 * message like any other. */
+	/* Protocol upgrades are not supported: parse the bytes that follow as
+	 * the next HTTP message. */
 	hp->upgrade = 0;
 	return p->no_body ? 1 : 0;
 }
@@ -174,7 +174,7 @@
 };
 
 /* ------------------------------------------------------------------ */
-/* Feeding                                                             */
+/* Parsing                                                             */
 /* ------------------------------------------------------------------ */
 
 void
@@ -209,11 +209,11 @@
 	hparse_reset(p);
 }
 
-/* A lone line feed ends a line for some readers and not for others, and a
- * line that begins with a blank goes on with the one before for some. Either
- * can hide a second request in a header. */
+/* Rejects NUL, a bare CR or LF, and folded lines. Some parsers end a line at
+ * a bare LF and others do not; some join a line that begins with a blank to
+ * the line before it. Either can hide a second request in a header. */
 static bool
-head_is_plain(const uint8_t *head, size_t len)
+lines_are_valid(const uint8_t *head, size_t len)
 {
 	size_t i;
 
@@ -231,9 +231,9 @@
 	return true;
 }
 
-/* Whether a header that must be single comes twice. */
+/* Whether a header that must be unique occurs more than once. */
 static bool
-repeated(const struct hmsg *m, const char *name)
+is_repeated(const struct hmsg *m, const char *name)
 {
 	size_t i, n = 0;
 
@@ -242,9 +242,9 @@
 	return n > 1;
 }
 
-/* "Name : value": some readers take the blank as part of the name. */
+/* Rejects "Name : value": some parsers include the blank in the name. */
 static bool
-names_are_plain(const struct hmsg *m)
+names_are_valid(const struct hmsg *m)
 {
 	size_t i;
 
@@ -259,44 +259,44 @@
 }
 
 static bool
-head_is_clear(const struct hparse *p)
+head_is_unambiguous(const struct hparse *p)
 {
-	if (!names_are_plain(&p->msg))
+	if (!names_are_valid(&p->msg))
 		return false;
-	if (repeated(&p->msg, "Content-Length"))
+	if (is_repeated(&p->msg, "Content-Length"))
 		return false;
-	if (repeated(&p->msg, "Transfer-Encoding"))
+	if (is_repeated(&p->msg, "Transfer-Encoding"))
 		return false;
 	return !p->msg.chunked || hmsg_find(&p->msg, "Content-Length") == NULL;
 }
 
 static enum hparse_result
-read_head(struct hparse *p)
+parse_head(struct hparse *p)
 {
 	size_t n;
 
-	if (!head_is_plain(p->head.data, p->head.len))
+	if (!lines_are_valid(p->head.data, p->head.len))
 		return HPARSE_BAD;
-	/* Held back until the owner has seen the head: a body of no bytes
-	 * would end the message within this call. */
+	/* An empty body completes the message within this call. HPARSE_DONE is
+	 * left to the next call, so that the owner sees the head first. */
 	n = http_parser_execute(
 	    &p->parser, &settings, (const char *)p->head.data, p->head.len);
 	if (HTTP_PARSER_ERRNO(&p->parser) == HPE_PAUSED)
 		http_parser_pause(&p->parser, 0);
 	else if (HTTP_PARSER_ERRNO(&p->parser) != HPE_OK)
 		return HPARSE_BAD;
-	/* HTTP/0.9 has no headers, and nobody speaks another version here. */
+	/* HTTP/0.9 has no headers; no version but HTTP/1.x is supported. */
 	if (p->parser.http_major != 1)
 		return HPARSE_BAD;
-	if (n != p->head.len || !head_is_clear(p))
+	if (n != p->head.len || !head_is_unambiguous(p))
 		return HPARSE_BAD;
 	p->head_done = true;
 	return HPARSE_HEAD;
 }
 
-/* Adds bytes up to the empty line that ends the head. */
+/* Collects bytes up to the empty line that ends the head. */
 static enum hparse_result
-feed_head(struct hparse *p, const uint8_t *data, size_t len, size_t *used)
+collect_head(struct hparse *p, const uint8_t *data, size_t len, size_t *used)
 {
 	size_t before, from, skipped = 0;
 	const uint8_t *end;
@@ -317,7 +317,7 @@
 	if (end != NULL) {
 		p->head.len = (size_t)(end - p->head.data) + 4;
 		*used = skipped + p->head.len - before;
-		return read_head(p);
+		return parse_head(p);
 	}
 	*used = skipped + p->head.len - before;
 	if (p->head.len > p->head_max)
@@ -329,7 +329,7 @@
 hparse_feed(struct hparse *p, const void *data, size_t len, size_t *used)
 {
 	if (!p->head_done)
-		return feed_head(p, data, len, used);
+		return collect_head(p, data, len, used);
 	*used = 0;
 	if (!p->complete && len > 0) {
 		*used = http_parser_execute(&p->parser, &settings, data, len);
