--- a/lib/http/evl.c
+++ b/lib/http/evl.c
@@ -1,4 +1,4 @@
-/* One epoll set and one timer heap as a single GLib source. */
+/* An epoll set and a timer heap in a single GLib source. */
 
 #include <string.h>
 #include <sys/epoll.h>
@@ -6,18 +6,19 @@
 
 #include "http/evl.h"
 
-#define BATCH 64 /* events a wake-up; more stay in the kernel */
-#define SCRATCH_BYTES (16u << 10) /* one read; larger ones take turns */
+#define BATCH 64 /* events per wake-up; more remain in the kernel */
+/* Size of one read. Connections with more input are read in turn. */
+#define SCRATCH_BYTES (16u << 10)
 
 struct evl {
-	GSource source; /* first: GLib allocates the whole struct */
+	GSource source; /* first member: GLib allocates the struct */
 	const struct clk *clock;
 	int epoll;
-	int64_t now_us; /* valid while awake */
-	bool awake;
+	int64_t now_us; /* valid during a wake-up */
+	bool in_wakeup;
 	struct epoll_event batch[BATCH];
 	int batch_len, batch_at;
-	GPtrArray *heap; /* struct evl_timer, earliest first */
+	GPtrArray *heap; /* of struct evl_timer; min-heap by at_us */
 	TAILQ_HEAD(evl_tasks, evl_task) tasks;
 	uint8_t scratch[SCRATCH_BYTES];
 };
@@ -28,15 +29,15 @@
 
 static struct evl_timer *heap_at(const struct evl *e, size_t i);
 
-/* Tells GLib when the loop wants its next turn: at once for work that was put
- * off between two wake-ups, else for the earliest timer. */
+/* Sets the time at which GLib dispatches the source next: immediately for work
+ * that was deferred between two wake-ups, else at the earliest timer. */
 static void
-arm(struct evl *e)
+set_ready_time(struct evl *e)
 {
 	int64_t at_us = -1;
 
-	if (e->awake)
-		return; /* done at the end of the wake-up */
+	if (e->in_wakeup)
+		return; /* dispatch() calls this at the end of the wake-up */
 	if (!TAILQ_EMPTY(&e->tasks))
 		at_us = 0;
 	else if (e->heap->len > 0)
@@ -51,7 +52,7 @@
 }
 
 static void
-heap_place(struct evl *e, size_t i, struct evl_timer *t)
+heap_put(struct evl *e, size_t i, struct evl_timer *t)
 {
 	e->heap->pdata[i] = t;
 	t->slot = i + 1;
@@ -63,10 +64,10 @@
 	struct evl_timer *t = heap_at(e, i);
 
 	while (i > 0 && heap_at(e, (i - 1) / 2)->at_us > t->at_us) {
-		heap_place(e, i, heap_at(e, (i - 1) / 2));
+		heap_put(e, i, heap_at(e, (i - 1) / 2));
 		i = (i - 1) / 2;
 	}
-	heap_place(e, i, t);
+	heap_put(e, i, t);
 }
 
 static void
@@ -81,10 +82,10 @@
 			child++;
 		if (heap_at(e, child)->at_us >= t->at_us)
 			break;
-		heap_place(e, i, heap_at(e, child));
+		heap_put(e, i, heap_at(e, child));
 		i = child;
 	}
-	heap_place(e, i, t);
+	heap_put(e, i, t);
 }
 
 void
@@ -101,7 +102,7 @@
 	g_ptr_array_set_size(e->heap, (gint)e->heap->len - 1);
 	if (last == t)
 		return;
-	heap_place(e, i, last);
+	heap_put(e, i, last);
 	heap_up(e, i);
 	heap_down(e, last->slot - 1);
 }
@@ -115,7 +116,7 @@
 	t->slot = e->heap->len;
 	heap_up(e, e->heap->len - 1);
 	if (t->slot == 1)
-		arm(e);
+		set_ready_time(e);
 }
 
 static void
@@ -159,7 +160,8 @@
 		return;
 	epoll_ctl(e->epoll, EPOLL_CTL_DEL, fd->fd, NULL);
 	fd->added = false;
-	/* An event of this batch may still name it: its owner frees it. */
+	/* The owner may free `fd` now; events later in the current batch can
+	 * still point to it. */
 	for (i = e->batch_at; i < e->batch_len; i++) {
 		if (e->batch[i].data.ptr == fd)
 			e->batch[i].data.ptr = NULL;
@@ -167,7 +169,7 @@
 }
 
 static void
-take_events(struct evl *e)
+dispatch_events(struct evl *e)
 {
 	struct evl_fd *fd;
 
@@ -182,7 +184,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Work at the end of a wake-up                                        */
+/* Deferred work                                                       */
 /* ------------------------------------------------------------------ */
 
 void
@@ -192,7 +194,7 @@
 		return;
 	task->queued = true;
 	TAILQ_INSERT_TAIL(&e->tasks, task, link);
-	arm(e);
+	set_ready_time(e);
 }
 
 void
@@ -216,7 +218,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The source                                                          */
+/* GLib source                                                         */
 /* ------------------------------------------------------------------ */
 
 static gboolean
@@ -225,12 +227,12 @@
 	struct evl *e = (struct evl *)source;
 
 	e->now_us = clk_now_us(e->clock);
-	e->awake = true;
-	take_events(e);
+	e->in_wakeup = true;
+	dispatch_events(e);
 	fire_timers(e);
 	run_tasks(e);
-	e->awake = false;
-	arm(e);
+	e->in_wakeup = false;
+	set_ready_time(e);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -265,8 +267,8 @@
 int64_t
 evl_now_us(const struct evl *e)
 {
-	/* Other sources of the GLib loop call between the wake-ups. */
-	return e->awake ? e->now_us : clk_now_us(e->clock);
+	/* Other GLib sources call this between wake-ups: read the clock. */
+	return e->in_wakeup ? e->now_us : clk_now_us(e->clock);
 }
 
 uint8_t *
--- a/lib/http/evl.h
+++ b/lib/http/evl.h
@@ -2,13 +2,13 @@
 #define HTTP_EVL_H
 
 /*
- * evl: one epoll set and one heap of timers behind a single source of the
- * GLib loop. A process with a thousand connections costs GLib one source to
- * poll instead of a thousand, and a timer costs a heap entry instead of a
- * source. Descriptors and timers are intrusive: their owner embeds them.
+ * evl: an event loop with one epoll set and one timer heap, attached to the
+ * GLib main loop as a single source. With a thousand connections GLib polls
+ * one source instead of a thousand, and a timer costs a heap element instead
+ * of a source. Descriptors and timers are intrusive: their owner embeds them.
  *
- * Work that should happen once after all events of a wake-up (writing what
- * they produced) is put off by evl_later().
+ * evl_later() defers work that should run once after all events of a wake-up,
+ * such as writing the output that they produced.
  */
 
 #include <stdbool.h>
@@ -19,7 +19,7 @@
 
 struct evl;
 
-/* A watched descriptor. `ready` gets EPOLL* bits. */
+/* A watched descriptor. `ready` is called with EPOLL* bits. */
 struct evl_fd {
 	int fd;
 	uint32_t events;
@@ -27,30 +27,32 @@
 	void (*ready)(struct evl_fd *fd, uint32_t events);
 };
 
-/* A timer; zero-initialised it is unset. */
+/* A timer. Zero-initialized, it is not set. */
 struct evl_timer {
 	int64_t at_us;
-	size_t slot; /* place in the heap plus one; 0: unset */
+	size_t slot; /* index in the heap plus one; 0: not set */
 	void (*fire)(struct evl_timer *timer);
 };
 
-/* Work put off to the end of the wake-up; zero-initialised it is not queued. */
+/* Work deferred to the end of the wake-up. Zero-initialized, it is not
+ * queued. */
 struct evl_task {
 	TAILQ_ENTRY(evl_task) link;
 	bool queued;
 	void (*run)(struct evl_task *task);
 };
 
-/* The clock must outlive the loop. Runs on the default GLib context. */
+/* Attaches to the default GLib context. The clock must outlive the loop. */
 struct evl *evl_new(const struct clk *clock);
 void evl_free(struct evl *e);
 
-/* Monotonic time, read once a wake-up. */
+/* Monotonic time, read once per wake-up. */
 int64_t evl_now_us(const struct evl *e);
 
-/* Adds `fd` with `events`, or changes what is waited for. */
+/* Adds `fd` with `events`, or changes its events. */
 void evl_watch(struct evl *e, struct evl_fd *fd, uint32_t events);
-/* Forgets `fd`, also in the batch under way; to be called before close(). */
+/* Removes `fd` and discards its events in the current batch. Call this before
+ * close(). */
 void evl_forget(struct evl *e, struct evl_fd *fd);
 
 void evl_timer_set(struct evl *e, struct evl_timer *t, int64_t at_us);
@@ -59,8 +61,8 @@
 void evl_later(struct evl *e, struct evl_task *task);
 void evl_task_cancel(struct evl *e, struct evl_task *task);
 
-/* A buffer shared by all readers of the loop: bytes read into it must be
- * used up or copied before the reader returns. */
+/* A read buffer shared by all callbacks of the loop: a callback must consume
+ * or copy the bytes before it returns. */
 uint8_t *evl_scratch(struct evl *e, size_t *size_out);
 
 #endif
