--- a/lib/http/client.c
+++ b/lib/http/client.c
@@ -1,4 +1,4 @@
-/* The client side: calls to targets on kept connections. */
+/* The HTTP client: calls to targets over pooled connections. */
 
 #include <errno.h>
 #include <string.h>
@@ -9,9 +9,10 @@
 #include "http/client_internal.h"
 #include "http/sock.h"
 
-/* A kept connection is used for this share of the time after which its target
- * closes it: a request that crosses the close may or may not have run. */
-#define KEEP_SHARE_PERCENT 60
+/* An idle connection is reused only within this share of the keep-alive time
+ * that its target announced. If a request and the target's close cross, it is
+ * unknown whether the target executed the request. */
+#define KEEP_ALIVE_PERCENT 60
 
 static const char *const failure_names[HCALL_FAILURES] = {
 	[HCALL_UNREACHABLE] = "unreachable",
@@ -32,7 +33,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Ends                                                                */
+/* End of a call                                                       */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -41,7 +42,7 @@
 	struct hcall *c = l->call;
 	enum hcall_failure why = HCALL_CLOSED;
 
-	if (c->got)
+	if (c->response_begun)
 		why = HCALL_BROKEN;
 	else if (!c->sent)
 		why = HCALL_UNREACHABLE;
@@ -62,23 +63,23 @@
 }
 
 static void
-keep_or_close(struct hlink *l)
+release_link(struct hlink *l)
 {
-	struct hplace *place = l->place;
+	struct hendpoint *endpoint = l->endpoint;
 
-	if (l->spoilt || l->keep_us <= 0 ||
-	    place->nidle >= place->pool->conf.idle_max) {
+	if (l->no_reuse || l->keep_alive_us <= 0 ||
+	    endpoint->nidle >= endpoint->pool->conf.idle_max) {
 		hlink_free(l);
 		return;
 	}
 	hparse_reset(&l->parse);
 	l->state = LINK_IDLE;
-	l->kept = true;
-	TAILQ_INSERT_HEAD(&place->idle, l, link);
-	place->nidle++;
+	l->reused = true;
+	TAILQ_INSERT_HEAD(&endpoint->idle, l, link);
+	endpoint->nidle++;
 	evl_watch(hlink_loop(l), &l->fd, EPOLLIN | EPOLLRDHUP);
-	evl_timer_set(
-	    hlink_loop(l), &l->timer, evl_now_us(hlink_loop(l)) + l->keep_us);
+	evl_timer_set(hlink_loop(l), &l->timer,
+	    evl_now_us(hlink_loop(l)) + l->keep_alive_us);
 }
 
 static void
@@ -86,11 +87,11 @@
 {
 	struct hcall *c = l->call;
 
-	if (hbuf_left(&l->out) > 0) /* answered before it read all of it */
-		l->spoilt = true;
+	if (hbuf_left(&l->out) > 0) /* response before the request was read */
+		l->no_reuse = true;
 	l->call = NULL;
 	c->link = NULL;
-	keep_or_close(l);
+	release_link(l);
 	c->ops->done(c, c->ctx);
 	g_free(c);
 }
@@ -98,7 +99,7 @@
 void
 hcall_cancel(struct hcall *c)
 {
-	if (c->in_head || c->cancelled) {
+	if (c->in_callback || c->cancelled) {
 		c->cancelled = true;
 		return;
 	}
@@ -137,9 +138,9 @@
 		if (n < 0 && errno == EAGAIN)
 			break;
 		if (n < 0) {
-			/* An answer may already wait to be read: a target
-			 * can refuse before it has read a long body. */
-			l->spoilt = true;
+			/* A response may be readable: a target can refuse a
+			 * request before it has read a long body. */
+			l->no_reuse = true;
 			hbuf_free(&l->out);
 			break;
 		}
@@ -160,32 +161,32 @@
 	struct hlink *l = ctx;
 	struct hcall *c = l->call;
 
-	if (c->skip || c->cancelled)
+	if (c->skip_response || c->cancelled)
 		return;
-	c->in_head = true;
+	c->in_callback = true;
 	c->ops->body(c, data, len, c->ctx);
-	c->in_head = false;
+	c->in_callback = false;
 }
 
 static void
-note_keep_alive(struct hlink *l)
+set_keep_alive(struct hlink *l)
 {
 	const struct hheader *h = hmsg_find(&l->parse.msg, "Keep-Alive");
-	const struct hpool_conf *conf = &l->place->pool->conf;
+	const struct hpool_conf *conf = &l->endpoint->pool->conf;
 	const char *timeout;
 	int64_t seconds;
 
-	l->keep_us = conf->idle_us;
+	l->keep_alive_us = conf->idle_us;
 	if (!l->parse.msg.keep_alive)
-		l->spoilt = true;
+		l->no_reuse = true;
 	if (h == NULL)
 		return;
 	timeout = memmem(h->value.p, h->value.n, "timeout=", 8);
 	if (timeout == NULL)
 		return;
 	seconds = g_ascii_strtoll(timeout + 8, NULL, 10);
-	l->keep_us = MIN(
-	    conf->idle_us, seconds * G_USEC_PER_SEC * KEEP_SHARE_PERCENT / 100);
+	l->keep_alive_us = MIN(
+	    conf->idle_us, seconds * G_USEC_PER_SEC * KEEP_ALIVE_PERCENT / 100);
 }
 
 static void
@@ -193,29 +194,29 @@
 {
 	struct hcall *c = l->call;
 
-	if (l->parse.msg.status < 200) /* "100 Continue": the answer follows */
-		c->skip = true;
+	if (l->parse.msg.status < 200) /* interim: "100 Continue" */
+		c->skip_response = true;
 	else
-		note_keep_alive(l);
-	if (c->skip)
+		set_keep_alive(l);
+	if (c->skip_response)
 		return;
-	c->in_head = true;
+	c->in_callback = true;
 	c->ops->head(c, &l->parse.msg, c->ctx);
-	c->in_head = false;
+	c->in_callback = false;
 }
 
-/* The answer that was skipped is whole: ours comes next. */
+/* Prepares for the next response after a skipped one is complete. */
 static void
-next_answer(struct hlink *l)
+next_response(struct hlink *l)
 {
 	hparse_reset(&l->parse);
 	l->parse.no_body = l->call->no_body;
-	l->call->skip = false;
-	l->call->got = false;
+	l->call->skip_response = false;
+	l->call->response_begun = false;
 }
 
 static void
-cancel_now(struct hlink *l)
+free_cancelled(struct hlink *l)
 {
 	struct hcall *c = l->call;
 
@@ -224,22 +225,23 @@
 	g_free(c);
 }
 
-/* False when the link is gone. */
+/* Parses received bytes. Returns false once the call has ended; the link may
+ * be freed then. */
 static bool
-take(struct hlink *l, const uint8_t *data, size_t len)
+parse_input(struct hlink *l, const uint8_t *data, size_t len)
 {
 	enum hparse_result result;
 	size_t used = 0, n;
 
 	while (l->call != NULL) {
 		if (used < len)
-			l->call->got = true;
+			l->call->response_begun = true;
 		result = hparse_feed(&l->parse, data + used, len - used, &n);
 		used += n;
 		if (result == HPARSE_HEAD)
 			on_head(l);
 		if (l->call->cancelled) {
-			cancel_now(l);
+			free_cancelled(l);
 			return false;
 		}
 		if (result == HPARSE_BAD || result == HPARSE_HEAD_TOO_LARGE) {
@@ -250,13 +252,13 @@
 			return true;
 		if (result != HPARSE_DONE)
 			continue;
-		if (l->call->skip) {
-			next_answer(l);
+		if (l->call->skip_response) {
+			next_response(l);
 			continue;
 		}
-		/* Bytes after the answer belong to no request of ours. */
+		/* Bytes after the response belong to no request. */
 		if (used < len)
-			l->spoilt = true;
+			l->no_reuse = true;
 		call_done(l);
 		return false;
 	}
@@ -268,10 +270,11 @@
 {
 	struct hcall *c = l->call;
 
-	l->spoilt = true;
-	if (c != NULL && c->got && !c->skip && hparse_eof(&l->parse)) {
+	l->no_reuse = true;
+	if (c != NULL && c->response_begun && !c->skip_response &&
+	    hparse_eof(&l->parse)) {
 		if (c->cancelled)
-			cancel_now(l);
+			free_cancelled(l);
 		else
 			call_done(l);
 		return;
@@ -289,11 +292,11 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (l->state == LINK_IDLE || n < 0)
-		link_lost(l); /* bytes on an idle link belong to nobody */
+		link_lost(l); /* bytes on an idle link belong to no request */
 	else if (n == 0)
 		on_eof(l);
 	else
-		take(l, buffer, (size_t)n);
+		parse_input(l, buffer, (size_t)n);
 }
 
 static void
@@ -321,7 +324,8 @@
 		on_connected(l);
 		return;
 	}
-	/* An error shows by reading, after the bytes that came before it. */
+	/* recv() returns the bytes that arrived before an error, then the
+	 * error. */
 	if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLERR | EPOLLHUP)) != 0) {
 		on_readable(l);
 		return;
@@ -330,7 +334,7 @@
 		evl_later(hlink_loop(l), &l->flush);
 }
 
-/* Not connected in time, or kept for long enough. */
+/* Connect time-out or idle time-out. */
 static void
 on_timer(struct evl_timer *t)
 {
@@ -344,22 +348,22 @@
 /* ------------------------------------------------------------------ */
 
 static struct hlink *
-link_new(struct hplace *place)
+link_new(struct hendpoint *endpoint)
 {
-	struct hpool *p = place->pool;
+	struct hpool *p = endpoint->pool;
 	struct hlink *l = g_new0(struct hlink, 1);
 	struct sockaddr_in to;
 
-	l->place = place;
+	l->endpoint = endpoint;
 	l->state = LINK_CONNECTING;
 	l->timer.fire = on_timer;
 	l->flush.run = on_flush;
 	l->fd = (struct evl_fd){ .fd = -1, .ready = on_ready };
 	hparse_init(&l->parse, HTTP_RESPONSE, p->conf.head_bytes, on_body, l);
-	LIST_INSERT_HEAD(&place->all, l, all);
-	if (sock_address(place->address, &to))
+	LIST_INSERT_HEAD(&endpoint->all, l, all);
+	if (sock_address(endpoint->address, &to))
 		l->fd.fd = sock_dial(&to);
-	if (l->fd.fd < 0) /* fails by its timer, from the loop */
+	if (l->fd.fd < 0) /* the timer reports the failure from the loop */
 		evl_timer_set(p->conf.loop, &l->timer, 0);
 	else {
 		evl_watch(p->conf.loop, &l->fd, EPOLLOUT);
@@ -373,12 +377,12 @@
 struct hcall *
 hcall_start(struct hpool *p, const struct hcall_conf *conf)
 {
-	struct hplace *place = hplace_of(p, conf->address);
+	struct hendpoint *endpoint = hendpoint_get(p, conf->address);
 	struct hcall *c = g_new0(struct hcall, 1);
-	struct hlink *l = hlink_take_idle(place);
+	struct hlink *l = hlink_take_idle(endpoint);
 
 	if (l == NULL)
-		l = link_new(place);
+		l = link_new(endpoint);
 	c->link = l;
 	c->ops = conf->ops;
 	c->ctx = conf->ctx;
@@ -395,15 +399,15 @@
 void
 hcall_skip(struct hcall *c)
 {
-	c->skip = true;
-	c->link->spoilt = true;
+	c->skip_response = true;
+	c->link->no_reuse = true;
 }
 
 void
 hcall_spoil(struct hcall *c)
 {
 	if (c->link != NULL)
-		c->link->spoilt = true;
+		c->link->no_reuse = true;
 }
 
 void
@@ -425,5 +429,5 @@
 bool
 hcall_kept(const struct hcall *c)
 {
-	return c->link != NULL && c->link->kept;
+	return c->link != NULL && c->link->reused;
 }
--- a/lib/http/client_internal.h
+++ b/lib/http/client_internal.h
@@ -1,7 +1,7 @@
 #ifndef HTTP_CLIENT_INTERNAL_H
 #define HTTP_CLIENT_INTERNAL_H
 
-/* Connections to targets (client_pool.c) and the calls on them (client.c). */
+/* Connections to targets (client_pool.c) and calls on them (client.c). */
 
 #include "http/http.h"
 
@@ -14,32 +14,32 @@
 /* A connection to a target. */
 struct hlink {
 	struct evl_fd fd;
-	struct evl_timer timer; /* connecting, or idle for too long */
+	struct evl_timer timer; /* connect or idle time-out */
 	struct evl_task flush;
-	TAILQ_ENTRY(hlink) link; /* in the idle list of its place */
-	LIST_ENTRY(hlink) all; /* in its place */
-	struct hplace *place;
+	TAILQ_ENTRY(hlink) link; /* in the `idle` list of the endpoint */
+	LIST_ENTRY(hlink) all; /* in the `all` list of the endpoint */
+	struct hendpoint *endpoint;
 	enum link_state state;
 	struct hparse parse;
 	struct hbuf out;
 	struct hcall *call;
-	int64_t keep_us; /* how long its target keeps it when idle */
-	bool spoilt; /* not to be used again */
-	bool kept; /* it served a call before */
+	int64_t keep_alive_us; /* how long it may stay idle */
+	bool no_reuse; /* close after the call */
+	bool reused; /* it served an earlier call */
 };
 
-/* One address. */
-struct hplace {
+/* An address and the connections to it. */
+struct hendpoint {
 	struct hpool *pool;
 	char *address;
-	TAILQ_HEAD(hlinks, hlink) idle; /* last used first */
+	TAILQ_HEAD(hlinks, hlink) idle; /* most recently used first */
 	LIST_HEAD(hlinks_all, hlink) all;
 	unsigned int nidle;
 };
 
 struct hpool {
 	struct hpool_conf conf;
-	GHashTable *places; /* address -> struct hplace */
+	GHashTable *endpoints; /* address -> struct hendpoint */
 	unsigned int opened;
 };
 
@@ -49,23 +49,24 @@
 	void *ctx;
 	bool no_body;
 	bool sent;
-	bool got; /* a byte of an answer came */
-	bool in_head; /* `head` is being called */
-	bool skip; /* the present answer is not ours */
-	bool cancelled; /* by its owner, from within a callback */
+	bool response_begun; /* a byte of the response was received */
+	bool in_callback; /* `head` or `body` is being called */
+	bool skip_response; /* discard the current response */
+	bool cancelled; /* by the owner, from within a callback */
 	bool paused;
 };
 
 static inline struct evl *
 hlink_loop(const struct hlink *l)
 {
-	return l->place->pool->conf.loop;
+	return l->endpoint->pool->conf.loop;
 }
 
-/* Its connection is closed; a call on it must have ended. */
+/* Closes the connection; no call may be in progress on it. */
 void hlink_free(struct hlink *l);
-/* A kept connection, taken into use; NULL: there is none. */
-struct hlink *hlink_take_idle(struct hplace *place);
-struct hplace *hplace_of(struct hpool *p, const char *address);
+/* Takes an idle connection from the pool; NULL if there is none. */
+struct hlink *hlink_take_idle(struct hendpoint *endpoint);
+/* Finds or creates the endpoint of an address. */
+struct hendpoint *hendpoint_get(struct hpool *p, const char *address);
 
 #endif
--- a/lib/http/client_pool.c
+++ b/lib/http/client_pool.c
@@ -1,4 +1,4 @@
-/* Connections to targets: those in use, and those kept for the next call. */
+/* Pool of connections to targets: in use, or idle until the next call. */
 
 #include <unistd.h>
 
@@ -12,8 +12,8 @@
 hlink_free(struct hlink *l)
 {
 	if (l->state == LINK_IDLE) {
-		TAILQ_REMOVE(&l->place->idle, l, link);
-		l->place->nidle--;
+		TAILQ_REMOVE(&l->endpoint->idle, l, link);
+		l->endpoint->nidle--;
 	}
 	LIST_REMOVE(l, all);
 	evl_timer_stop(hlink_loop(l), &l->timer);
@@ -28,14 +28,14 @@
 }
 
 struct hlink *
-hlink_take_idle(struct hplace *place)
+hlink_take_idle(struct hendpoint *endpoint)
 {
-	struct hlink *l = TAILQ_FIRST(&place->idle);
+	struct hlink *l = TAILQ_FIRST(&endpoint->idle);
 
 	if (l == NULL)
 		return NULL;
-	TAILQ_REMOVE(&place->idle, l, link);
-	place->nidle--;
+	TAILQ_REMOVE(&endpoint->idle, l, link);
+	endpoint->nidle--;
 	l->state = LINK_BUSY;
 	evl_timer_stop(hlink_loop(l), &l->timer);
 	return l;
@@ -46,31 +46,31 @@
 /* ------------------------------------------------------------------ */
 
 static void
-place_free(gpointer data)
+endpoint_free(gpointer data)
 {
-	struct hplace *place = data;
+	struct hendpoint *endpoint = data;
 	struct hlink *l;
 
-	while ((l = LIST_FIRST(&place->all)) != NULL)
+	while ((l = LIST_FIRST(&endpoint->all)) != NULL)
 		hlink_free(l);
-	g_free(place->address);
-	g_free(place);
+	g_free(endpoint->address);
+	g_free(endpoint);
 }
 
-struct hplace *
-hplace_of(struct hpool *p, const char *address)
+struct hendpoint *
+hendpoint_get(struct hpool *p, const char *address)
 {
-	struct hplace *place = g_hash_table_lookup(p->places, address);
-
-	if (place != NULL)
-		return place;
-	place = g_new0(struct hplace, 1);
-	place->pool = p;
-	place->address = g_strdup(address);
-	TAILQ_INIT(&place->idle);
-	LIST_INIT(&place->all);
-	g_hash_table_insert(p->places, place->address, place);
-	return place;
+	struct hendpoint *endpoint = g_hash_table_lookup(p->endpoints, address);
+
+	if (endpoint != NULL)
+		return endpoint;
+	endpoint = g_new0(struct hendpoint, 1);
+	endpoint->pool = p;
+	endpoint->address = g_strdup(address);
+	TAILQ_INIT(&endpoint->idle);
+	LIST_INIT(&endpoint->all);
+	g_hash_table_insert(p->endpoints, endpoint->address, endpoint);
+	return endpoint;
 }
 
 struct hpool *
@@ -79,32 +79,32 @@
 	struct hpool *p = g_new0(struct hpool, 1);
 
 	p->conf = *conf;
-	p->places =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, place_free);
+	p->endpoints =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, endpoint_free);
 	return p;
 }
 
 void
 hpool_free(struct hpool *p)
 {
-	g_hash_table_unref(p->places);
+	g_hash_table_unref(p->endpoints);
 	g_free(p);
 }
 
 void
 hpool_forget(struct hpool *p, const char *address)
 {
-	struct hplace *place = g_hash_table_lookup(p->places, address);
+	struct hendpoint *endpoint = g_hash_table_lookup(p->endpoints, address);
 	struct hlink *l;
 
-	if (place == NULL)
+	if (endpoint == NULL)
 		return;
-	while ((l = TAILQ_FIRST(&place->idle)) != NULL)
+	while ((l = TAILQ_FIRST(&endpoint->idle)) != NULL)
 		hlink_free(l);
-	LIST_FOREACH (l, &place->all, all)
-		l->spoilt = true; /* a call is under way: close after it */
-	if (LIST_EMPTY(&place->all))
-		g_hash_table_remove(p->places, address);
+	LIST_FOREACH (l, &endpoint->all, all)
+		l->no_reuse = true; /* in use: close it after its call */
+	if (LIST_EMPTY(&endpoint->all))
+		g_hash_table_remove(p->endpoints, address);
 }
 
 void
@@ -112,13 +112,13 @@
 {
 	GHashTableIter iter;
 	gpointer value;
-	struct hplace *place;
+	struct hendpoint *endpoint;
 	struct hlink *l;
 
-	g_hash_table_iter_init(&iter, p->places);
+	g_hash_table_iter_init(&iter, p->endpoints);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		place = value;
-		while ((l = TAILQ_FIRST(&place->idle)) != NULL)
+		endpoint = value;
+		while ((l = TAILQ_FIRST(&endpoint->idle)) != NULL)
 			hlink_free(l);
 	}
 }
