--- a/lib/http/server.c
+++ b/lib/http/server.c
@@ -1,4 +1,4 @@
-/* The server side: callers' connections, one request at a time on each. */
+/* The HTTP server: callers' connections, each with one request at a time. */
 
 #include <errno.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "http/sock.h"
 
 #define BACKLOG 512
-#define ACCEPTS_PER_TURN 32
+#define ACCEPTS_PER_WAKEUP 32
 
 static struct hreq *
 from_fd(struct evl_fd *fd)
@@ -37,8 +37,8 @@
 void
 hreq_drop_body(struct hreq *r)
 {
-	r->server->bodies -= r->body_counted;
-	r->body_counted = 0;
+	r->server->bodies -= r->body_bytes_counted;
+	r->body_bytes_counted = 0;
 	hbuf_free(&r->body);
 }
 
@@ -70,9 +70,8 @@
 	watch_accepts(s);
 }
 
-/* The caller is gone: whoever works for it is told, once. */
 void
-hreq_leave(struct hreq *r)
+hreq_disconnected(struct hreq *r)
 {
 	if (r->state == HREQ_BUSY)
 		r->server->conf.ops->left(r, r->server->conf.ctx);
@@ -93,7 +92,7 @@
 	evl_watch(hreq_loop(r), &r->fd, events);
 }
 
-/* A refusal of this module: the request is not whole or not HTTP. */
+/* Refuses a request that is incomplete, invalid or over a limit. */
 static void
 refuse(struct hreq *r, unsigned int status)
 {
@@ -117,17 +116,18 @@
 		return;
 	}
 	hbuf_add(&r->body, data, len);
-	r->body_counted += len;
+	r->body_bytes_counted += len;
 	r->server->bodies += len;
 }
 
 static bool
-target_is_plain(const struct hmsg *m)
+target_is_origin_form(const struct hmsg *m)
 {
 	return m->target.n > 0 && m->target.p[0] == '/';
 }
 
-/* One host, as every request of HTTP/1.1 has; two would be two routes. */
+/* HTTP/1.1 requires exactly one Host header; two would be ambiguous for
+ * routing. */
 static bool
 host_is_single(const struct hmsg *m)
 {
@@ -145,7 +145,7 @@
 	const struct hmsg *m = &r->parse.msg;
 	const struct hheader *expect = hmsg_find(m, "Expect");
 
-	if (!target_is_plain(m) || !host_is_single(m)) {
+	if (!target_is_origin_form(m) || !host_is_single(m)) {
 		refuse(r, 400);
 		return false;
 	}
@@ -162,9 +162,9 @@
 	return true;
 }
 
-/* The request is whole: its owner gets it. */
+/* Passes a complete request to the owner. */
 static void
-hand_over(struct hreq *r)
+deliver(struct hreq *r)
 {
 	evl_timer_stop(hreq_loop(r), &r->timer);
 	r->state = HREQ_BUSY;
@@ -172,26 +172,26 @@
 	r->server->conf.ops->request(r, r->server->conf.ctx);
 }
 
-/* The first byte of a request came. */
+/* The first byte of a request was received. */
 static void
-begin(struct hreq *r)
+request_begun(struct hreq *r)
 {
 	r->started_us = evl_now_us(hreq_loop(r));
 	evl_timer_set(
 	    hreq_loop(r), &r->timer, r->started_us + limits_of(r)->head_us);
 }
 
-/* Takes bytes for the present request; returns how many. It may have been
- * answered when this returns, but the connection is still there. */
+/* Parses bytes of the current request and returns the number consumed. The
+ * request may be answered when this returns; the connection still exists. */
 static size_t
-take(struct hreq *r, const uint8_t *data, size_t len)
+parse_input(struct hreq *r, const uint8_t *data, size_t len)
 {
 	enum hparse_result result;
 	size_t used = 0, n;
 
 	while (r->state == HREQ_READ) {
 		if (r->started_us == 0 && used < len)
-			begin(r);
+			request_begun(r);
 		result = hparse_feed(&r->parse, data + used, len - used, &n);
 		used += n;
 		if (result == HPARSE_BAD)
@@ -207,12 +207,11 @@
 		else if (result == HPARSE_MORE)
 			break;
 		else if (result == HPARSE_DONE)
-			hand_over(r);
+			deliver(r);
 	}
 	return used;
 }
 
-/* Goes on with bytes that came together with an earlier request. */
 void
 hreq_read_ahead(struct hreq *r)
 {
@@ -220,7 +219,7 @@
 	size_t used;
 
 	r->in = (struct hbuf){ 0 };
-	used = take(r, hbuf_front(&in), hbuf_left(&in));
+	used = parse_input(r, hbuf_front(&in), hbuf_left(&in));
 	if (used < hbuf_left(&in) && r->state != HREQ_FLUSH)
 		hbuf_add(&r->in, in.data + in.at + used, hbuf_left(&in) - used);
 	hbuf_free(&in);
@@ -236,12 +235,12 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		hreq_leave(r);
+		hreq_disconnected(r);
 		return;
 	}
-	if (r->state != HREQ_READ) /* lingering: read and dropped */
+	if (r->state != HREQ_READ) /* lingering: discard the input */
 		return;
-	used = take(r, buffer, (size_t)n);
+	used = parse_input(r, buffer, (size_t)n);
 	if (used < (size_t)n && r->state != HREQ_FLUSH &&
 	    r->state != HREQ_LINGER)
 		hbuf_add(&r->in, buffer + used, (size_t)n - used);
@@ -254,7 +253,7 @@
 
 	if ((events & (EPOLLERR | EPOLLHUP)) != 0 ||
 	    ((events & EPOLLRDHUP) != 0 && r->state == HREQ_BUSY)) {
-		hreq_leave(r);
+		hreq_disconnected(r);
 		return;
 	}
 	if ((events & EPOLLOUT) != 0)
@@ -272,7 +271,7 @@
 		refuse(r, 408);
 		return;
 	}
-	/* Idle, or lingering for long enough. */
+	/* Idle time-out, or the end of the linger time. */
 	hreq_destroy(r);
 }
 
@@ -305,7 +304,7 @@
 	struct hserver *s = CONTAINER_OF(efd, struct hserver, fd);
 	int i, fd;
 
-	for (i = 0; i < ACCEPTS_PER_TURN; i++) {
+	for (i = 0; i < ACCEPTS_PER_WAKEUP; i++) {
 		if (s->connections >= s->conf.connections_max)
 			break;
 		fd =
@@ -341,15 +340,15 @@
 }
 
 /*
- * Ends a connection that waits for its next request. The answer before it may
- * still be queued: closed at once, its caller would have it cut off, by a
- * process that stops as planned. It goes out first, and the end with it.
+ * Closes a connection that waits for its next request. Output of the previous
+ * response may still be queued; it is written first, since closing at once
+ * would truncate the response during a planned stop.
  */
 static void
-end_idle(struct hreq *r)
+close_idle(struct hreq *r)
 {
 	if (hbuf_left(&r->out) > 0)
-		hreq_end_written(r);
+		hreq_close_after_flush(r);
 	else
 		hreq_destroy(r);
 }
@@ -368,7 +367,7 @@
 	for (r = LIST_FIRST(&s->reqs); r != NULL; r = next) {
 		next = LIST_NEXT(r, link);
 		if (r->state == HREQ_READ && r->started_us == 0)
-			end_idle(r);
+			close_idle(r);
 	}
 }
 
@@ -398,7 +397,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What a request says                                                 */
+/* Request accessors                                                   */
 /* ------------------------------------------------------------------ */
 
 const struct hmsg *
--- a/lib/http/server_answer.c
+++ b/lib/http/server_answer.c
@@ -1,4 +1,4 @@
-/* The server side: answers, and how they are written. */
+/* The HTTP server: building and writing responses. */
 
 #include <errno.h>
 #include <string.h>
@@ -6,10 +6,12 @@
 
 #include "http/server_internal.h"
 
-/* Bytes queued for one caller at which its source is held. */
+/* Bytes queued for one caller above which the source of its response is
+ * paused. */
 #define CONGESTED_BYTES (128u << 10)
-/* After a refusal its unread request is read and dropped for so long: closing
- * with unread bytes resets the connection, and the caller loses the answer. */
+/* How long input is read and discarded after the last response. Closing a
+ * socket with unread input, such as the rest of a refused request, resets the
+ * connection, and the caller loses the response. */
 #define LINGER_US 1000000
 
 static struct hreq *
@@ -31,7 +33,7 @@
 	    hreq_loop(r), &r->timer, evl_now_us(hreq_loop(r)) + LINGER_US);
 }
 
-/* Writes what is queued. False when the connection is gone. */
+/* Writes queued output. Returns false if the connection was closed. */
 static bool
 write_out(struct hreq *r)
 {
@@ -45,7 +47,7 @@
 		if (n < 0 && errno == EAGAIN)
 			break;
 		if (n < 0) {
-			hreq_leave(r);
+			hreq_disconnected(r);
 			return false;
 		}
 		hbuf_use(&r->out, (size_t)n);
@@ -94,11 +96,11 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Answers                                                             */
+/* Responses                                                           */
 /* ------------------------------------------------------------------ */
 
 static void
-queue_status(struct hreq *r, unsigned int status, const char *headers)
+queue_head(struct hreq *r, unsigned int status, const char *headers)
 {
 	char line[64];
 
@@ -116,14 +118,14 @@
 }
 
 void
-hreq_end_written(struct hreq *r)
+hreq_close_after_flush(struct hreq *r)
 {
 	r->state = HREQ_FLUSH;
 	hbuf_free(&r->in);
 	evl_later(hreq_loop(r), &r->flush);
 }
 
-/* The answer is queued whole: on to the next request, or to the close. */
+/* The response is queued completely: wait for the next request, or close. */
 static void
 finish(struct hreq *r)
 {
@@ -132,13 +134,14 @@
 	r->begun = false;
 	r->ctx = NULL;
 	r->congested = false;
-	/* A stream that began before the stop did not announce its end. Left
-	 * open, its caller would send the next request to a process that is
-	 * about to go, and lose it with that. */
+	/* A stream that began before the server stopped listening has no
+	 * "Connection: close". If the connection stayed open, the caller
+	 * could send its next request to a process that is about to exit, and
+	 * that request would be lost. */
 	if (r->server->fd.fd < 0)
 		r->close_after = true;
 	if (r->close_after) {
-		hreq_end_written(r);
+		hreq_close_after_flush(r);
 		return;
 	}
 	r->state = HREQ_READ;
@@ -149,7 +152,7 @@
 }
 
 static bool
-has_no_body(unsigned int status)
+status_has_no_body(unsigned int status)
 {
 	return status == 204 || status == 304;
 }
@@ -163,8 +166,8 @@
 	char line[64];
 
 	g_assert(r->state == HREQ_BUSY && !r->begun);
-	queue_status(r, status, headers);
-	if (has_no_body(status)) {
+	queue_head(r, status, headers);
+	if (status_has_no_body(status)) {
 		queue_text(r, "\r\n");
 		finish(r);
 		return;
@@ -180,11 +183,12 @@
 hreq_begin(struct hreq *r, unsigned int status, const char *headers)
 {
 	g_assert(r->state == HREQ_BUSY && !r->begun);
-	/* HTTP/1.0 knows no chunks: the end of the connection ends the body. */
+	/* HTTP/1.0 has no chunked encoding: closing the connection ends the
+	 * body. */
 	r->chunked = !r->parse.msg.http10;
 	if (!r->chunked)
 		r->close_after = true;
-	queue_status(r, status, headers);
+	queue_head(r, status, headers);
 	queue_text(
 	    r, r->chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n");
 }
@@ -218,17 +222,17 @@
 void
 hreq_abort(struct hreq *r)
 {
-	struct linger now = { .l_onoff = 1, .l_linger = 0 };
+	struct linger reset = { .l_onoff = 1, .l_linger = 0 };
 
 	g_assert(r->state == HREQ_BUSY);
-	/* What was queued still goes out; then a reset, so that no reader
-	 * takes the end of the connection for the end of the answer. */
+	/* Writes queued output as far as possible. A response without chunks
+	 * would look complete after an orderly close, so it ends in a reset. */
 	if (hbuf_left(&r->out) > 0)
 		(void)send(r->fd.fd, hbuf_front(&r->out), hbuf_left(&r->out),
 		    MSG_NOSIGNAL);
 	if (r->begun && !r->chunked)
 		(void)setsockopt(
-		    r->fd.fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+		    r->fd.fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
 	r->state = HREQ_FLUSH;
 	hreq_destroy(r);
 }
--- a/lib/http/server_internal.h
+++ b/lib/http/server_internal.h
@@ -1,18 +1,18 @@
 #ifndef HTTP_SERVER_INTERNAL_H
 #define HTTP_SERVER_INTERNAL_H
 
-/* What the files of the server side share: a connection and its request. */
+/* Connections and requests, shared by server.c and server_answer.c. */
 
 #include "http/http.h"
 
 enum hreq_state {
 	HREQ_READ, /* waiting for a request, or reading it */
-	HREQ_BUSY, /* the owner has it */
-	HREQ_FLUSH, /* answered; closes when all is written */
-	HREQ_LINGER, /* written; reads and drops until the caller closes */
+	HREQ_BUSY, /* delivered to the owner, not answered yet */
+	HREQ_FLUSH, /* answered; closes once all output is written */
+	HREQ_LINGER, /* discards input until the caller closes */
 };
 
-/* A connection; it stands for its present request. */
+/* A connection and its current request. */
 struct hreq {
 	struct evl_fd fd;
 	struct evl_timer timer;
@@ -21,15 +21,15 @@
 	struct hserver *server;
 	enum hreq_state state;
 	struct hparse parse;
-	struct hbuf in; /* read ahead, of the next request */
+	struct hbuf in; /* bytes already read of the next request */
 	struct hbuf body;
 	struct hbuf out;
 	void *ctx;
 	int64_t started_us;
-	size_t body_counted; /* of this body in the server's sum */
-	bool begun; /* the head of the answer was queued */
-	bool chunked; /* the answer's body goes in chunks */
-	bool close_after; /* this answer ends the connection */
+	size_t body_bytes_counted; /* bytes included in hserver.bodies */
+	bool begun; /* the head of the response was queued */
+	bool chunked; /* the response uses chunked encoding */
+	bool close_after; /* close after the response */
 	bool congested;
 	bool too_large;
 };
@@ -39,7 +39,7 @@
 	struct evl_fd fd;
 	LIST_HEAD(hreqs, hreq) reqs;
 	unsigned int connections;
-	size_t bodies; /* bytes held over all connections */
+	size_t bodies; /* bytes of request bodies in memory */
 	bool closing;
 };
 
@@ -51,13 +51,17 @@
 
 /* server.c */
 void hreq_destroy(struct hreq *r);
-void hreq_leave(struct hreq *r); /* the caller is gone: its owner is told */
-void hreq_watch(struct hreq *r); /* for what its state waits for */
-void hreq_read_ahead(struct hreq *r); /* bytes that came with an earlier one */
+/* The caller disconnected: notifies the owner and frees the request. */
+void hreq_disconnected(struct hreq *r);
+/* Sets the events to wait for according to the state. */
+void hreq_watch(struct hreq *r);
+/* Parses bytes that were received together with an earlier request. */
+void hreq_read_ahead(struct hreq *r);
 
 /* server_answer.c */
-void hreq_continue(struct hreq *r); /* "send the body": not the answer */
+void hreq_continue(struct hreq *r); /* sends "100 Continue" */
 void hreq_flush(struct evl_task *task);
-void hreq_end_written(struct hreq *r); /* closes when all is written */
+/* Closes the connection once all output is written. */
+void hreq_close_after_flush(struct hreq *r);
 
 #endif
