--- a/lib/http/fetch.c
+++ b/lib/http/fetch.c
@@ -1,4 +1,4 @@
-/* A call whose answer is gathered whole. */
+/* An HTTP call whose response is buffered until it is complete. */
 
 #include <string.h>
 
--- a/lib/http/fetch.h
+++ b/lib/http/fetch.h
@@ -1,16 +1,16 @@
 #ifndef HTTP_FETCH_H
 #define HTTP_FETCH_H
 
-/* hfetch: one small call whose answer is gathered whole, with a time-out. */
+/* hfetch: a small HTTP call with a time-out; the response is buffered. */
 
 #include "http/http.h"
 
 struct hfetch;
 
 struct hfetch_answer {
-	unsigned int status; /* 0: no whole answer */
-	bool sent; /* without an answer: it may have been carried out */
-	const char *why; /* without an answer: what went wrong */
+	unsigned int status; /* 0: no complete response */
+	bool sent; /* with status 0: the request may have been executed */
+	const char *why; /* with status 0: the cause */
 	const void *body;
 	size_t len;
 };
@@ -21,12 +21,12 @@
 	const char *address;
 	const char *method;
 	const char *path;
-	const char *type; /* of the body; NULL: none is stated */
+	const char *type; /* Content-Type of the body; NULL: no header */
 	const void *body;
 	size_t body_len;
 	int64_t timeout_us;
-	size_t answer_max; /* bytes; a longer answer is a failure */
-	/* For targets that take few connections: this one is closed after. */
+	size_t answer_max; /* bytes; a longer response is a failure */
+	/* Close the connection after the call, for targets that accept few. */
 	bool close;
 	hfetch_cb *done;
 	void *ctx;
@@ -34,6 +34,6 @@
 
 struct hfetch *hfetch_start(
     struct evl *loop, struct hpool *pool, const struct hfetch_conf *conf);
-void hfetch_cancel(struct hfetch *f); /* `done` does not follow */
+void hfetch_cancel(struct hfetch *f); /* `done` is not called */
 
 #endif
--- a/lib/http/http.h
+++ b/lib/http/http.h
@@ -2,13 +2,14 @@
 #define HTTP_H_PACKAGE
 
 /*
- * http: the lean HTTP/1.1 path for callers' requests and for calls to
- * targets. Sockets behind one epoll set (evl), http-parser for the bytes, no
- * allocation while a connection is idle, one write per connection and
- * wake-up. Connections that fall silent are found by their own time-outs.
+ * http: an HTTP/1.1 server for callers' requests and a client for calls to
+ * targets. All sockets are in one epoll set (evl), http-parser parses the
+ * messages, an idle connection holds no buffers, and each connection is
+ * written to at most once per wake-up. Time-outs per connection detect peers
+ * that stop responding.
  *
- * One thread. Nothing here decides what to serve: the owner answers requests
- * (server) and starts calls (client).
+ * Single-threaded. This module has no routing policy: its owner answers
+ * requests (server) and starts calls (client).
  */
 
 #include "http/evl.h"
@@ -19,24 +20,27 @@
 /* ------------------------------------------------------------------ */
 
 struct hserver;
-struct hreq; /* a whole request, until it is answered or its caller left */
+/* A complete request, until it is answered or its caller disconnects. */
+struct hreq;
 
-/* What a caller may send and how long it may take; can change at any time. */
+/* Size and time limits of requests; they can change at any time. */
 struct hlimits {
-	size_t head_bytes; /* beyond it: 431 */
-	size_t body_bytes; /* beyond it: 413 */
-	int64_t head_us; /* from the head's first byte to its last: 408 */
-	int64_t idle_us; /* between requests, and between bytes of a body */
+	size_t head_bytes; /* larger heads: 431 */
+	size_t body_bytes; /* larger bodies: 413 */
+	int64_t head_us; /* from the first to the last byte of a head: 408 */
+	int64_t idle_us; /* between requests, and for a body from its head */
 };
 
 struct hserver_ops {
-	/* A request has been read whole. Answer now or later. */
+	/* A complete request was read. The owner answers now or later. */
 	void (*request)(struct hreq *r, void *ctx);
-	/* The caller left before its answer was whole; `r` is freed after. */
+	/* The caller disconnected before the response was complete. `r` is
+	 * freed after the callback. */
 	void (*left)(struct hreq *r, void *ctx);
-	/* Bytes queued for a congested caller have gone out. */
+	/* Output queued for a slow caller has been written; see
+	 * hreq_congested(). */
 	void (*drained)(struct hreq *r, void *ctx);
-	/* A request was refused here before it was whole. */
+	/* The server refused a request before it was complete. */
 	void (*refused)(unsigned int status, void *ctx);
 };
 
@@ -45,106 +49,116 @@
 	const char *address; /* "ip:port" */
 	const struct hlimits *limits; /* must outlive the server */
 	unsigned int connections_max;
-	/* Bodies being held over all connections; beyond it: 503. */
+	/* Bytes of request bodies in memory, all connections; above it: 503. */
 	size_t bodies_max;
 	const struct hserver_ops *ops;
 	void *ctx;
 };
 
 struct hserver *hserver_new(const struct hserver_conf *conf, struct err *err);
-/* No new connections from now on. Those on which no request is under way are
- * closed, the others after their answer. */
+/* Stops accepting connections. Closes connections without a request at once
+ * and the others after their response. */
 void hserver_stop_listening(struct hserver *s);
-/* From now on each answer ends its connection (a planned stop). */
+/* Whether each response closes its connection (before a planned stop). */
 void hserver_set_closing(struct hserver *s, bool closing);
 unsigned int hserver_connections(const struct hserver *s);
-void hserver_free(struct hserver *s); /* resets what is open */
+void hserver_free(struct hserver *s); /* closes all connections */
 
 const struct hmsg *hreq_msg(const struct hreq *r);
 const void *hreq_body(const struct hreq *r, size_t *len_out);
-int64_t hreq_started_us(const struct hreq *r); /* its first byte was read */
+int64_t hreq_started_us(const struct hreq *r); /* first byte read */
 void hreq_set_ctx(struct hreq *r, void *ctx);
 void *hreq_ctx(const struct hreq *r);
-/* Lets go of the body's memory, once it was sent on. */
+/* Frees the body, for use after it was forwarded. */
 void hreq_drop_body(struct hreq *r);
 
-/* `headers` are whole lines ("Name: value\r\n"...), without length and
- * connection. Each of these ends the request but hreq_begin and hreq_write. */
+/* `headers` are complete lines ("Name: value\r\n"...) without Content-Length,
+ * Transfer-Encoding and Connection. hreq_answer(), hreq_end() and hreq_abort()
+ * end the request. */
 void hreq_answer(struct hreq *r, unsigned int status, const char *headers,
     const void *body, size_t len);
 void hreq_begin(struct hreq *r, unsigned int status, const char *headers);
 void hreq_write(struct hreq *r, const void *data, size_t len);
 void hreq_end(struct hreq *r);
-/* Closes the connection without the end of the answer. */
+/* Closes the connection without completing the response. */
 void hreq_abort(struct hreq *r);
 bool hreq_begun(const struct hreq *r);
-/* Too much is queued for the caller: hold the source until `drained`. */
+/* Too much output is queued for the caller: pause the source of the response
+ * until `drained` is called. */
 bool hreq_congested(const struct hreq *r);
 
 /* ------------------------------------------------------------------ */
 /* Client                                                              */
 /* ------------------------------------------------------------------ */
 
-struct hpool; /* kept connections by address */
-struct hcall; /* one request to a target and its answer */
+struct hpool; /* connections by address, kept alive between calls */
+struct hcall; /* one request to a target and its response */
 
 enum hcall_failure {
 	HCALL_UNREACHABLE, /* no connection: nothing was sent */
-	HCALL_CLOSED, /* the connection ended before the answer's first byte */
-	HCALL_BROKEN, /* bytes that are no answer, or an answer cut short */
+	HCALL_CLOSED, /* closed before the first byte of a response */
+	HCALL_BROKEN, /* invalid or truncated response */
 	HCALL_FAILURES,
 };
 
 const char *hcall_failure_name(enum hcall_failure f);
 
 struct hcall_ops {
-	/* The head of an answer is there. May call hcall_skip or _cancel. */
+	/* The head of a response was parsed. May call hcall_skip() or
+	 * hcall_cancel(). */
 	void (*head)(struct hcall *c, const struct hmsg *m, void *ctx);
 	void (*body)(struct hcall *c, const void *data, size_t len, void *ctx);
-	/* The answer is whole. The call is freed after. */
+	/* The response is complete. The call is freed after the callback. */
 	void (*done)(struct hcall *c, void *ctx);
-	/* `sent`: the target may have seen the request. Freed after. */
+	/* `sent`: the target may have received the request. The call is freed
+	 * after the callback. */
 	void (*failed)(
 	    struct hcall *c, enum hcall_failure why, bool sent, void *ctx);
 };
 
 struct hpool_conf {
 	struct evl *loop;
-	unsigned int idle_max; /* kept connections an address */
-	int64_t connect_us; /* longest wait for a connection */
-	int64_t idle_us; /* use none that was idle for longer */
-	size_t head_bytes; /* largest head of an answer */
+	unsigned int idle_max; /* idle connections per address */
+	int64_t connect_us; /* connect time-out */
+	int64_t idle_us; /* idle connections are closed after this time */
+	size_t head_bytes; /* largest head of a response */
 };
 
 struct hpool *hpool_new(const struct hpool_conf *conf);
-void hpool_free(struct hpool *p); /* no calls may be open */
-/* Closes the kept connections to an address that is not used any more. */
+void hpool_free(struct hpool *p); /* requires that no call is open */
+/* Closes the connections to an address that is no longer used: idle ones now,
+ * the others after their call. */
 void hpool_forget(struct hpool *p, const char *address);
-/* Closes all kept connections on which no call is under way. */
+/* Closes all idle connections. */
 void hpool_forget_idle(struct hpool *p);
-unsigned int hpool_opened(const struct hpool *p); /* connections ever dialled */
+/* Number of connections opened since the pool was created. */
+unsigned int hpool_opened(const struct hpool *p);
 
 struct hcall_conf {
 	const char *address;
-	const void *head; /* request line and headers with the empty line */
+	const void *head; /* request line, headers and empty line */
 	size_t head_len;
 	const void *body;
 	size_t body_len;
-	bool no_body; /* a HEAD request: the answer has no body */
+	bool no_body; /* a HEAD request: the response has no body */
 	const struct hcall_ops *ops;
 	void *ctx;
 };
 
-/* Copies the request. Never NULL; failures come by `failed` from the loop. */
+/* Copies the request. Never returns NULL: failures, also immediate ones, are
+ * reported by `failed` from the loop. */
 struct hcall *hcall_start(struct hpool *p, const struct hcall_conf *conf);
-/* Closes the connection, which tells the target; no callback follows. */
+/* Closes the connection, by which the target notices. No callback follows. */
 void hcall_cancel(struct hcall *c);
-/* In `head`: this answer belongs to an earlier request; wait for the next. */
+/* From `head`: this response belongs to an earlier request. Discards it and
+ * waits for the next one. */
 void hcall_skip(struct hcall *c);
-/* The connection is not to be used again after this call. */
+/* Closes the connection after this call instead of reusing it. */
 void hcall_spoil(struct hcall *c);
+/* Stops or resumes reading the response. */
 void hcall_pause(struct hcall *c, bool paused);
-bool hcall_sent(const struct hcall *c); /* some bytes were handed over */
-bool hcall_kept(const struct hcall *c); /* runs on a kept connection */
+bool hcall_sent(const struct hcall *c); /* some bytes were sent */
+/* Whether the call runs on a connection that served an earlier call. */
+bool hcall_kept(const struct hcall *c);
 
 #endif
