--- a/tests/http/loop.h
+++ b/tests/http/loop.h
@@ -1,7 +1,7 @@
 #ifndef TESTS_HTTP_LOOP_H
 #define TESTS_HTTP_LOOP_H
 
-/* Turns the loop until something has come about; a raw caller beside it. */
+/* Helpers that run the event loop, and a caller on a plain socket. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,10 +18,11 @@
 #include "http/http.h"
 #include "http/sock.h"
 
-#define TURNS_MAX 20000 /* of a millisecond: gives up, no verdict on speed */
+/* Iterations of about 1 ms before a test fails; not a performance limit. */
+#define ITERATIONS_MAX 20000
 
 static inline gboolean
-turn_tick(gpointer data)
+on_tick(gpointer data)
 {
 	return G_SOURCE_CONTINUE;
 }
@@ -30,20 +31,20 @@
 static inline void
 turn_until(const bool *flag)
 {
-	guint tick = g_timeout_add(1, turn_tick, NULL);
+	guint tick = g_timeout_add(1, on_tick, NULL);
 	int i;
 
-	for (i = 0; i < TURNS_MAX && !*flag; i++)
+	for (i = 0; i < ITERATIONS_MAX && !*flag; i++)
 		g_main_context_iteration(NULL, TRUE);
 	g_source_remove(tick);
 	assert_true(*flag);
 }
 
-/* Lets everything happen that is due within `ms`. */
+/* Runs the loop for `ms` milliseconds. */
 static inline void
 turn_ms(int ms)
 {
-	guint tick = g_timeout_add(1, turn_tick, NULL);
+	guint tick = g_timeout_add(1, on_tick, NULL);
 	int64_t end_us = g_get_monotonic_time() + ms * 1000;
 
 	while (g_get_monotonic_time() < end_us)
@@ -86,26 +87,26 @@
 	    send(fd, text, strlen(text), MSG_NOSIGNAL), (ssize_t)strlen(text));
 }
 
-/* All that comes until `stop` is in it or the other end closes. */
+/* Reads until the text contains `stop` or the peer closes. */
 static inline char *
 raw_read(int fd, const char *stop)
 {
-	GString *got = g_string_new(NULL);
+	GString *text = g_string_new(NULL);
 	char buffer[4096];
 	ssize_t n;
 	int i;
 
-	for (i = 0; i < TURNS_MAX / 4; i++) {
+	for (i = 0; i < ITERATIONS_MAX / 4; i++) {
 		n = recv(fd, buffer, sizeof(buffer), MSG_DONTWAIT);
 		if (n == 0 || (n < 0 && errno != EAGAIN))
 			break;
 		if (n > 0)
-			g_string_append_len(got, buffer, n);
-		if (stop != NULL && strstr(got->str, stop) != NULL)
+			g_string_append_len(text, buffer, n);
+		if (stop != NULL && strstr(text->str, stop) != NULL)
 			break;
 		turn_ms(1);
 	}
-	return g_string_free(got, FALSE);
+	return g_string_free(text, FALSE);
 }
 
 #endif
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -1,4 +1,4 @@
-/* The client side: kept connections, and answers that come oddly. */
+/* HTTP client: reuse of connections, unexpected responses, failures. */
 
 #include "loop.h"
 
@@ -6,9 +6,9 @@
 static struct hpool *pool;
 static char address[32];
 static int listener;
-static unsigned int heads, dones, failures, sents;
+static unsigned int heads, dones, failures, failures_sent;
 static enum hcall_failure last_failure;
-static bool ended, skip_first;
+static bool finished, skip_first;
 
 static void
 on_head(struct hcall *c, const struct hmsg *m, void *ctx)
@@ -27,16 +27,16 @@
 on_done(struct hcall *c, void *ctx)
 {
 	dones++;
-	ended = true;
+	finished = true;
 }
 
 static void
 on_failed(struct hcall *c, enum hcall_failure why, bool sent, void *ctx)
 {
 	failures++;
-	sents += sent;
+	failures_sent += sent;
 	last_failure = why;
-	ended = true;
+	finished = true;
 }
 
 static const struct hcall_ops ops = {
@@ -61,8 +61,8 @@
 	    .connect_us = 300000,
 	    .idle_us = 400000,
 	    .head_bytes = 4096 });
-	heads = dones = failures = sents = 0;
-	ended = skip_first = false;
+	heads = dones = failures = failures_sent = 0;
+	finished = skip_first = false;
 	return 0;
 }
 
@@ -81,7 +81,7 @@
 {
 	static const char head[] = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
-	ended = false;
+	finished = false;
 	return hcall_start(pool,
 	    &(struct hcall_conf){ .address = address,
 		.head = head,
@@ -90,7 +90,7 @@
 }
 
 static int
-take(void)
+accept_connection(void)
 {
 	int fd = -1, i;
 
@@ -105,130 +105,130 @@
 #define OK "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 
 static void
-test_connection_is_used_again(void **state)
+test_connection_is_reused(void **state)
 {
 	int fd;
 
 	start();
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "\r\nok");
-	turn_until(&ended);
+	turn_until(&finished);
 	start();
 	g_free(raw_read(fd, "\r\n\r\n"));
 	raw_send(fd, OK "\r\nok");
-	turn_until(&ended);
+	turn_until(&finished);
 	assert_int_equal(dones, 2);
 	assert_int_equal(hpool_opened(pool), 1);
 	close(fd);
 }
 
-/* Its target closes kept connections after a second: well before that it is
- * not used any more, as a request could cross the close. */
+/* A connection is not reused when its keep-alive time is over or the target
+ * announced its close: a request could cross the close. */
 static void
-test_keep_alive_is_heeded(void **state)
+test_keep_alive_limits_reuse(void **state)
 {
 	int fd;
 
 	start();
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "Keep-Alive: timeout=0\r\n\r\nok");
-	turn_until(&ended);
+	turn_until(&finished);
 	close(fd);
 	start();
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "Connection: close\r\n\r\nok");
-	turn_until(&ended);
+	turn_until(&finished);
 	assert_int_equal(hpool_opened(pool), 2);
 	close(fd);
 }
 
-/* Bytes after an answer, or on a connection that nobody uses, belong to no
- * request: that connection ends. */
+/* Bytes after a response or on an idle connection belong to no request: the
+ * connection is closed. */
 static void
 test_stray_bytes(void **state)
 {
 	int fd;
 
 	start();
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "\r\nok" OK "\r\nno");
-	turn_until(&ended);
+	turn_until(&finished);
 	start();
 	close(fd);
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "\r\nok");
-	turn_until(&ended);
+	turn_until(&finished);
 	raw_send(fd, OK "\r\nno");
 	turn_ms(20);
 	start();
 	close(fd);
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "\r\nok");
-	turn_until(&ended);
+	turn_until(&finished);
 	assert_int_equal(dones, 3);
 	assert_int_equal(hpool_opened(pool), 3);
 	close(fd);
 }
 
 static void
-test_skipped_answer(void **state)
+test_skipped_response(void **state)
 {
 	int fd;
 
 	skip_first = true;
 	start();
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "\r\nno");
 	turn_ms(5);
-	assert_false(ended);
+	assert_false(finished);
 	raw_send(fd, OK "\r\nok");
-	turn_until(&ended);
+	turn_until(&finished);
 	assert_int_equal(heads, 2);
 	assert_int_equal(dones, 1);
 	close(fd);
 }
 
 static void
-test_what_failures_say(void **state)
+test_failure_reasons(void **state)
 {
 	int fd;
 
 	start();
-	fd = take();
+	fd = accept_connection();
 	g_free(raw_read(fd, "\r\n\r\n"));
 	close(fd);
-	turn_until(&ended);
+	turn_until(&finished);
 	assert_int_equal(last_failure, HCALL_CLOSED);
-	assert_int_equal(sents, 1);
+	assert_int_equal(failures_sent, 1);
 	start();
-	fd = take();
+	fd = accept_connection();
 	raw_send(fd, OK "\r\no");
 	turn_ms(5);
 	close(fd);
-	turn_until(&ended);
+	turn_until(&finished);
 	assert_int_equal(last_failure, HCALL_BROKEN);
 	close(listener);
 	listener = -1;
 	start();
-	turn_until(&ended);
+	turn_until(&finished);
 	assert_int_equal(last_failure, HCALL_UNREACHABLE);
-	assert_int_equal(sents, 2); /* nothing was sent this time */
+	assert_int_equal(failures_sent, 2); /* nothing was sent this time */
 }
 
-/* Cancelled: the target sees its connection close. */
+/* Cancelling a call closes the connection to the target. */
 static void
 test_cancel(void **state)
 {
 	struct hcall *c = start();
 	char byte;
-	int fd = take(), i;
+	int fd = accept_connection(), i;
 
 	g_free(raw_read(fd, "\r\n\r\n"));
 	hcall_cancel(c);
 	for (i = 0; i < 200 && recv(fd, &byte, 1, MSG_DONTWAIT) != 0; i++)
 		turn_ms(1);
 	assert_true(i < 200);
-	assert_false(ended);
+	assert_false(finished);
 	close(fd);
 }
 
@@ -237,11 +237,11 @@
 {
 #define T(f) cmocka_unit_test_setup_teardown(f, set_up, tear_down)
 	const struct CMUnitTest tests[] = {
-		T(test_connection_is_used_again),
-		T(test_keep_alive_is_heeded),
+		T(test_connection_is_reused),
+		T(test_keep_alive_limits_reuse),
 		T(test_stray_bytes),
-		T(test_skipped_answer),
-		T(test_what_failures_say),
+		T(test_skipped_response),
+		T(test_failure_reasons),
 		T(test_cancel),
 	};
 
--- a/tests/http/test_parse.c
+++ b/tests/http/test_parse.c
@@ -1,4 +1,4 @@
-/* HTTP messages out of a byte stream, and what must not pass as one. */
+/* Parsing of HTTP messages and rejection of invalid or ambiguous ones. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -34,7 +34,7 @@
 	return 0;
 }
 
-/* Feeds `step` bytes at a time; the result that ended it. */
+/* Feeds `step` bytes at a time and returns the last result. */
 static enum hparse_result
 feed(struct hparse *p, const char *text, size_t step, size_t *used_out)
 {
@@ -65,7 +65,7 @@
 }
 
 static void
-test_request_in_pieces(void **state)
+test_request_in_parts(void **state)
 {
 	static const char text[] =
 	    "POST /a/b?c=1 HTTP/1.1\r\nHost: x.example\r\n"
@@ -88,7 +88,7 @@
 	}
 }
 
-/* Two requests in one read: the second begins where the first ends. */
+/* Two requests in one buffer: parsing stops at the end of the first. */
 static void
 test_two_requests(void **state)
 {
@@ -107,14 +107,14 @@
 }
 
 /*
- * A caller hides a second request in one that two readers understand
- * differently. If it were passed on, a target would run what nobody here had
- * checked. Each must be refused as a whole.
+ * Request smuggling: a caller hides a second request in one that two parsers
+ * interpret differently. If it were forwarded, a target would execute a
+ * request that was never checked. Each such request must be rejected.
  */
 static void
 test_ambiguous_requests(void **state)
 {
-	static const char *const bad[] = {
+	static const char *const ambiguous[] = {
 		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
 		"Content-Length: 4\r\n\r\nabcd",
 		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
@@ -133,9 +133,9 @@
 	};
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(bad); i++) {
-		if (parse_once(bad[i]) != HPARSE_BAD)
-			fail_msg("taken: number %zu", i);
+	for (i = 0; i < G_N_ELEMENTS(ambiguous); i++) {
+		if (parse_once(ambiguous[i]) != HPARSE_BAD)
+			fail_msg("request %zu was not rejected", i);
 	}
 }
 
@@ -161,10 +161,10 @@
 	assert_string_equal(body->str, "abcde");
 }
 
-/* An answer without a length is whole when its sender closes in order; one
- * with a length is not. */
+/* An orderly close completes a response without a length, but neither one with
+ * a length nor a chunked one. */
 static void
-test_answers_that_end_with_the_connection(void **state)
+test_responses_ended_by_close(void **state)
 {
 	struct hparse p;
 
@@ -205,14 +205,14 @@
 	assert_false(hslice_number(word, &value));
 }
 
-/* Random bytes, and a good head with random bytes put in: whatever comes out,
- * nothing is read beyond the buffers (the sanitizers watch). */
+/* A valid message with up to four random bytes: whatever the result, the parser
+ * must not read beyond its buffers (checked by the sanitizers). */
 static void
 test_random_bytes(void **state)
 {
-	static const char good[] = "POST /a HTTP/1.1\r\nHost: a\r\n"
-				   "Transfer-Encoding: chunked\r\n\r\n"
-				   "3\r\nabc\r\n0\r\n\r\n";
+	static const char valid[] = "POST /a HTTP/1.1\r\nHost: a\r\n"
+				    "Transfer-Encoding: chunked\r\n\r\n"
+				    "3\r\nabc\r\n0\r\n\r\n";
 	struct rng rng;
 	char text[128];
 	struct hparse p;
@@ -221,8 +221,8 @@
 
 	rng_seed(&rng, 7);
 	for (i = 0; i < 20000; i++) {
-		len = sizeof(good) - 1;
-		memcpy(text, good, len);
+		len = sizeof(valid) - 1;
+		memcpy(text, valid, len);
 		for (n = rng_below(&rng, 5); n > 0; n--)
 			text[rng_below(&rng, len)] = (char)rng_next(&rng);
 		hparse_init(&p, i % 2 ? HTTP_REQUEST : HTTP_RESPONSE, 64,
@@ -245,7 +245,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-		    test_request_in_pieces, set_up, tear_down),
+		    test_request_in_parts, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 		    test_two_requests, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
@@ -255,8 +255,7 @@
 		cmocka_unit_test_setup_teardown(
 		    test_chunked_body, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-		    test_answers_that_end_with_the_connection, set_up,
-		    tear_down),
+		    test_responses_ended_by_close, set_up, tear_down),
 		cmocka_unit_test(test_slices),
 		cmocka_unit_test_setup_teardown(
 		    test_random_bytes, set_up, tear_down),
--- a/tests/http/test_server.c
+++ b/tests/http/test_server.c
@@ -1,4 +1,4 @@
-/* The server side: limits, slow and leaving callers, answers, the stop. */
+/* HTTP server: limits, slow and disconnecting callers, responses, stopping. */
 
 #include "loop.h"
 
@@ -6,22 +6,22 @@
 static struct hserver *server;
 static struct hlimits limits;
 static char address[32];
-static struct hreq *held; /* the last request handed over */
-static bool got, left;
+static struct hreq *request; /* the last request delivered */
+static bool delivered, disconnected;
 static unsigned int refused;
 
 static void
 on_request(struct hreq *r, void *ctx)
 {
-	held = r;
-	got = true;
+	request = r;
+	delivered = true;
 }
 
 static void
-on_left(struct hreq *r, void *ctx)
+on_disconnected(struct hreq *r, void *ctx)
 {
-	held = NULL;
-	left = true;
+	request = NULL;
+	disconnected = true;
 }
 
 static void
@@ -37,7 +37,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.left = on_left,
+	.left = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
@@ -61,8 +61,8 @@
 				 .ops = &ops },
 	    &err);
 	assert_non_null(server);
-	held = NULL;
-	got = left = false;
+	request = NULL;
+	delivered = disconnected = false;
 	refused = 0;
 	return 0;
 }
@@ -75,9 +75,9 @@
 	return 0;
 }
 
-/* Two requests sent at once are answered one after the other, in order. */
+/* Two pipelined requests are delivered and answered one at a time, in order. */
 static void
-test_requests_in_a_row(void **state)
+test_pipelined_requests(void **state)
 {
 	int fd = raw_dial(address);
 	char *answer;
@@ -85,13 +85,13 @@
 	raw_send(fd,
 	    "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
 	    "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&got);
-	assert_int_equal(hreq_msg(held)->target.p[1], '1');
-	got = false;
-	hreq_answer(held, 200, "X: 1\r\n", "one", 3);
-	turn_until(&got);
-	assert_int_equal(hreq_msg(held)->target.p[1], '2');
-	hreq_answer(held, 503, "", "", 0);
+	turn_until(&delivered);
+	assert_int_equal(hreq_msg(request)->target.p[1], '1');
+	delivered = false;
+	hreq_answer(request, 200, "X: 1\r\n", "one", 3);
+	turn_until(&delivered);
+	assert_int_equal(hreq_msg(request)->target.p[1], '2');
+	hreq_answer(request, 503, "", "", 0);
 	answer = raw_read(fd, "503");
 	assert_non_null(strstr(answer, "one"));
 	assert_non_null(strstr(answer, "Content-Length: 3"));
@@ -112,7 +112,7 @@
 		fail_msg("%s: answered %s", text, answer);
 	assert_non_null(strstr(answer, "Connection: close"));
 	assert_int_equal(refused, status);
-	assert_false(got);
+	assert_false(delivered);
 	g_free(answer);
 	close(fd);
 }
@@ -135,7 +135,7 @@
 	g_string_free(large, TRUE);
 }
 
-/* A head that trickles in holds a connection for its time only. */
+/* An incomplete head occupies a connection for `head_us` only. */
 static void
 test_slow_head(void **state)
 {
@@ -143,34 +143,34 @@
 }
 
 /*
- * A caller leaves while its request runs. Who works for it must hear so at
- * once, or a target goes on for nobody.
+ * A caller disconnects while its request runs. The owner must be notified at
+ * once, or a target keeps working on a request that nobody waits for.
  */
 static void
-test_caller_leaves(void **state)
+test_caller_disconnects(void **state)
 {
 	int fd = raw_dial(address);
 
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&got);
+	turn_until(&delivered);
 	close(fd);
-	turn_until(&left);
+	turn_until(&disconnected);
 	assert_int_equal(hserver_connections(server), 0);
 }
 
-/* An answer that is broken off must not look whole: its last chunk lacks. */
+/* An aborted response must not look complete: the last chunk is missing. */
 static void
-test_broken_stream(void **state)
+test_aborted_stream(void **state)
 {
 	int fd = raw_dial(address);
 	char *answer;
 
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&got);
-	hreq_begin(held, 200, "");
-	hreq_write(held, "abc", 3);
+	turn_until(&delivered);
+	hreq_begin(request, 200, "");
+	hreq_write(request, "abc", 3);
 	turn_ms(2);
-	hreq_abort(held);
+	hreq_abort(request);
 	answer = raw_read(fd, NULL);
 	assert_non_null(strstr(answer, "3\r\nabc\r\n"));
 	assert_null(strstr(answer, "0\r\n\r\n"));
@@ -178,7 +178,8 @@
 	close(fd);
 }
 
-/* A caller that does not read holds its own answer, and little memory. */
+/* A caller that does not read its response is reported as congested, which
+ * bounds the memory for its output. */
 static void
 test_slow_reader_is_congested(void **state)
 {
@@ -188,20 +189,20 @@
 
 	memset(block, 'x', sizeof(block));
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&got);
-	hreq_begin(held, 200, "");
-	for (i = 0; i < 2000 && !hreq_congested(held); i++) {
-		hreq_write(held, block, sizeof(block));
+	turn_until(&delivered);
+	hreq_begin(request, 200, "");
+	for (i = 0; i < 2000 && !hreq_congested(request); i++) {
+		hreq_write(request, block, sizeof(block));
 		turn_ms(0);
 	}
-	assert_true(hreq_congested(held));
+	assert_true(hreq_congested(request));
 	close(fd);
-	turn_until(&left);
+	turn_until(&disconnected);
 }
 
 /*
- * A planned stop: idle connections close, new ones are not taken, the request
- * under way is answered and its connection ends with it.
+ * A planned stop: idle connections close and no new ones are accepted. The
+ * request in progress is answered, then its connection closes.
  */
 static void
 test_stop(void **state)
@@ -211,12 +212,12 @@
 	char *answer;
 
 	raw_send(busy, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&got);
+	turn_until(&delivered);
 	hserver_stop_listening(server);
 	answer = raw_read(idle, NULL);
 	assert_string_equal(answer, "");
 	g_free(answer);
-	hreq_answer(held, 200, "", "ok", 2);
+	hreq_answer(request, 200, "", "ok", 2);
 	answer = raw_read(busy, NULL);
 	assert_non_null(strstr(answer, "Connection: close"));
 	assert_non_null(strstr(answer, "ok"));
@@ -225,7 +226,8 @@
 	close(busy);
 }
 
-/* A caller has had the first part of its stream. Only the stop ends it. */
+/* Sends the first part of a stream. The idle time-out is long, so that only
+ * the stop closes the connection. */
 static int
 begin_stream(void)
 {
@@ -234,41 +236,41 @@
 	limits.idle_us = 30000000;
 	fd = raw_dial(address);
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&got);
-	hreq_begin(held, 200, "");
-	hreq_write(held, "abc", 3);
+	turn_until(&delivered);
+	hreq_begin(request, 200, "");
+	hreq_write(request, "abc", 3);
 	turn_ms(5);
 	return fd;
 }
 
 /*
- * A stream begins, then the process is asked to stop, then the stream ends.
- * Its caller was not told that the connection would close; it must not stay
- * open, or the next request is lost with the process.
+ * A stream begins, the server stops listening, then the stream ends. Its head
+ * did not announce that the connection closes. If the connection stayed open,
+ * the caller's next request would be lost when the process exits.
  */
 static void
-test_stream_over_the_stop(void **state)
+test_stream_ends_after_stop(void **state)
 {
 	int fd = begin_stream();
 	char *answer;
 
 	hserver_stop_listening(server);
-	hreq_end(held);
+	hreq_end(request);
 	answer = raw_read(fd, "0\r\n\r\n");
 	assert_true(g_str_has_suffix(answer, "0\r\n\r\n"));
 	g_free(answer);
-	got = false;
+	delivered = false;
 	(void)send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 27, MSG_NOSIGNAL);
 	turn_ms(20);
-	assert_false(got);
+	assert_false(delivered);
 	close(fd);
 }
 
 /*
  * A stream that began before the stop ends in the same wake-up in which the
- * process stops to listen, as happens when reading new settings held the loop
- * up. Its last bytes are queued and not written yet; its connection looks idle.
- * Closed at once, the caller would have an answer that breaks off.
+ * server stops listening, as happens when reading new settings delayed the
+ * loop. Its last bytes are queued but not written, and its connection looks
+ * idle. If it were closed at once, the response would be truncated.
  */
 static void
 test_stream_ends_as_listening_stops(void **state)
@@ -276,10 +278,10 @@
 	int fd = begin_stream();
 	char *answer;
 
-	hreq_write(held, "def", 3);
-	hreq_end(held);
+	hreq_write(request, "def", 3);
+	hreq_end(request);
 	hserver_stop_listening(server);
-	answer = raw_read(fd, NULL); /* to the connection's end */
+	answer = raw_read(fd, NULL); /* until the connection closes */
 	assert_true(g_str_has_suffix(answer, "def\r\n0\r\n\r\n"));
 	g_free(answer);
 	close(fd);
@@ -292,10 +294,10 @@
 	char *answer;
 
 	raw_send(fd, "GET / HTTP/1.0\r\n\r\n");
-	turn_until(&got);
-	hreq_begin(held, 200, "");
-	hreq_write(held, "abc", 3);
-	hreq_end(held);
+	turn_until(&delivered);
+	hreq_begin(request, 200, "");
+	hreq_write(request, "abc", 3);
+	hreq_end(request);
 	answer = raw_read(fd, NULL);
 	assert_null(strstr(answer, "chunked"));
 	assert_true(g_str_has_suffix(answer, "\r\n\r\nabc"));
@@ -308,14 +310,14 @@
 {
 #define T(f) cmocka_unit_test_setup_teardown(f, set_up, tear_down)
 	const struct CMUnitTest tests[] = {
-		T(test_requests_in_a_row),
+		T(test_pipelined_requests),
 		T(test_refusals),
 		T(test_slow_head),
-		T(test_caller_leaves),
-		T(test_broken_stream),
+		T(test_caller_disconnects),
+		T(test_aborted_stream),
 		T(test_slow_reader_is_congested),
 		T(test_stop),
-		T(test_stream_over_the_stop),
+		T(test_stream_ends_after_stop),
 		T(test_stream_ends_as_listening_stops),
 		T(test_http10),
 	};
