--- a/lib/http/buf.c
+++ b/lib/http/buf.c
@@ -26,7 +26,7 @@
 }
 
 void
-hbuf_use(struct hbuf *b, size_t n)
+hbuf_consume(struct hbuf *b, size_t n)
 {
 	g_assert(n <= hbuf_left(b));
 	b->at += n;
--- a/lib/http/buf.h
+++ b/lib/http/buf.h
@@ -15,7 +15,7 @@
 };
 
 void hbuf_add(struct hbuf *b, const void *data, size_t len);
-void hbuf_use(struct hbuf *b, size_t n); /* drops the first n bytes */
+void hbuf_consume(struct hbuf *b, size_t n); /* drops the first n bytes */
 void hbuf_free(struct hbuf *b); /* empties the buffer; it stays usable */
 
 static inline size_t
--- a/lib/http/client.c
+++ b/lib/http/client.c
@@ -146,7 +146,7 @@
 		}
 		if (l->call != NULL)
 			l->call->sent = true;
-		hbuf_use(&l->out, (size_t)n);
+		hbuf_consume(&l->out, (size_t)n);
 	}
 	watch(l);
 }
@@ -331,7 +331,7 @@
 		return;
 	}
 	if ((events & EPOLLOUT) != 0)
-		evl_later(hlink_loop(l), &l->flush);
+		evl_defer(hlink_loop(l), &l->flush);
 }
 
 /* Connect time-out or idle time-out. */
@@ -361,7 +361,7 @@
 	l->fd = (struct evl_fd){ .fd = -1, .ready = on_ready };
 	hparse_init(&l->parse, HTTP_RESPONSE, p->conf.head_bytes, on_body, l);
 	LIST_INSERT_HEAD(&endpoint->all, l, all);
-	if (sock_address(endpoint->address, &to))
+	if (sock_parse(endpoint->address, &to))
 		l->fd.fd = sock_dial(&to);
 	if (l->fd.fd < 0) /* the timer reports the failure from the loop */
 		evl_timer_set(p->conf.loop, &l->timer, 0);
@@ -392,7 +392,7 @@
 	hbuf_add(&l->out, conf->head, conf->head_len);
 	hbuf_add(&l->out, conf->body, conf->body_len);
 	if (l->state == LINK_BUSY)
-		evl_later(p->conf.loop, &l->flush);
+		evl_defer(p->conf.loop, &l->flush);
 	return c;
 }
 
@@ -404,7 +404,7 @@
 }
 
 void
-hcall_spoil(struct hcall *c)
+hcall_no_reuse(struct hcall *c)
 {
 	if (c->link != NULL)
 		c->link->no_reuse = true;
@@ -427,7 +427,7 @@
 }
 
 bool
-hcall_kept(const struct hcall *c)
+hcall_is_reused(const struct hcall *c)
 {
 	return c->link != NULL && c->link->reused;
 }
--- a/lib/http/client_pool.c
+++ b/lib/http/client_pool.c
@@ -19,7 +19,7 @@
 	evl_timer_stop(hlink_loop(l), &l->timer);
 	evl_task_cancel(hlink_loop(l), &l->flush);
 	if (l->fd.fd >= 0) {
-		evl_forget(hlink_loop(l), &l->fd);
+		evl_unwatch(hlink_loop(l), &l->fd);
 		close(l->fd.fd);
 	}
 	hparse_free(&l->parse);
@@ -92,7 +92,7 @@
 }
 
 void
-hpool_forget(struct hpool *p, const char *address)
+hpool_remove_address(struct hpool *p, const char *address)
 {
 	struct hendpoint *endpoint = g_hash_table_lookup(p->endpoints, address);
 	struct hlink *l;
@@ -108,7 +108,7 @@
 }
 
 void
-hpool_forget_idle(struct hpool *p)
+hpool_close_idle(struct hpool *p)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/lib/http/evl.c
+++ b/lib/http/evl.c
@@ -152,7 +152,7 @@
 }
 
 void
-evl_forget(struct evl *e, struct evl_fd *fd)
+evl_unwatch(struct evl *e, struct evl_fd *fd)
 {
 	int i;
 
@@ -188,7 +188,7 @@
 /* ------------------------------------------------------------------ */
 
 void
-evl_later(struct evl *e, struct evl_task *task)
+evl_defer(struct evl *e, struct evl_task *task)
 {
 	if (task->queued)
 		return;
--- a/lib/http/evl.h
+++ b/lib/http/evl.h
@@ -7,7 +7,7 @@
  * one source instead of a thousand, and a timer costs a heap element instead
  * of a source. Descriptors and timers are intrusive: their owner embeds them.
  *
- * evl_later() defers work that should run once after all events of a wake-up,
+ * evl_defer() queues work to run once after all events of a wake-up,
  * such as writing the output that they produced.
  */
 
@@ -53,12 +53,12 @@
 void evl_watch(struct evl *e, struct evl_fd *fd, uint32_t events);
 /* Removes `fd` and discards its events in the current batch. Call this before
  * close(). */
-void evl_forget(struct evl *e, struct evl_fd *fd);
+void evl_unwatch(struct evl *e, struct evl_fd *fd);
 
 void evl_timer_set(struct evl *e, struct evl_timer *t, int64_t at_us);
 void evl_timer_stop(struct evl *e, struct evl_timer *t);
 
-void evl_later(struct evl *e, struct evl_task *task);
+void evl_defer(struct evl *e, struct evl_task *task);
 void evl_task_cancel(struct evl *e, struct evl_task *task);
 
 /* A read buffer shared by all callbacks of the loop: a callback must consume
--- a/lib/http/fetch.c
+++ b/lib/http/fetch.c
@@ -50,7 +50,7 @@
 	finish(f,
 	    &(struct hfetch_answer){ .status = f->too_long ? 0 : f->status,
 		.sent = true,
-		.why = "answer too long",
+		.error = "answer too long",
 		.body = hbuf_front(&f->body),
 		.len = hbuf_left(&f->body) });
 }
@@ -60,7 +60,7 @@
 {
 	finish(ctx,
 	    &(struct hfetch_answer){
-		.sent = sent, .why = hcall_failure_name(why) });
+		.sent = sent, .error = hcall_failure_name(why) });
 }
 
 static const struct hcall_ops ops = {
@@ -79,7 +79,7 @@
 	hcall_cancel(f->call);
 	finish(f,
 	    &(struct hfetch_answer){
-		.sent = sent, .why = "no answer in time" });
+		.sent = sent, .error = "no answer in time" });
 }
 
 struct hfetch *
@@ -114,7 +114,7 @@
 		.ops = &ops,
 		.ctx = f });
 	if (conf->close)
-		hcall_spoil(f->call);
+		hcall_no_reuse(f->call);
 	evl_timer_set(loop, &f->timer, evl_now_us(loop) + conf->timeout_us);
 	g_string_free(head, TRUE);
 	return f;
--- a/lib/http/fetch.h
+++ b/lib/http/fetch.h
@@ -10,7 +10,7 @@
 struct hfetch_answer {
 	unsigned int status; /* 0: no complete response */
 	bool sent; /* with status 0: the request may have been executed */
-	const char *why; /* with status 0: the cause */
+	const char *error; /* with status 0: the cause */
 	const void *body;
 	size_t len;
 };
--- a/lib/http/http.h
+++ b/lib/http/http.h
@@ -36,7 +36,7 @@
 	void (*request)(struct hreq *r, void *ctx);
 	/* The caller disconnected before the response was complete. `r` is
 	 * freed after the callback. */
-	void (*left)(struct hreq *r, void *ctx);
+	void (*disconnected)(struct hreq *r, void *ctx);
 	/* Output queued for a slow caller has been written; see
 	 * hreq_congested(). */
 	void (*drained)(struct hreq *r, void *ctx);
@@ -128,9 +128,9 @@
 void hpool_free(struct hpool *p); /* requires that no call is open */
 /* Closes the connections to an address that is no longer used: idle ones now,
  * the others after their call. */
-void hpool_forget(struct hpool *p, const char *address);
+void hpool_remove_address(struct hpool *p, const char *address);
 /* Closes all idle connections. */
-void hpool_forget_idle(struct hpool *p);
+void hpool_close_idle(struct hpool *p);
 /* Number of connections opened since the pool was created. */
 unsigned int hpool_opened(const struct hpool *p);
 
@@ -154,11 +154,11 @@
  * waits for the next one. */
 void hcall_skip(struct hcall *c);
 /* Closes the connection after this call instead of reusing it. */
-void hcall_spoil(struct hcall *c);
+void hcall_no_reuse(struct hcall *c);
 /* Stops or resumes reading the response. */
 void hcall_pause(struct hcall *c, bool paused);
 bool hcall_sent(const struct hcall *c); /* some bytes were sent */
 /* Whether the call runs on a connection that served an earlier call. */
-bool hcall_kept(const struct hcall *c);
+bool hcall_is_reused(const struct hcall *c);
 
 #endif
--- a/lib/http/server.c
+++ b/lib/http/server.c
@@ -56,7 +56,7 @@
 {
 	struct hserver *s = r->server;
 
-	evl_forget(s->conf.loop, &r->fd);
+	evl_unwatch(s->conf.loop, &r->fd);
 	evl_timer_stop(s->conf.loop, &r->timer);
 	evl_task_cancel(s->conf.loop, &r->flush);
 	close(r->fd.fd);
@@ -74,7 +74,7 @@
 hreq_disconnected(struct hreq *r)
 {
 	if (r->state == HREQ_BUSY)
-		r->server->conf.ops->left(r, r->server->conf.ctx);
+		r->server->conf.ops->disconnected(r, r->server->conf.ctx);
 	hreq_destroy(r);
 }
 
@@ -257,7 +257,7 @@
 		return;
 	}
 	if ((events & EPOLLOUT) != 0)
-		evl_later(hreq_loop(r), &r->flush);
+		evl_defer(hreq_loop(r), &r->flush);
 	if ((events & EPOLLIN) != 0 || (events & EPOLLRDHUP) != 0)
 		on_readable(r);
 }
@@ -323,7 +323,7 @@
 	struct hserver *s;
 	int fd = -1;
 
-	if (sock_address(conf->address, &at))
+	if (sock_parse(conf->address, &at))
 		fd = sock_listen(&at, BACKLOG);
 	if (fd < 0) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
@@ -361,7 +361,7 @@
 	s->closing = true;
 	if (s->fd.fd < 0)
 		return;
-	evl_forget(s->conf.loop, &s->fd);
+	evl_unwatch(s->conf.loop, &s->fd);
 	close(s->fd.fd);
 	s->fd.fd = -1;
 	for (r = LIST_FIRST(&s->reqs); r != NULL; r = next) {
--- a/lib/http/server_answer.c
+++ b/lib/http/server_answer.c
@@ -50,7 +50,7 @@
 			hreq_disconnected(r);
 			return false;
 		}
-		hbuf_use(&r->out, (size_t)n);
+		hbuf_consume(&r->out, (size_t)n);
 	}
 	if (r->congested && hbuf_left(&r->out) < CONGESTED_BYTES / 2) {
 		r->congested = false;
@@ -80,7 +80,7 @@
 	hbuf_add(&r->out, data, len);
 	if (hbuf_left(&r->out) > CONGESTED_BYTES)
 		r->congested = true;
-	evl_later(hreq_loop(r), &r->flush);
+	evl_defer(hreq_loop(r), &r->flush);
 }
 
 static void
@@ -122,7 +122,7 @@
 {
 	r->state = HREQ_FLUSH;
 	hbuf_free(&r->in);
-	evl_later(hreq_loop(r), &r->flush);
+	evl_defer(hreq_loop(r), &r->flush);
 }
 
 /* The response is queued completely: wait for the next request, or close. */
@@ -148,7 +148,7 @@
 	r->started_us = 0;
 	evl_timer_set(hreq_loop(r), &r->timer,
 	    evl_now_us(hreq_loop(r)) + r->server->conf.limits->idle_us);
-	evl_later(hreq_loop(r), &r->flush);
+	evl_defer(hreq_loop(r), &r->flush);
 }
 
 static bool
--- a/lib/http/sock.c
+++ b/lib/http/sock.c
@@ -10,7 +10,7 @@
 #include "http/sock.h"
 
 bool
-sock_address(const char *text, struct sockaddr_in *out)
+sock_parse(const char *text, struct sockaddr_in *out)
 {
 	const char *colon = text == NULL ? NULL : strrchr(text, ':');
 	char ip[INET_ADDRSTRLEN];
@@ -29,7 +29,7 @@
 }
 
 void
-sock_text(const struct sockaddr_in *at, char *out, size_t size)
+sock_format(const struct sockaddr_in *at, char *out, size_t size)
 {
 	char ip[INET_ADDRSTRLEN];
 
--- a/lib/http/sock.h
+++ b/lib/http/sock.h
@@ -19,9 +19,9 @@
 #define SOCK_UNACKED_MS 2000
 
 /* Parses "ip:port". */
-bool sock_address(const char *text, struct sockaddr_in *out);
+bool sock_parse(const char *text, struct sockaddr_in *out);
 /* Formats an address as "ip:port". */
-void sock_text(const struct sockaddr_in *at, char *out, size_t size);
+void sock_format(const struct sockaddr_in *at, char *out, size_t size);
 /* sock_dial() and sock_listen() return a descriptor, or -1 with errno set.
  * After sock_dial() the connection may still be in progress. */
 int sock_dial(const struct sockaddr_in *to);
--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -374,7 +374,7 @@
 
 const struct hserver_ops fwd_server_ops = {
 	.request = on_request,
-	.left = on_disconnected,
+	.disconnected = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
--- a/lib/serve/fwd_answer.c
+++ b/lib/serve/fwd_answer.c
@@ -141,7 +141,7 @@
 	g_string_truncate(r->headers, 0);
 	fwd_answer_headers(m, r->headers);
 	if (r->not_run || r->unusable)
-		hcall_spoil(r->call);
+		hcall_no_reuse(r->call);
 }
 
 bool
@@ -236,7 +236,7 @@
 			note_event(r, id);
 		} else /* relayed already, from an earlier target */
 			ctr_add(r->fwd->unexpected, 1);
-		hbuf_use(&r->answer, len);
+		hbuf_consume(&r->answer, len);
 	}
 	if (hreq_congested(r->caller))
 		hcall_pause(r->call, true);
@@ -251,7 +251,7 @@
 		return;
 	if (hbuf_left(&r->answer) + len > most) {
 		r->unusable = true;
-		hcall_spoil(r->call);
+		hcall_no_reuse(r->call);
 		return;
 	}
 	hbuf_add(&r->answer, data, len);
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -286,8 +286,8 @@
 
 	/* Connections usually stall many at a time, and each idle one that
 	 * stays in the pool would cost another request a stall timeout. */
-	if (r->call != NULL && hcall_kept(r->call))
-		hpool_forget_idle(r->fwd->conf.pool);
+	if (r->call != NULL && hcall_is_reused(r->call))
+		hpool_close_idle(r->fwd->conf.pool);
 	cancel_call(r);
 	attempt_ended(r, FLOW_STALLED);
 }
--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -356,5 +356,5 @@
 	if (f->waiting == 0)
 		return;
 	f->pump.run = on_pump;
-	evl_later(f->conf.loop, &f->pump);
+	evl_defer(f->conf.loop, &f->pump);
 }
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -135,7 +135,7 @@
 	struct sockaddr_in at;
 	struct wire_relayed wire;
 
-	if (!sock_address(one->address, &at))
+	if (!sock_parse(one->address, &at))
 		return false;
 	wire = (struct wire_relayed){
 		.ip = at.sin_addr,
@@ -167,7 +167,7 @@
 	    &wire, relay->entries.data + i * SIDE_RELAYED_BYTES, sizeof(wire));
 	at.sin_addr = wire.ip;
 	at.sin_port = wire.port;
-	sock_text(&at, out->address, sizeof(out->address));
+	sock_format(&at, out->address, sizeof(out->address));
 	out->seq = ntohl(wire.seq);
 	out->total = ntohs(wire.total);
 	out->slowdown_permille = ntohs(wire.pace_permille);
--- a/lib/store/store.c
+++ b/lib/store/store.c
@@ -383,14 +383,14 @@
 	c->call = NULL;
 	/* Pooled connections may have stalled as well. */
 	if (a->status == 0)
-		hpool_forget(c->store->conf.pool, c->store->address);
+		hpool_remove_address(c->store->conf.pool, c->store->address);
 	if (a->status == 200) {
 		read_answer(c, a);
 	} else if (a->status == 410 && c->state == CACHE_WATCH) {
 		begin_list(c); /* the history from there on is gone */
 		next_call(c);
 	} else if (a->status == 0) {
-		back_off(c, a->why);
+		back_off(c, a->error);
 	} else {
 		g_snprintf(why, sizeof(why), "status_%u", a->status);
 		back_off(c, why);
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -85,7 +85,7 @@
 {
 	if (before == NULL || before == now)
 		return now;
-	hpool_forget(g->st.pool, now->record.address);
+	hpool_remove_address(g->st.pool, now->record.address);
 	evt(EVT_TARGET, "target=%s address=%s state=started_again",
 	    now->record.id, now->record.address);
 	return now;
@@ -214,7 +214,7 @@
 
 static const struct hserver_ops ready_ops = {
 	.request = on_ready_request,
-	.left = ignore_request,
+	.disconnected = ignore_request,
 	.drained = ignore_request,
 	.refused = on_refused,
 };
--- a/programs/entry/gateway_views.c
+++ b/programs/entry/gateway_views.c
@@ -24,7 +24,7 @@
 {
 	struct sockaddr_in at;
 
-	if (!sock_address(cfg_str(g->st.cfg, "listen.peers"), &at))
+	if (!sock_parse(cfg_str(g->st.cfg, "listen.peers"), &at))
 		return 0;
 	return ntohs(at.sin_port);
 }
@@ -33,7 +33,7 @@
 static bool
 sidecar_address(const struct tgt *t, unsigned int port, struct sockaddr_in *out)
 {
-	if (!sock_address(t->record.address, out))
+	if (!sock_parse(t->record.address, out))
 		return false;
 	out->sin_port = htons((uint16_t)port);
 	return true;
@@ -47,7 +47,7 @@
 
 	if (!sidecar_address(t, peers_port(g), &at))
 		return false;
-	sock_text(&at, to, SV_ADDRESS_MAX);
+	sock_format(&at, to, SV_ADDRESS_MAX);
 	return true;
 }
 
@@ -250,7 +250,7 @@
 			continue;
 		if (!sidecar_address(t, port, &at))
 			continue;
-		sock_text(&at, to, sizeof(to));
+		sock_format(&at, to, sizeof(to));
 		dgram_send_packed(g->peers, to, &side_desired_desc, packed);
 		t->gateway_announced = true;
 	}
--- a/programs/shared/station.c
+++ b/programs/shared/station.c
@@ -130,7 +130,7 @@
 
 static const struct hserver_ops metrics_ops = {
 	.request = on_metrics,
-	.left = on_nothing,
+	.disconnected = on_nothing,
 	.drained = on_nothing,
 	.refused = on_refused,
 };
--- a/programs/side/keeper_copy.c
+++ b/programs/side/keeper_copy.c
@@ -172,7 +172,7 @@
 		    "step=manifest version=%" G_GINT64_FORMAT
 		    " status=%u outcome=failed why=%s",
 		    c->version, a->status,
-		    a->status == 0 ? a->why : "unreadable");
+		    a->status == 0 ? a->error : "unreadable");
 	}
 	g_byte_array_unref(raw);
 	keeper_step(c->keeper);
--- a/programs/side/keeper_origin.c
+++ b/programs/side/keeper_origin.c
@@ -41,9 +41,9 @@
 	} else {
 		err_set(&err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
 		    "origin: read of a chunk failed: status %u %s", a->status,
-		    a->status == 0 ? a->why : "");
+		    a->status == 0 ? a->error : "");
 		evt(EVT_WEIGHTS, "step=piece outcome=failed status=%u why=%s",
-		    a->status, a->status == 0 ? a->why : "status");
+		    a->status, a->status == 0 ? a->error : "status");
 		r->done(NULL, &err, r->done_ctx);
 	}
 	g_free(r);
@@ -102,7 +102,7 @@
 	if (c->list != NULL)
 		r->list = g_bytes_ref(c->list);
 	r->list_task.run = on_list;
-	evl_later(k->st.loop, &r->list_task);
+	evl_defer(k->st.loop, &r->list_task);
 	return (struct origin_read *)r;
 }
 
--- a/programs/side/keeper_stage.c
+++ b/programs/side/keeper_stage.c
@@ -15,7 +15,7 @@
 {
 	k->backoff_until_us = keeper_now(k) + CALL_BACKOFF_US;
 	evt(EVT_WEIGHTS, "step=%s outcome=failed status=%u why=%s", step,
-	    a->status, a->status == 0 ? a->why : "status");
+	    a->status, a->status == 0 ? a->error : "status");
 }
 
 static void
--- a/programs/side/keeper_views.c
+++ b/programs/side/keeper_views.c
@@ -31,7 +31,7 @@
 
 	memcpy(&at.sin_addr, p->ip, sizeof(p->ip));
 	memset(out, 0, sizeof(*out));
-	sock_text(&at, out->address, sizeof(out->address));
+	sock_format(&at, out->address, sizeof(out->address));
 	g_strlcpy(
 	    out->region, keeper_region(k, p->domain), sizeof(out->region));
 }
--- a/tests/fleet/engine.c
+++ b/tests/fleet/engine.c
@@ -449,7 +449,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.left = on_left,
+	.disconnected = on_left,
 	.drained = on_drained,
 	.refused = on_refused,
 };
@@ -640,7 +640,7 @@
 
 static const struct hserver_ops origin_ops = {
 	.request = on_origin,
-	.left = on_origin_left,
+	.disconnected = on_origin_left,
 	.drained = on_drained,
 	.refused = on_refused,
 };
--- a/tests/fleet/proxy.c
+++ b/tests/fleet/proxy.c
@@ -45,7 +45,7 @@
 		if (reset)
 			(void)setsockopt(ends[i]->fd.fd, SOL_SOCKET, SO_LINGER,
 			    &now, sizeof(now));
-		evl_forget(p->proxy->f->loop, &ends[i]->fd);
+		evl_unwatch(p->proxy->f->loop, &ends[i]->fd);
 		evl_timer_stop(p->proxy->f->loop, &ends[i]->late);
 		close(ends[i]->fd.fd);
 		hbuf_free(&ends[i]->out);
@@ -81,7 +81,7 @@
 			pipe_close(e->pipe, false);
 			return false;
 		}
-		hbuf_use(&e->out, (size_t)n);
+		hbuf_consume(&e->out, (size_t)n);
 	}
 	evl_watch(e->pipe->proxy->f->loop, &e->fd,
 	    EPOLLIN | (hbuf_left(&e->out) > 0 && !is_held(e) ? EPOLLOUT : 0u));
@@ -159,7 +159,7 @@
 	struct fleet_proxy *proxy = g_new0(struct fleet_proxy, 1);
 	int fd = -1;
 
-	if (sock_address(address, &proxy->at) && sock_address(to, &proxy->to))
+	if (sock_parse(address, &proxy->at) && sock_parse(to, &proxy->to))
 		fd = sock_listen(&proxy->at, 200);
 	if (fd < 0) {
 		err_set(err, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
@@ -179,7 +179,7 @@
 fleet_proxy_listen(struct fleet_proxy *proxy, bool listen)
 {
 	if (!listen) {
-		evl_forget(proxy->f->loop, &proxy->listener);
+		evl_unwatch(proxy->f->loop, &proxy->listener);
 		close(proxy->listener.fd);
 		return;
 	}
--- a/tests/fleet/store.c
+++ b/tests/fleet/store.c
@@ -332,7 +332,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.left = on_left,
+	.disconnected = on_left,
 	.drained = on_drained,
 	.refused = on_refused,
 };
--- a/tests/http/loop.h
+++ b/tests/http/loop.h
@@ -29,7 +29,7 @@
 
 /* Runs until `*flag` is true; fails the test if that never happens. */
 static inline void
-turn_until(const bool *flag)
+run_until(const bool *flag)
 {
 	guint tick = g_timeout_add(1, on_tick, NULL);
 	int i;
@@ -42,7 +42,7 @@
 
 /* Runs the loop for `ms` milliseconds. */
 static inline void
-turn_ms(int ms)
+run_ms(int ms)
 {
 	guint tick = g_timeout_add(1, on_tick, NULL);
 	int64_t end_us = g_get_monotonic_time() + ms * 1000;
@@ -59,7 +59,7 @@
 	socklen_t len = sizeof(at);
 	int fd;
 
-	assert_true(sock_address("127.0.0.1:0", &at));
+	assert_true(sock_parse("127.0.0.1:0", &at));
 	fd = sock_listen(&at, 1);
 	assert_true(fd >= 0);
 	assert_int_equal(getsockname(fd, (struct sockaddr *)&at, &len), 0);
@@ -73,10 +73,10 @@
 	struct sockaddr_in at;
 	int fd;
 
-	assert_true(sock_address(address, &at));
+	assert_true(sock_parse(address, &at));
 	fd = sock_dial(&at);
 	assert_true(fd >= 0);
-	turn_ms(5);
+	run_ms(5);
 	return fd;
 }
 
@@ -104,7 +104,7 @@
 			g_string_append_len(text, buffer, n);
 		if (stop != NULL && strstr(text->str, stop) != NULL)
 			break;
-		turn_ms(1);
+		run_ms(1);
 	}
 	return g_string_free(text, FALSE);
 }
--- a/tests/http/test_client.c
+++ b/tests/http/test_client.c
@@ -52,7 +52,7 @@
 	struct sockaddr_in at;
 
 	g_snprintf(address, sizeof(address), "127.0.0.1:%u", free_port());
-	assert_true(sock_address(address, &at));
+	assert_true(sock_parse(address, &at));
 	listener = sock_listen(&at, 4);
 	assert_true(listener >= 0);
 	loop = evl_new(clk_system());
@@ -96,7 +96,7 @@
 
 	for (i = 0; i < 1000 && fd < 0; i++) {
 		fd = accept4(listener, NULL, NULL, SOCK_NONBLOCK);
-		turn_ms(1);
+		run_ms(1);
 	}
 	assert_true(fd >= 0);
 	return fd;
@@ -112,11 +112,11 @@
 	start();
 	fd = accept_connection();
 	raw_send(fd, OK "\r\nok");
-	turn_until(&finished);
+	run_until(&finished);
 	start();
 	g_free(raw_read(fd, "\r\n\r\n"));
 	raw_send(fd, OK "\r\nok");
-	turn_until(&finished);
+	run_until(&finished);
 	assert_int_equal(dones, 2);
 	assert_int_equal(hpool_opened(pool), 1);
 	close(fd);
@@ -132,12 +132,12 @@
 	start();
 	fd = accept_connection();
 	raw_send(fd, OK "Keep-Alive: timeout=0\r\n\r\nok");
-	turn_until(&finished);
+	run_until(&finished);
 	close(fd);
 	start();
 	fd = accept_connection();
 	raw_send(fd, OK "Connection: close\r\n\r\nok");
-	turn_until(&finished);
+	run_until(&finished);
 	assert_int_equal(hpool_opened(pool), 2);
 	close(fd);
 }
@@ -152,19 +152,19 @@
 	start();
 	fd = accept_connection();
 	raw_send(fd, OK "\r\nok" OK "\r\nno");
-	turn_until(&finished);
+	run_until(&finished);
 	start();
 	close(fd);
 	fd = accept_connection();
 	raw_send(fd, OK "\r\nok");
-	turn_until(&finished);
+	run_until(&finished);
 	raw_send(fd, OK "\r\nno");
-	turn_ms(20);
+	run_ms(20);
 	start();
 	close(fd);
 	fd = accept_connection();
 	raw_send(fd, OK "\r\nok");
-	turn_until(&finished);
+	run_until(&finished);
 	assert_int_equal(dones, 3);
 	assert_int_equal(hpool_opened(pool), 3);
 	close(fd);
@@ -179,10 +179,10 @@
 	start();
 	fd = accept_connection();
 	raw_send(fd, OK "\r\nno");
-	turn_ms(5);
+	run_ms(5);
 	assert_false(finished);
 	raw_send(fd, OK "\r\nok");
-	turn_until(&finished);
+	run_until(&finished);
 	assert_int_equal(heads, 2);
 	assert_int_equal(dones, 1);
 	close(fd);
@@ -197,20 +197,20 @@
 	fd = accept_connection();
 	g_free(raw_read(fd, "\r\n\r\n"));
 	close(fd);
-	turn_until(&finished);
+	run_until(&finished);
 	assert_int_equal(last_failure, HCALL_CLOSED);
 	assert_int_equal(failures_sent, 1);
 	start();
 	fd = accept_connection();
 	raw_send(fd, OK "\r\no");
-	turn_ms(5);
+	run_ms(5);
 	close(fd);
-	turn_until(&finished);
+	run_until(&finished);
 	assert_int_equal(last_failure, HCALL_BROKEN);
 	close(listener);
 	listener = -1;
 	start();
-	turn_until(&finished);
+	run_until(&finished);
 	assert_int_equal(last_failure, HCALL_UNREACHABLE);
 	assert_int_equal(failures_sent, 2); /* nothing was sent this time */
 }
@@ -226,7 +226,7 @@
 	g_free(raw_read(fd, "\r\n\r\n"));
 	hcall_cancel(c);
 	for (i = 0; i < 200 && recv(fd, &byte, 1, MSG_DONTWAIT) != 0; i++)
-		turn_ms(1);
+		run_ms(1);
 	assert_true(i < 200);
 	assert_false(finished);
 	close(fd);
--- a/tests/http/test_server.c
+++ b/tests/http/test_server.c
@@ -37,7 +37,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.left = on_disconnected,
+	.disconnected = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
@@ -85,11 +85,11 @@
 	raw_send(fd,
 	    "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
 	    "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&delivered);
+	run_until(&delivered);
 	assert_int_equal(hreq_msg(request)->target.p[1], '1');
 	delivered = false;
 	hreq_answer(request, 200, "X: 1\r\n", "one", 3);
-	turn_until(&delivered);
+	run_until(&delivered);
 	assert_int_equal(hreq_msg(request)->target.p[1], '2');
 	hreq_answer(request, 503, "", "", 0);
 	answer = raw_read(fd, "503");
@@ -152,9 +152,9 @@
 	int fd = raw_dial(address);
 
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&delivered);
+	run_until(&delivered);
 	close(fd);
-	turn_until(&disconnected);
+	run_until(&disconnected);
 	assert_int_equal(hserver_connections(server), 0);
 }
 
@@ -166,10 +166,10 @@
 	char *answer;
 
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&delivered);
+	run_until(&delivered);
 	hreq_begin(request, 200, "");
 	hreq_write(request, "abc", 3);
-	turn_ms(2);
+	run_ms(2);
 	hreq_abort(request);
 	answer = raw_read(fd, NULL);
 	assert_non_null(strstr(answer, "3\r\nabc\r\n"));
@@ -189,15 +189,15 @@
 
 	memset(block, 'x', sizeof(block));
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&delivered);
+	run_until(&delivered);
 	hreq_begin(request, 200, "");
 	for (i = 0; i < 2000 && !hreq_congested(request); i++) {
 		hreq_write(request, block, sizeof(block));
-		turn_ms(0);
+		run_ms(0);
 	}
 	assert_true(hreq_congested(request));
 	close(fd);
-	turn_until(&disconnected);
+	run_until(&disconnected);
 }
 
 /*
@@ -212,7 +212,7 @@
 	char *answer;
 
 	raw_send(busy, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&delivered);
+	run_until(&delivered);
 	hserver_stop_listening(server);
 	answer = raw_read(idle, NULL);
 	assert_string_equal(answer, "");
@@ -236,10 +236,10 @@
 	limits.idle_us = 30000000;
 	fd = raw_dial(address);
 	raw_send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	turn_until(&delivered);
+	run_until(&delivered);
 	hreq_begin(request, 200, "");
 	hreq_write(request, "abc", 3);
-	turn_ms(5);
+	run_ms(5);
 	return fd;
 }
 
@@ -261,7 +261,7 @@
 	g_free(answer);
 	delivered = false;
 	(void)send(fd, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 27, MSG_NOSIGNAL);
-	turn_ms(20);
+	run_ms(20);
 	assert_false(delivered);
 	close(fd);
 }
@@ -294,7 +294,7 @@
 	char *answer;
 
 	raw_send(fd, "GET / HTTP/1.0\r\n\r\n");
-	turn_until(&delivered);
+	run_until(&delivered);
 	hreq_begin(request, 200, "");
 	hreq_write(request, "abc", 3);
 	hreq_end(request);
--- a/tests/serve/test_fwd.c
+++ b/tests/serve/test_fwd.c
@@ -278,7 +278,7 @@
 	t = target_get(&request);
 	g_free(request);
 	raw_send(t->fd, STREAM EVENT("1") EVENT("2") "9\r\nid: 3\ndat\r\n");
-	turn_ms(10);
+	run_ms(10);
 	shutdown(t->fd, SHUT_RDWR);
 	t = target_get(&request);
 	assert_non_null(strstr(request, "T-Last: 2\r\n"));
@@ -309,10 +309,10 @@
 	t = target_get(&request);
 	g_free(request);
 	raw_send(t->fd, STREAM EVENT("1"));
-	turn_ms(10);
+	run_ms(10);
 	target_announce(&w.target[t == &w.target[0]], true, 0); /* leaving */
 	shutdown(t->fd, SHUT_RDWR);
-	turn_ms(400); /* a new request waits at most 30 ms for a slot */
+	run_ms(400); /* a new request waits at most 30 ms for a slot */
 	assert_int_equal(fwd_waiting(w.fwd), 1);
 	target_announce(&w.target[t == &w.target[0]], false, 0);
 	fwd_pump(w.fwd);
@@ -339,7 +339,7 @@
 	t = target_get(&request);
 	g_free(request);
 	raw_send(t->fd, STREAM EVENT("1"));
-	turn_ms(10);
+	run_ms(10);
 	shutdown(t->fd, SHUT_RDWR);
 	answer = raw_read(fd, NULL);
 	assert_non_null(strstr(answer, EVENT("1")));
@@ -401,7 +401,7 @@
 	assert_int_equal(fwd_waiting(w.fwd), 1);
 	raw_send(busy[0], ANSWER);
 	expect_answer(fd[0], "\r\n\r\nok");
-	turn_ms(10);
+	run_ms(10);
 	assert_int_equal(fwd_waiting(w.fwd), 0);
 	for (i = 1; i < 3; i++)
 		close(busy[i]);
@@ -434,11 +434,11 @@
 	assert_int_equal(fwd_waiting(w.fwd), WAITING);
 	before = ctr_read(w.counters, "target_choices");
 	fwd_pump(w.fwd);
-	turn_ms(1);
+	run_ms(1);
 	assert_int_equal(ctr_read(w.counters, "target_choices") - before, 1);
 	raw_send(busy[0], ANSWER);
 	expect_answer(fd[0], "\r\n\r\nok");
-	turn_ms(10);
+	run_ms(10);
 	assert_int_equal(fwd_waiting(w.fwd), WAITING - 1);
 	for (i = 1; i < 3; i++)
 		close(busy[i]);
@@ -501,7 +501,7 @@
 	    g_ascii_strtod(strstr(answer, "Retry-After: ") + 13, NULL) >= 0.9);
 	g_free(answer);
 	fd[4] = send_get();
-	turn_ms(30);
+	run_ms(30);
 	assert_int_equal(fwd_waiting(w.fwd), 0); /* on the idle connection */
 	for (i = 0; i < 3; i++)
 		close(busy[i]);
@@ -630,9 +630,9 @@
 	t = target_get(&request);
 	g_free(request);
 	raw_send(t->fd, STREAM EVENT("1"));
-	turn_ms(200);
+	run_ms(200);
 	raw_send(t->fd, EVENT("2"));
-	turn_ms(250);
+	run_ms(250);
 	raw_send(t->fd, EVENT("3") "0\r\n\r\n");
 	expect_answer(fd, "id: 3");
 }
@@ -766,7 +766,7 @@
 	t = target_get(&request);
 	g_free(request);
 	raw_send(t->fd, STREAM EVENT("1"));
-	turn_ms(10);
+	run_ms(10);
 	shutdown(t->fd, SHUT_RDWR);
 	t = target_get(&request);
 	assert_non_null(strstr(request, "T-Last: 1\r\n"));
@@ -847,7 +847,7 @@
 
 	g_free(request);
 	shutdown(t->fd, SHUT_RDWR);
-	turn_ms(5);
+	run_ms(5);
 	return t;
 }
 
@@ -944,7 +944,7 @@
 	t = target_get(&request);
 	g_free(request);
 	raw_send(t->fd, STREAM EVENT("1"));
-	turn_ms(10);
+	run_ms(10);
 	report_terminations(2);
 	expect_answer(send_path("/x/1"), "503 ");
 	raw_send(t->fd, EVENT("2") "0\r\n\r\n");
@@ -983,7 +983,7 @@
 		else
 			tgt_removed(w.set, t->id, false, now_us());
 		shutdown(t->fd, SHUT_RDWR);
-		turn_ms(5);
+		run_ms(5);
 		fwd_target_terminated(w.fwd, target);
 		tgt_unref(target);
 	}
--- a/tests/serve/world.h
+++ b/tests/serve/world.h
@@ -82,7 +82,7 @@
 	t->port = free_port();
 	g_snprintf(t->address, sizeof(t->address), "127.0.0.1:%u", t->port);
 	g_snprintf(t->id, sizeof(t->id), "i%zu", i);
-	assert_true(sock_address(t->address, &at));
+	assert_true(sock_parse(t->address, &at));
 	t->listener = sock_listen(&at, 8);
 	assert_true(t->listener >= 0);
 	t->fd = -1;
@@ -124,7 +124,7 @@
 			*request_out = raw_read(fd, "\r\n\r\n");
 			return &w.target[i];
 		}
-		turn_ms(1);
+		run_ms(1);
 	}
 	*request_out = NULL;
 	fail_msg("no target was called");
@@ -136,7 +136,7 @@
 {
 	size_t i;
 
-	turn_ms(30);
+	run_ms(30);
 	for (i = 0; i < w.ntargets; i++) {
 		int fd =
 		    accept4(w.target[i].listener, NULL, NULL, SOCK_NONBLOCK);
@@ -159,7 +159,7 @@
 	for (i = 0; i < 2000; i++) {
 		if (recv(t->fd, &byte, 1, MSG_DONTWAIT) == 0)
 			return true;
-		turn_ms(1);
+		run_ms(1);
 	}
 	return false;
 }
@@ -261,14 +261,14 @@
 {
 	size_t i;
 
-	turn_ms(2);
+	run_ms(2);
 	for (i = 0; i < w.ntargets; i++) {
 		close(w.target[i].listener);
 		if (w.target[i].fd >= 0)
 			close(w.target[i].fd);
 	}
 	hserver_free(w.server);
-	turn_ms(2);
+	run_ms(2);
 	fwd_free(w.fwd);
 	hpool_free(w.pool);
 	tgt_set_free(w.set);
@@ -289,7 +289,7 @@
 
 	raw_send(fd, text);
 	g_free(text);
-	turn_ms(5);
+	run_ms(5);
 	return fd;
 }
 
--- a/tests/store/test_store.c
+++ b/tests/store/test_store.c
@@ -100,7 +100,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.left = on_left,
+	.disconnected = on_left,
 	.drained = on_drained,
 	.refused = on_refused,
 };
@@ -191,7 +191,7 @@
 tear_down(void **state)
 {
 	store_free(store);
-	turn_ms(2);
+	run_ms(2);
 	hserver_free(server);
 	hpool_free(pool);
 	ctr_set_free(counters);
@@ -207,14 +207,14 @@
 {
 	struct hslice target;
 
-	turn_until(&called);
+	run_until(&called);
 	called = false;
 	target = hreq_msg(call)->target;
 	if (memmem(target.p, target.n, part, strlen(part)) == NULL)
 		fail_msg(
 		    "wanted %s, asked %.*s", part, (int)target.n, target.p);
 	hreq_answer(call, status, "", body, strlen(body));
-	turn_ms(5);
+	run_ms(5);
 }
 
 static void
@@ -302,9 +302,9 @@
 test_stalled_connection(void **state)
 {
 	answer("after=", 200, "at 5\na 3\n");
-	turn_until(&called);
+	run_until(&called);
 	called = false;
-	turn_until(&called); /* repeated without an answer */
+	run_until(&called); /* repeated without an answer */
 	answer("watch=5", 200, "at 6\nb 6\n");
 	assert_string_equal(events->str, "+a | down up +b ");
 }
@@ -318,13 +318,13 @@
 test_store_outage(void **state)
 {
 	answer("after=", 200, "at 5\na 3\n");
-	turn_until(&called);
+	run_until(&called);
 	assert_int_equal(store_down_since_us(store), 0);
 	called = false;
-	turn_until(&called); /* after one failure */
+	run_until(&called); /* after one failure */
 	assert_int_equal(store_down_since_us(store), 0);
 	called = false;
-	turn_until(&called); /* after two */
+	run_until(&called); /* after two */
 	assert_true(store_down_since_us(store) > 0);
 	assert_true(store_down_since_us(store) < clk_now_us(clk_system()));
 	answer("watch=5", 200, "at 6\nb 6\n");
@@ -341,10 +341,10 @@
 {
 	int64_t begun_us;
 
-	turn_until(&called);
+	run_until(&called);
 	called = false;
 	begun_us = clk_now_us(clk_system());
-	turn_until(&called);
+	run_until(&called);
 	assert_true(clk_now_us(clk_system()) - begun_us < 2 * G_USEC_PER_SEC);
 	answer("after=", 200, "at 5\na 3\n");
 	assert_string_equal(events->str, "down up +a | ");
@@ -372,7 +372,7 @@
 	static const struct store_kind second = { .name = "second",
 		.free = g_free };
 	static const struct hserver_ops either = { .request = on_either,
-		.left = on_left,
+		.disconnected = on_left,
 		.drained = on_drained,
 		.refused = on_refused };
 	char address[32];
@@ -385,15 +385,15 @@
 	answer_with = 503;
 	(void)store_cache_new(both, &second, &cache_ops, NULL);
 	(void)store_cache_new(both, &kind, &cache_ops, NULL);
-	turn_ms(1500);
+	run_ms(1500);
 	assert_true(asked_of[0] + asked_of[1] >= 4);
 	assert_in_range(MIN(asked_of[0], asked_of[1]), 1, 2);
 	answer_with = 200;
-	turn_ms(600);
+	run_ms(600);
 	assert_non_null(strstr(events->str, "up"));
 	assert_non_null(strstr(strstr(events->str, "up") + 2, "up"));
 	store_free(both);
-	turn_ms(2);
+	run_ms(2);
 	hserver_free(two);
 }
 
