--- a/lib/http/evl.h
+++ b/lib/http/evl.h
@@ -7,8 +7,8 @@
  * one source instead of a thousand, and a timer costs a heap element instead
  * of a source. Descriptors and timers are intrusive: their owner embeds them.
  *
- * evl_defer() queues work to run once after all events of a wake-up,
- * such as writing the output that they produced.
+ * evl_defer() queues work to run once after all events of a wake-up, such as
+ * writing the output that they produced.
  */
 
 #include <stdbool.h>
--- a/lib/http/http.h
+++ b/lib/http/http.h
@@ -37,8 +37,8 @@
 	/* The caller disconnected before the response was complete. `r` is
 	 * freed after the callback. */
 	void (*disconnected)(struct hreq *r, void *ctx);
-	/* Output queued for a slow caller has been written; see
-	 * hreq_congested(). */
+	/* The output queued for a congested caller has shrunk: the source of
+	 * its response can continue. */
 	void (*drained)(struct hreq *r, void *ctx);
 	/* The server refused a request before it was complete. */
 	void (*refused)(unsigned int status, void *ctx);
