--- a/programs/shared/station.c
+++ b/programs/shared/station.c
@@ -131,7 +131,7 @@
 
 static const struct hserver_ops metrics_ops = {
 	.request = on_metrics,
-	.left = on_ignored,
+	.disconnected = on_ignored,
 	.drained = on_ignored,
 	.refused = on_refused,
 };
