--- a/tests/system/crash.sh
+++ b/tests/system/crash.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Guards against one request that ends engine after engine: it comes again under
-# new ids at any gateway, and none of them learns from the others' losses; nor
-# from its own, once it or the keepers have started again or stood still.
+# Guards against one request that terminates engine after engine: clients retry
+# it under new ids at any gateway, and no gateway learns from terminations that
+# other gateways saw, nor from its own after a restart or stall of the gateway
+# or of the sidecars.
 set -u
 BUILD=$1
 NET=251
@@ -33,13 +34,14 @@
 wait $fleet
 status=$?
 fleet_end || status=1
-# A gateway that starts again is told what is held before it sends that itself.
+# A restarted gateway must be notified of blocked requests before it sends one
+# of them itself.
 for log in "$STAGE"/gateway-*.log; do
 	awk '/ ev=start / { starts++ }
 	    starts < 2 || !match($0, /content=[0-9a-f]+/) { next }
 	    { content = substr($0, RSTART, RLENGTH) }
 	    / ev=suspect / { known[content] = 1 }
-	    / req=p/ && / ev=(retry|failed) / && !known[content] { print "sent unknowing:", $0; bad = 1 }
+	    / req=p/ && / ev=(retry|failed) / && !known[content] { print "sent before notification:", $0; bad = 1 }
 	    END { exit bad }' "$log" || status=1
 done
 grep ' was sent, ' "$STAGE/fleet.err" | tail -n 4
--- a/tests/system/lib.sh
+++ b/tests/system/lib.sh
@@ -1,5 +1,5 @@
-# Sourced by the tests of real processes: a small set-up and checks that
-# count. Usage in a test: BUILD=$1, then `. tests/system/lib.sh`.
+# Sourced by the tests that run real processes: a small fleet, and checks whose
+# failures are counted. Usage in a test: BUILD=$1, then `. tests/system/lib.sh`.
 
 STAGE=$BUILD/stage-$(basename "$0" .sh)
 . tools/stage.sh
@@ -19,8 +19,8 @@
 	fi
 }
 
-# eventually TEXT COMMAND...: the command must succeed within half a minute,
-# a limit for giving up, not a verdict on speed.
+# eventually TEXT COMMAND...: the command must succeed within half a minute. The
+# limit is a timeout, not a performance requirement.
 eventually() {
 	text=$1
 	shift
@@ -36,7 +36,7 @@
 
 finish() {
 	stage_end
-	# Also processes that the test did not look at must have run clean.
+	# Includes processes that the test's own checks do not cover.
 	check "no process was reported by a sanitizer or an assertion" \
 	    no_reports
 	echo "$checks checks, $failures failed"
@@ -66,8 +66,9 @@
 	[ "$(counter "$1" "$2")" -gt 0 ]
 }
 
-# small_fleet SIDES [TARGET-EXTRA]: platform, 2 entries, so many sides with an
-# engine and a service each, both branches, model cedar/care at version v1.
+# small_fleet SIDES: starts the platform's stand-ins, 2 entries and SIDES
+# sidecars with an engine and a service each, sets both branches of settings,
+# and rolls out model cedar/care at version v1.
 small_fleet() {
 	stage_begin
 	stage_platform 50000000 || give_up "stand-ins start"
@@ -124,7 +125,8 @@
 	eventually "v1 is loaded everywhere" operate rollout status cedar/care
 }
 
-# publish_version NAME BYTES: random bytes at the origin; sets `root`.
+# publish_version NAME BYTES: publishes random weights at the origin and adds
+# the version; sets `root`.
 publish_version() {
 	head -c "$2" /dev/urandom >"$STAGE/origin/$1.bin"
 	root=$("$bin/entry/currantchute" model digest "$STAGE/origin/$1.bin" \
@@ -139,7 +141,8 @@
 	operate rollout start cedar/care "$1" || give_up "rollout start $1"
 }
 
-# chat ENTRY [CURL OPTIONS...]: one request for the model; prints the answer.
+# chat ENTRY [CURL OPTIONS...]: sends one request for the model and prints the
+# answer.
 chat() {
 	url=$1
 	shift
--- a/tests/system/limit.sh
+++ b/tests/system/limit.sh
@@ -1,10 +1,11 @@
 #!/bin/sh
-# An engine in need names a rate limit in its answers, for all gateways
-# together, and gets as many requests as before: 28 in 4 s where 11 were
-# allowed. So it falls behind, and its callers wait. No gateway read the field:
-# each one's count of requests to limited targets grew as before, all of them
-# first sends. Here an engine beside a keeper and a plain target name limits
-# while three gateways, the first with half of the traffic, serve callers.
+# Guards against gateways that ignore the rate limit which an overloaded engine
+# announces in its answers, for all gateways together: it got 28 requests in 4 s
+# where 11 were allowed, fell behind, and its callers waited. No gateway read
+# the field: each one's count of requests to limited targets grew as before, all
+# of them first attempts. Here an engine with a sidecar and a plain target
+# announce limits while three gateways, the first with half of the traffic,
+# serve callers.
 set -u
 BUILD=$1
 . tools/fleet.sh
--- a/tests/system/platform.sh
+++ b/tests/system/platform.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# The whole path on the stand-in for the users' platform, calm and under a
-# short soak. What must hold: every answer is the request's own and whole, in
-# order and once; what may run once does; "not run" is true; no engine loads a
-# spoilt piece; no request begins on weights that are past their due time.
+# The complete request path against the stand-in for the users' platform,
+# without faults and under a short soak. What must hold: every answer belongs to
+# its request and is complete, in order and sent once; a request that may run
+# only once does; "not run" is true; no engine loads a corrupted chunk; no
+# request begins on weights that are past their deadline.
 set -u
 BUILD=$1
 failures=0
@@ -18,10 +19,10 @@
 	fi
 }
 
-run "calm day" env SECONDS_TO_PLAY=9 sh tools/demo_platform.sh "$BUILD"
+run "without faults" env SECONDS_TO_PLAY=9 sh tools/demo_platform.sh "$BUILD"
 # Seeds that once showed a fault stay here, each with its cause:
-# 1: a keeper that was starting was ended by the signal to read its settings.
-# From 200 on two requests end the engines that run them.
+# 1: SIGHUP, which reloads the settings, terminated a sidecar that was starting.
+# From seed 200 on, two requests terminate the engines that run them.
 for seed in ${SEEDS:-1 201}; do
 	run "soak of seed $seed" sh tools/soak.sh "$BUILD" "$seed" 16
 done
--- a/tests/system/rollout.sh
+++ b/tests/system/rollout.sh
@@ -1,9 +1,10 @@
 #!/bin/sh
-# A version is rolled out under live requests while things fail: chunks come
-# corrupted from the origin, a load fails at one engine, a side dies in the
-# middle and comes back empty, the object API goes away. Callers see none of
-# it: every answer is whole and of one version, since a version is loaded only
-# when every chunk is verified, and the old one serves until then.
+# A version is rolled out under live requests while components fail: the origin
+# returns corrupted chunks, a load fails at one engine, a sidecar is killed
+# during the rollout and restarts without weights, the object API is down for a
+# while. No caller must notice: every answer is complete and of one version,
+# since a version is loaded only when every chunk is verified, and the old one
+# serves until then.
 set -u
 BUILD=$1
 . tests/system/lib.sh
@@ -26,8 +27,8 @@
 caller=$!
 stage_pids="$stage_pids $caller"
 
-# Over all sides; a side's counters end with its process.
-corrupt_noticed() { # AT-LEAST
+# Summed over all sidecars; a sidecar's counters are lost with its process.
+corrupt_detected() { # AT-LEAST
 	sum=0
 	for port in $(sed -n 's/.*loopback: .127.0.0.1:\([0-9]*\).*/\1/p' \
 	    "$STAGE"/side-*.yaml); do
@@ -43,8 +44,8 @@
 fault "$origin" '{"corrupt_next":3}'
 fault "$engine_1" '{"load_fail":1}'
 start_rollout v2
-# All of them, before a side takes what it counted with it.
-eventually "corrupt bytes were noticed" corrupt_noticed 3
+# Wait for all three before a sidecar is killed and its counters are lost.
+eventually "corrupt chunks were detected" corrupt_detected 3
 kill -KILL "$side_pid_2"
 fault "$objects" '{"down":true}'
 sleep 1
@@ -59,13 +60,13 @@
 kill -TERM $caller
 eventually "the caller has ended" test -s "$STAGE/caller.json"
 operate timeline >"$STAGE/timeline.txt" 2>/dev/null
-check "the load had failed once" grep -q load_failed "$STAGE/timeline.txt"
+check "one load has failed" grep -q load_failed "$STAGE/timeline.txt"
 number() { # KEY of the caller's summary
 	tr ',{' '\n\n' <"$STAGE/caller.json" | sed -n "s/^\"$1\":\([0-9]*\).*/\1/p" |
 	    head -n 1
 }
 check "callers were answered" [ "$(number answered)" -gt 0 ]
 check "no answer of mixed versions" [ "$(number mixed)" = 0 ]
-check "no swapped answer" [ "$(number swapped)" = 0 ]
-check "no cut answer that looks whole" [ "$(number cut)" = "$(number cut_with_error)" ]
+check "no answer to another request" [ "$(number swapped)" = 0 ]
+check "no truncated answer that looks complete" [ "$(number cut)" = "$(number cut_with_error)" ]
 finish
