--- a/tests/system/lead.sh
+++ b/tests/system/lead.sh
@@ -48,7 +48,7 @@
 eventually "v3 is loaded on all engines" loaded_everywhere "$root"
 # The resumed leader has v2 as desired version and sees engines without it.
 kill -CONT "$leader_pid"
-eventually "the resumed entry knows that it does not leader" sh -c \
+eventually "the resumed entry knows that it does not lead" sh -c \
     "curl -fs -m 3 -H 'Authorization: Bearer $root_token' '$leader/v1/status' \
     | grep -q '\"leads_here\":\[\]'"
 sleep 1
