--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
 # The test command: format, lint, both builds, all tests (plain and under the
-# sanitizers), model checks. Each step or ctest test counts once; the last line is
-# `N passed, N failed`. A failed test listed in KNOWN-RED.txt is printed and
-# passed over, as issue 2 allows; nothing else is.
+# sanitizers), model checks. Each step or ctest test counts once; the last line
+# is `N passed, N failed`. A failed test that is listed in KNOWN-RED.txt is
+# printed and not counted as failed, as issue 2 allows; no other failure is.
 set -u
 cd "$(dirname "$0")/.."
 mkdir -p out
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# The demo: a version spreads over 8 hosts while live requests are answered,
-# the next one replaces it, a host is drained. The last line is counted from
-# the stand-ins' own logs against what the callers received.
+# The demo: a version is distributed to 8 hosts while live requests are
+# answered, the next version replaces it, and a host is drained. The last line
+# compares the stand-ins' own logs with what the callers received.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${1:-build}
@@ -19,7 +19,7 @@
 	exit 1
 }
 
-publish() { # VERSION: bytes and chunk list at the origin; sets `root`
+publish() { # VERSION: weights and chunk list at the origin; sets `root`
 	head -c "$size" /dev/urandom >"$STAGE/origin/$1.bin"
 	root=$("$bin/entry/currantchute" model digest "$STAGE/origin/$1.bin" \
 	    --chunk-bytes "$chunk" --out "$STAGE/origin/$1.chunks" |
@@ -77,7 +77,7 @@
 tokens: {operator: $(sha $team_token), caller: $(sha $caller_token)}
 END
 operate settings set platform "$STAGE/platform.yaml" || fail "root branch"
-operate settings set cedar "$STAGE/cedar.yaml" || fail "team's branch"
+operate settings set cedar "$STAGE/cedar.yaml" || fail "workspace's branch"
 
 publish v1
 roll_out v1
@@ -95,7 +95,7 @@
 
 operate drain host side-3 || fail "drain"
 sleep 2
-kill -TERM "$side_pid_3" # a planned stop, under load
+kill -TERM "$side_pid_3" # a graceful shutdown under load
 sleep 2
 
 kill -TERM $caller
--- a/tools/demo_platform.sh
+++ b/tools/demo_platform.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# The whole path on the stand-in for the users' platform: 2 gateways, 8
-# keepers, 6 engines with weights and 2 without, a new version on the way,
-# requests throughout. Last line: `fleet: kept ...`.
+# The complete request path against the stand-in for the users' platform: 2
+# gateways, 8 sidecars, 6 engines with weights and 2 without, requests
+# throughout, and a new version during them. Last line: `fleet: kept ...`.
 set -u
 BUILD=${1:-build}
 . tools/fleet.sh
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -1,7 +1,7 @@
-# Sourced by scripts that play the stand-in fleet with our own processes:
-#   fleet_begin FOLDER ENGINES GATEWAYS; fleet_play OPTIONS...; fleet_end
-# Each "host" has a loopback address of its own, 127.0.NET.x; runs with different
-# NETs do not meet. Only processes started here are ended, by their ids.
+# Sourced by scripts that run gateways and sidecars against the stand-in fleet:
+#   fleet_begin FOLDER ENGINES GATEWAYS; tests/fleet/fleet OPTIONS...; fleet_end
+# Each "host" has its own loopback address, 127.0.NET.x; runs with different
+# NETs are independent. Only processes started here are signalled, by their ids.
 NET=${NET:-0}
 
 fleet_settings() { # fleet_settings FILE ID DOMAIN IP LINES...
@@ -10,7 +10,8 @@
 		echo "store: {address: 127.0.$NET.9:8007}"
 		echo "domains: {z0: z0, z1: z1}"
 		echo "limits: {link_mbit: 40}"
-		# stable_ms at its least: due times hold from the start on.
+		# stable_ms at its minimum, so that deadlines are enforced from
+		# the start.
 		echo "bounds: {version_ms: 8000, stable_ms: 1000, grace_s: 4, retry_ratio: 0.2, retry_slack: 40}"
 	} >"$1"
 	file=$1
@@ -18,7 +19,7 @@
 	printf '%s\n' "$@" >>"$file"
 }
 
-fleet_start() { # fleet_start NAME: (again)
+fleet_start() { # fleet_start NAME: starts or restarts the process
 	case $1 in
 	gateway-*) $BUILD/programs/entry/currantchute gateway --settings $STAGE/$1.yaml ;;
 	*) $BUILD/programs/side/currantchute-side keeper --settings $STAGE/$1.yaml ;;
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs by apt what the build, tests and model checks need; does nothing
-# where everything is there already.
+# Installs with apt the packages that the build, the tests and the model checks
+# need; does nothing when all of them are installed.
 set -eu
 packages="build-essential cmake ninja-build pkg-config clang-format cppcheck
  spin git curl libglib2.0-dev libsoup-3.0-dev libmsgpack-dev libyaml-dev libpopt-dev
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Formatter and linter over every C file of the tree.
+# Runs the formatter and the linter over every C file of the tree.
 set -eu
 cd "$(dirname "$0")/.."
 files=$(git ls-files -co --exclude-standard '*.c' '*.h')
--- a/tools/lint_macros.h
+++ b/tools/lint_macros.h
@@ -1,5 +1,5 @@
-/* For cppcheck only, which reads no system headers: what the loops and heads
- * of sys/queue.h are, so that it can follow the loop variable. */
+/* For cppcheck only, which reads no system headers: defines the heads and loops
+ * of sys/queue.h, so that it can follow the loop variable. */
 #define TAILQ_HEAD(name, type)          \
 	struct name {                   \
 		struct type *tqh_first; \
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,20 +1,22 @@
 #!/bin/sh
-# A randomized soak: soak.sh BUILD SEED SECONDS. Real gateways and keepers
-# against the stand-in, whose proxies delay, silence, cut one way and reset
-# connections, whose store refuses and forgets, whose engines crash and whose
-# staged pieces rot; meanwhile processes here are stopped, killed, asked to
-# stop and restarted by signals, one after the other and together. The
-# stand-in checks every answer and every run. From seed 200 on two requests end
-# the engines that run them. The last line begins with
-# `soak: kept` or `soak: BROKEN`; logs stay in BUILD/stage-soak-SEED.
+# A randomized soak: soak.sh BUILD SEED SECONDS. Runs real gateways and sidecars
+# against the stand-in, whose proxies delay, stall, block one direction of and
+# reset connections, whose store refuses requests and discards its history,
+# whose engines crash and whose staged chunks get corrupted; meanwhile this
+# script stops, kills, terminates and restarts processes by signals, one after
+# the other and together. The stand-in checks every answer and every run. From
+# seed 200 on, two requests terminate the engines that run them. The last line
+# begins with `soak: kept` or `soak: BROKEN`; logs stay in
+# BUILD/stage-soak-SEED.
 set -u
 BUILD=$1
 SEED=$2
 SECONDS_TO_PLAY=${3:-20}
-NET=$((SEED % 250 + 1)) # several seeds can be played at once
+NET=$((SEED % 250 + 1)) # allows runs of several seeds at once
 . tools/fleet.sh
 
-# Numbers 0..N-1 from the seed, one a call: every run of a seed draws the same.
+# Pseudo-random numbers 0..N-1, one a call; each run of a seed draws the same
+# sequence.
 draws=0
 draw() { # draw N: the result is in $drawn
 	draws=$((draws + 1))
@@ -22,16 +24,17 @@
 	    'BEGIN { srand(s * 7919 + d * 104729); rand(); print int(rand() * n) }')
 }
 
-# A gateway is judged for what it sends from a second after it was disturbed.
+# Sends of a gateway are not counted until one second after a disturbance of it.
 note_disturbed() { # note_disturbed NAME SECONDS
 	case $1 in
 	gateway-*) echo "${1#gateway-} $(date +%s.%N) $2" >>"$STAGE/disturbed" ;;
 	esac
 }
 
-# Sends of a request that had ended three engines: more than three by gateways
-# that had not been disturbed.
-count_spread() {
+# Prints the sends, after the first three, of a request that had terminated
+# three engines; sends by gateways that were disturbed at the time are not
+# counted.
+print_excess_sends() {
 	touch "$STAGE/disturbed"
 	awk 'NR == FNR { n++; gateway[n] = $1 - 1; from[n] = $2; to[n] = $2 + $3 + 1; next }
 	    / was sent, / {
@@ -52,7 +55,8 @@
 	fi
 	wait "$pid" 2>/dev/null
 	code=$?
-	# Ended by our signal, or in order after SIGTERM; anything else is a crash.
+	# Terminated by the signal above, or exited with 0 after SIGTERM; any
+	# other status is a crash.
 	case $code in
 	0 | 137 | 143) ;;
 	*) echo "soak: $1 ended with $code" | tee -a "$STAGE/crashes" ;;
@@ -61,7 +65,7 @@
 	note_disturbed "$1" 0
 }
 
-# A process that is gone though nothing here ended it has crashed.
+# A process that has exited without a signal from this script has crashed.
 check_alive() { # check_alive NAME
 	kill -0 "$(cat "$STAGE/$1.pid")" 2>/dev/null && return 0
 	wait "$(cat "$STAGE/$1.pid")" 2>/dev/null
@@ -77,8 +81,8 @@
 	(sleep "$(awk -v t="$2" 'BEGIN { print t / 10 }')" && kill -CONT "$pid" 2>/dev/null) &
 }
 
-# Whether its program has begun: before, paused at its very start, the signal's
-# default would end it, whatever the program does.
+# Whether the process ignores or handles SIGHUP. When it is paused before it has
+# set that up, the signal's default action would terminate it.
 takes_hup() { # takes_hup NAME
 	awk '/^Sig(Ign|Cgt):/ && $2 ~ /[13579bdf]$/ { yes = 1 } END { exit !yes }' \
 	    "/proc/$(cat "$STAGE/$1.pid")/status"
@@ -116,7 +120,7 @@
 status=$?
 fleet_end || status=1
 [ -s "$STAGE/crashes" ] && status=1
-count_spread >"$STAGE/spread"
+print_excess_sends >"$STAGE/spread"
 if [ -s "$STAGE/spread" ]; then
 	cat "$STAGE/spread"
 	status=1
--- a/tools/stage.sh
+++ b/tools/stage.sh
@@ -1,5 +1,6 @@
-# Sourced by the demo and the benches: a set-up of stand-ins, entries and
-# sides on loopback. Everything started is stopped by stage_end.
+# Sourced by the demo, the system tests and the benchmarks: a set-up of
+# stand-ins, entries and sidecars on loopback. stage_end stops every process
+# started here.
 #
 # Set before sourcing: BUILD (build folder), STAGE (scratch folder).
 
@@ -10,7 +11,7 @@
 caller_token=cedar-caller-token
 key=000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f
 stage_pids=
-# Below the ephemeral range; apart for set-ups that run side by side.
+# Below the ephemeral range; different for set-ups that run concurrently.
 stage_port=$((15000 + ($$ % 150) * 100))
 
 sha() {
@@ -39,7 +40,7 @@
 	stage_pids=
 }
 
-# stage_standin NAME ARGUMENTS...: starts one and sets `port`.
+# stage_standin NAME ARGUMENTS...: starts a stand-in and sets `port`.
 stage_standin() {
 	name=$1
 	shift
@@ -61,7 +62,8 @@
 	done
 }
 
-# stage_platform ORIGIN-BYTES-S: object API, origin, host list.
+# stage_platform ORIGIN-BYTES-S: starts the object API, the origin and the host
+# list.
 stage_platform() {
 	stage_standin objects objects || return 1
 	objects=http://127.0.0.1:$port
@@ -96,7 +98,8 @@
 END
 }
 
-# stage_entry ID DOMAIN PEER-PORT: adds its URL to `entries`.
+# stage_entry ID DOMAIN PEER-PORT: starts an entry and adds its URL to
+# `entries`.
 stage_entry() {
 	next_port
 	{
@@ -111,8 +114,8 @@
 	entries="${entries:+$entries,}http://127.0.0.1:$stage_port"
 }
 
-# stage_side ID DOMAIN PEER-PORT LINK-BYTES-S TARGET...: each target in flow
-# form as in docs/SETTINGS.md.
+# stage_side ID DOMAIN PEER-PORT LINK-BYTES-S TARGET...: starts a sidecar; each
+# target is a YAML flow mapping as in docs/SETTINGS.md.
 stage_side() {
 	side_id=$1
 	next_port
@@ -138,13 +141,13 @@
 	stage_pids="$stage_pids $last_pid"
 }
 
-# operate COMMAND...: an operator's command with the root operator's token.
+# operate COMMAND...: runs an operator's command with the root operator's token.
 operate() {
 	"$bin/entry/currantchute" --entry "$entries" --token "$root_token" \
 	    "$@"
 }
 
-# wait_ready URL: until an entry takes work.
+# wait_ready URL: waits until an entry accepts requests.
 wait_ready() {
 	tries=0
 	until curl -fs -o /dev/null "$1/healthz"; do
--- a/tools/story_cut.sh
+++ b/tools/story_cut.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# A stream that is cut when its engine crashes and no other can take it over:
-# the third story of docs/OPERATIONS.md. Logs stay in BUILD/stage-story-cut.
+# A stream is interrupted when its engine crashes and no other engine can resume
+# it: the third example of docs/OPERATIONS.md. Logs stay in
+# BUILD/stage-story-cut.
 set -u
 BUILD=${1:-build}
 . tools/fleet.sh
--- a/tools/words.sh
+++ b/tools/words.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The platform's words stand in platform/ (and in the deploy files that it
-# reads) and nowhere else: a name that changes is changed there, once.
+# Checks that the platform's header, path and key names occur only in platform/
+# (and in the deploy files that it reads), so that a name that changes is
+# changed in one place.
 set -eu
 cd "$(dirname "$0")/.."
 words='X-Attempt-Id|X-Response-Seal|X-Tenant|X-Expect-Instance|X-Expect-Version|X-Request-Urgency|X-Server-Load|Server-Limit|X-Not-Executed|X-Instance-Id|X-Token-Counts|X-Prompt-Prefix|X-Length-Hint|X-Weight-Versions|"/-/|pathPrefix|trafficSplit|maxAttempts|targetLatencyMs|allowAnonymous|apiKeys|itemCount|switchMode|chunkBytes|stage-put|kvUsed'
