--- a/tests/fleet/caller.c
+++ b/tests/fleet/caller.c
@@ -1,4 +1,4 @@
-/* The stand-in's callers: they know what each answer must be. */
+/* The stand-in's callers: each answer is compared with the expected one. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -8,19 +8,20 @@
 #define EVENTS 12
 #define DEADLINE_MS 4000
 
-enum ask_kind {
-	ASK_STREAM,
-	ASK_UNSAFE,
-	ASK_SAFE,
-	ASK_KINDS
+enum request_kind {
+	REQUEST_STREAM,
+	REQUEST_UNSAFE,
+	REQUEST_SAFE,
+	REQUEST_KINDS
 };
 
-static const char ask_letter[ASK_KINDS] = { 's', 'u', 'g' };
-static const char *const ask_path[ASK_KINDS] = { "/chat/", "/book/", "/look/" };
+static const char request_letter[REQUEST_KINDS] = { 's', 'u', 'g' };
+static const char *const request_path[REQUEST_KINDS] = { "/chat/", "/book/",
+	"/look/" };
 
-struct ask {
+struct request {
 	struct fleet *f;
-	enum ask_kind kind;
+	enum request_kind kind;
 	char id[40];
 	struct hcall *call;
 	struct evl_timer deadline;
@@ -30,7 +31,7 @@
 };
 
 static void
-ask_free(struct ask *a)
+request_free(struct request *a)
 {
 	evl_timer_stop(a->f->loop, &a->deadline);
 	g_string_free(a->body, TRUE);
@@ -43,74 +44,75 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-stream_is_right(const struct ask *a)
+stream_matches(const struct request *a)
 {
-	GString *want = g_string_new(NULL);
+	GString *expected = g_string_new(NULL);
 	unsigned int i;
-	bool right;
+	bool matches;
 
 	for (i = 1; i <= EVENTS; i++)
 		g_string_append_printf(
-		    want, "id: %u\ndata: %s %u\n\n", i, a->id, i);
-	right = strcmp(want->str, a->body->str) == 0;
-	g_string_free(want, TRUE);
-	return right;
+		    expected, "id: %u\ndata: %s %u\n\n", i, a->id, i);
+	matches = strcmp(expected->str, a->body->str) == 0;
+	g_string_free(expected, TRUE);
+	return matches;
 }
 
 static bool
-body_is_right(const struct ask *a)
+body_matches(const struct request *a)
 {
-	char want[64];
+	char expected[64];
 
-	if (a->kind == ASK_STREAM)
-		return stream_is_right(a);
-	g_snprintf(want, sizeof(want), "answer to %s", a->id);
-	return strcmp(want, a->body->str) == 0;
+	if (a->kind == REQUEST_STREAM)
+		return stream_matches(a);
+	g_snprintf(expected, sizeof(expected), "answer to %s", a->id);
+	return strcmp(expected, a->body->str) == 0;
 }
 
 static void
-check(struct ask *a)
+check_answer(struct request *a)
 {
 	struct fleet_tally *t = &a->f->tally;
 
 	if (a->status == 200) {
 		t->answered++;
-		if (!a->sealed || !body_is_right(a)) {
-			t->mixed++;
+		if (!a->sealed || !body_matches(a)) {
+			t->wrong_answers++;
 			g_printerr("mixed %s: %s\n", a->id, a->body->str);
 		}
 	} else if (a->status == 503 || a->status == 429) {
 		t->refused++;
-		if (a->kind == ASK_UNSAFE &&
+		if (a->kind == REQUEST_UNSAFE &&
 		    g_hash_table_contains(a->f->runs, a->id)) {
-			t->lied++;
+			t->false_not_run++;
 			g_printerr("lied %s\n", a->id);
 		}
 	} else {
 		t->failed++;
 		if (a->sealed && a->status != 500)
-			t->mixed++;
+			t->wrong_answers++;
 	}
 }
 
-/* What came before a break must be right as far as it goes. */
+/* The part of an answer that arrived before a failure must be a prefix of the
+ * expected answer. */
 static void
-check_part(struct ask *a)
+check_partial_answer(struct request *a)
 {
 	char *whole;
 	unsigned int i;
-	GString *want = g_string_new(NULL);
+	GString *expected = g_string_new(NULL);
 
 	for (i = 1; i <= EVENTS; i++)
 		g_string_append_printf(
-		    want, "id: %u\ndata: %s %u\n\n", i, a->id, i);
-	whole = want->str;
-	if (a->status == 200 && a->kind == ASK_STREAM &&
+		    expected, "id: %u\ndata: %s %u\n\n", i, a->id, i);
+	whole = expected->str;
+	if (a->status == 200 && a->kind == REQUEST_STREAM &&
 	    strncmp(whole, a->body->str, a->body->len) != 0) {
-		a->f->tally.mixed++;
+		a->f->tally.wrong_answers++;
 		g_printerr("mixed part %s: %s\n", a->id, a->body->str);
 	}
-	g_string_free(want, TRUE);
+	g_string_free(expected, TRUE);
 }
 
 /* ------------------------------------------------------------------ */
@@ -120,7 +122,7 @@
 static void
 on_head(struct hcall *c, const struct hmsg *m, void *ctx)
 {
-	struct ask *a = ctx;
+	struct request *a = ctx;
 
 	a->status = m->status;
 	a->sealed = hmsg_find(m, "X-Response-Seal") != NULL;
@@ -129,37 +131,37 @@
 static void
 on_body(struct hcall *c, const void *data, size_t len, void *ctx)
 {
-	g_string_append_len(((struct ask *)ctx)->body, data, (gssize)len);
+	g_string_append_len(((struct request *)ctx)->body, data, (gssize)len);
 }
 
 static void
 on_done(struct hcall *c, void *ctx)
 {
-	check(ctx);
-	ask_free(ctx);
+	check_answer(ctx);
+	request_free(ctx);
 }
 
 static void
 on_failed(struct hcall *c, enum hcall_failure why, bool sent, void *ctx)
 {
-	struct ask *a = ctx;
+	struct request *a = ctx;
 
 	g_printerr("broken %s: failure %d, sent %d, status %u\n", a->id, why,
 	    sent, a->status);
 	a->f->tally.broken++;
-	check_part(a);
-	ask_free(a);
+	check_partial_answer(a);
+	request_free(a);
 }
 
 static void
 on_deadline(struct evl_timer *t)
 {
-	struct ask *a = CONTAINER_OF(t, struct ask, deadline);
+	struct request *a = CONTAINER_OF(t, struct request, deadline);
 
 	hcall_cancel(a->call);
 	a->f->tally.broken++;
-	check_part(a);
-	ask_free(a);
+	check_partial_answer(a);
+	request_free(a);
 }
 
 static const struct hcall_ops ops = {
@@ -169,8 +171,9 @@
 	.failed = on_failed,
 };
 
-/* Unevenly, as a balancer does that goes by the caller: half of what is left
- * goes to the first, and so on. */
+/* The uneven distribution is like that of a load balancer that hashes by
+ * caller: half of the requests go to the first gateway, half of the remaining
+ * ones to the second, and so on. */
 static size_t
 choose_gateway(struct fleet *f)
 {
@@ -182,26 +185,26 @@
 }
 
 static void
-start_ask(struct fleet *f)
+start_request(struct fleet *f)
 {
-	struct ask *a = g_new0(struct ask, 1);
+	struct request *a = g_new0(struct request, 1);
 	size_t gateway = choose_gateway(f);
 	char *head;
 
 	a->f = f;
-	a->kind = (enum ask_kind)rng_below(&f->rng, ASK_KINDS);
+	a->kind = (enum request_kind)rng_below(&f->rng, REQUEST_KINDS);
 	a->body = g_string_new(NULL);
 	g_snprintf(a->id, sizeof(a->id), "%c-%u-%" G_GUINT64_FORMAT "-g%zu",
-	    ask_letter[a->kind], f->tally.asked, rng_next(&f->rng) % 100000,
-	    gateway);
-	f->tally.asked++;
+	    request_letter[a->kind], f->tally.sent_count,
+	    rng_next(&f->rng) % 100000, gateway);
+	f->tally.sent_count++;
 	f->open_calls++;
 	head = g_strdup_printf(
 	    "POST %s%u HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: %s\r\n"
 	    "X-Deadline-Ms: %d\r\nAuthorization: Bearer " FLEET_KEY "\r\n"
 	    "X-Tenant: forged\r\n%sContent-Length: 4\r\n\r\nbody",
-	    ask_path[a->kind], f->tally.asked, a->id, DEADLINE_MS,
-	    a->kind == ASK_STREAM ? "X-Model: " FLEET_MODEL "\r\n" : "");
+	    request_path[a->kind], f->tally.sent_count, a->id, DEADLINE_MS,
+	    a->kind == REQUEST_STREAM ? "X-Model: " FLEET_MODEL "\r\n" : "");
 	a->deadline.fire = on_deadline;
 	evl_timer_set(f->loop, &a->deadline,
 	    evl_now_us(f->loop) + (DEADLINE_MS + 500) * 1000);
@@ -221,7 +224,7 @@
 
 	if (f->stopping)
 		return;
-	start_ask(f);
+	start_request(f);
 	evl_timer_set(
 	    f->loop, t, evl_now_us(f->loop) + G_USEC_PER_SEC / f->rate);
 }
--- a/tests/fleet/engine.c
+++ b/tests/fleet/engine.c
@@ -1,4 +1,4 @@
-/* The stand-in's engines, with their staging places, and the origin. */
+/* The stand-in's engines, with their staging areas, and the origin. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -11,29 +11,29 @@
 #define EVENT_US 15000
 #define PLAIN_US 10000
 #define LOAD_US 200000
-#define DOWN_US 1500000 /* from an end to the next start */
+#define DOWN_US 1500000 /* from termination to restart */
 
-struct fleet_run; /* a request that an engine works on */
+struct fleet_run; /* a request that an engine runs */
 
 struct fleet_engine {
 	struct fleet *f;
 	size_t i;
 	char id[24];
-	char real[32]; /* address that it listens on */
+	char real[32]; /* address that the engine listens on */
 	char advertised[32];
 	unsigned int starts;
-	struct evl_timer back; /* it starts again */
+	struct evl_timer restart;
 	bool llm;
 	struct hserver *server;
 	int64_t version; /* loaded; 0: none */
-	int64_t loading; /* version on its way; 0: none */
+	int64_t loading; /* version being loaded; 0: none */
 	struct evl_timer load;
 	uint8_t *staged[FLEET_CHUNKS];
 	unsigned int sequence;
-	int64_t born_ms;
+	int64_t started_ms;
 	LIST_HEAD(fleet_runs, fleet_run) runs;
 	unsigned int nruns;
-	int64_t rot_us; /* a staged piece was spoilt last */
+	int64_t corrupted_us; /* last corruption of a staged chunk */
 	struct fleet_limit limit;
 };
 
@@ -48,7 +48,7 @@
 };
 
 void
-fleet_piece(int64_t version, uint64_t index, uint8_t *out)
+fleet_chunk(int64_t version, uint64_t index, uint8_t *out)
 {
 	struct rng rng;
 	size_t i;
@@ -62,7 +62,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Its entry in the store                                              */
+/* Its record in the store                                             */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -80,7 +80,7 @@
 }
 
 void
-fleet_engine_beat(struct fleet *f, size_t i)
+fleet_engine_publish(struct fleet *f, size_t i)
 {
 	const struct fleet_engine *e = f->engine[i];
 	GString *spec = g_string_new(NULL);
@@ -90,7 +90,7 @@
 	    "\"version\":\"v1\",\"slots\":%d,\"state\":\"ready\","
 	    "\"coldMs\":0,\"sequence\":%u,\"born\":%" G_GINT64_FORMAT,
 	    e->llm ? FLEET_LLM : FLEET_PLAIN, e->advertised, i % 2, SLOTS,
-	    e->sequence, e->born_ms);
+	    e->sequence, e->started_ms);
 	if (e->llm) {
 		g_string_append_c(spec, ',');
 		append_models(e, spec);
@@ -114,7 +114,7 @@
 }
 
 static char *
-head_of(const struct fleet_run *run)
+response_head(const struct fleet_run *run)
 {
 	struct fleet_engine *e = run->e;
 	GString *head = g_string_new(NULL);
@@ -124,24 +124,25 @@
 	    "X-Server-Load: %u,0,%d\r\nX-Weight-Versions: %" G_GINT64_FORMAT
 	    "\r\n",
 	    run->id, e->id, run->id, e->nruns, SLOTS, run->version);
-	fleet_limit_named(e->f, &e->limit, run->id);
+	fleet_limit_announced(e->f, &e->limit, run->id);
 	if (e->limit.limit > 0)
 		g_string_append_printf(
 		    head, "Server-Limit: %.1f\r\n", e->limit.limit);
 	return g_string_free(head, FALSE);
 }
 
-/* The engine's process ends under the run. */
+/* Terminates the engine's process and returns true when the run is of a poison
+ * request. */
 static bool
-ends_engine(struct fleet_run *run)
+terminates_engine(struct fleet_run *run)
 {
 	struct fleet_engine *e = run->e;
 	struct fleet_poison *poison = fleet_poison_of(e->f, run->id);
 
 	if (poison == NULL)
 		return false;
-	fleet_poison_ended(poison);
-	fleet_engine_end(e->f, e->i);
+	fleet_poison_terminated(poison);
+	fleet_engine_terminate(e->f, e->i);
 	return true;
 }
 
@@ -152,10 +153,10 @@
 	struct hreq *r = run->r;
 	char event[128], *head;
 
-	if (ends_engine(run))
+	if (terminates_engine(run))
 		return;
 	if (!hreq_begun(r)) {
-		head = head_of(run);
+		head = response_head(run);
 		hreq_begin(r, 200, head);
 		g_free(head);
 	}
@@ -179,9 +180,9 @@
 	struct hreq *r = run->r;
 	char body[64], *head;
 
-	if (ends_engine(run))
+	if (terminates_engine(run))
 		return;
-	head = head_of(run);
+	head = response_head(run);
 	g_snprintf(body, sizeof(body), "answer to %s", run->id);
 	run_free(run);
 	hreq_answer(r, 200, head, body, strlen(body));
@@ -210,7 +211,8 @@
 	hreq_answer(r, status, headers, "", 0);
 }
 
-/* What may run once is "u-..."; it is counted over all engines. */
+/* Counts runs over all engines; ids of requests that may run only once begin
+ * with `u`. */
 static void
 count_run(struct fleet_engine *e, struct hreq *r, const char *id)
 {
@@ -220,15 +222,15 @@
 
 	g_hash_table_replace(f->runs, g_strdup(id), GUINT_TO_POINTER(n));
 	if (n > 1 && id[0] == 'u')
-		f->tally.twice++;
+		f->tally.ran_twice++;
 	header(r, "X-Tenant", workspace, sizeof(workspace));
 	header(r, "Authorization", key, sizeof(key));
 	if (strcmp(workspace, "team") != 0 || key[0] != '\0' || id[0] == '\0')
-		f->tally.stranger++;
-	if (e->llm && e->version < f->version_before)
+		f->tally.bad_identity++;
+	if (e->llm && e->version < f->previous_version)
 		f->tally.stale++;
 	if (e->llm && e->version < f->version &&
-	    evl_now_us(f->loop) - f->named_us > FLEET_VERSION_MS * 1000)
+	    evl_now_us(f->loop) - f->announced_us > FLEET_VERSION_MS * 1000)
 		f->tally.stale++;
 }
 
@@ -254,7 +256,7 @@
 }
 
 static void
-serve(struct fleet_engine *e, struct hreq *r)
+handle_request(struct fleet_engine *e, struct hreq *r)
 {
 	char id[40], expect[24];
 
@@ -279,7 +281,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Staging, orders, reports                                            */
+/* Staging, load orders, reports                                       */
 /* ------------------------------------------------------------------ */
 
 static uint64_t
@@ -291,7 +293,8 @@
 }
 
 static void
-stage(struct fleet_engine *e, struct hreq *r, const char *target, bool put)
+handle_staging(
+    struct fleet_engine *e, struct hreq *r, const char *target, bool put)
 {
 	uint64_t i = index_of(target);
 	const void *body;
@@ -314,15 +317,15 @@
 }
 
 static bool
-staged_is_whole(const struct fleet_engine *e, int64_t version)
+staged_is_complete(const struct fleet_engine *e, int64_t version)
 {
-	uint8_t right[FLEET_CHUNK_BYTES];
+	uint8_t expected[FLEET_CHUNK_BYTES];
 	uint64_t i;
 
 	for (i = 0; i < FLEET_CHUNKS; i++) {
-		fleet_piece(version, i, right);
+		fleet_chunk(version, i, expected);
 		if (e->staged[i] == NULL ||
-		    memcmp(right, e->staged[i], sizeof(right)) != 0)
+		    memcmp(expected, e->staged[i], sizeof(expected)) != 0)
 			return false;
 	}
 	return true;
@@ -333,17 +336,18 @@
 {
 	struct fleet_engine *e = CONTAINER_OF(timer, struct fleet_engine, load);
 
-	if (e->nruns > 0) { /* what runs ends first */
+	if (e->nruns > 0) { /* wait for the running requests */
 		evl_timer_set(
 		    e->f->loop, timer, evl_now_us(e->f->loop) + LOAD_US / 4);
 		return;
 	}
 	e->version = e->loading;
 	e->loading = 0;
-	fleet_engine_beat(e->f, e->i);
+	fleet_engine_publish(e->f, e->i);
 }
 
-/* By an order that does not wait, or a crash; streams go on elsewhere. */
+/* Aborts all runs, on a preempting order or a crash; gateways resume the
+ * streams at other engines. */
 static void
 cut_runs(struct fleet_engine *e)
 {
@@ -358,7 +362,7 @@
 }
 
 static void
-order(struct fleet_engine *e, struct hreq *r)
+handle_order(struct fleet_engine *e, struct hreq *r)
 {
 	size_t len;
 	const char *body = hreq_body(r, &len);
@@ -376,12 +380,13 @@
 		hreq_answer(r, 409, "", "", 0);
 		return;
 	}
-	if (!staged_is_whole(e, version)) {
-		e->f->tally.unwhole++;
+	if (!staged_is_complete(e, version)) {
+		e->f->tally.incomplete++;
 		g_printerr("unwhole %s version %" G_GINT64_FORMAT
-			   ": a piece was spoilt %" G_GINT64_FORMAT " ms ago\n",
+			   ": a chunk was corrupted %" G_GINT64_FORMAT
+			   " ms ago\n",
 		    e->id, version,
-		    (evl_now_us(e->f->loop) - e->rot_us) / 1000);
+		    (evl_now_us(e->f->loop) - e->corrupted_us) / 1000);
 	}
 	e->sequence++;
 	e->loading = version;
@@ -393,7 +398,7 @@
 }
 
 static void
-report(struct fleet_engine *e, struct hreq *r)
+answer_report(struct fleet_engine *e, struct hreq *r)
 {
 	GString *out = g_string_new("{\"stage\":\"colocated\",");
 
@@ -401,7 +406,7 @@
 	g_string_append_printf(out,
 	    ",\"busy\":%s,\"born\":%" G_GINT64_FORMAT
 	    ",\"sequence\":%u,\"waiting\":%u,\"running\":%u}",
-	    e->loading != 0 ? "true" : "false", e->born_ms, e->sequence,
+	    e->loading != 0 ? "true" : "false", e->started_ms, e->sequence,
 	    e->nruns > SLOTS ? e->nruns - SLOTS : 0, MIN(e->nruns, SLOTS));
 	hreq_answer(
 	    r, 200, "Content-Type: application/json\r\n", out->str, out->len);
@@ -416,15 +421,15 @@
 
 	hreq_set_ctx(r, NULL);
 	if (g_str_has_prefix(target, "/-/report"))
-		report(e, r);
+		answer_report(e, r);
 	else if (g_str_has_prefix(target, "/-/order"))
-		order(e, r);
+		handle_order(e, r);
 	else if (g_str_has_prefix(target, "/-/stage-put/"))
-		stage(e, r, target, true);
+		handle_staging(e, r, target, true);
 	else if (g_str_has_prefix(target, "/-/stage-get/"))
-		stage(e, r, target, false);
+		handle_staging(e, r, target, false);
 	else
-		serve(e, r);
+		handle_request(e, r);
 	g_free(target);
 }
 
@@ -455,19 +460,19 @@
 };
 
 static void
-name_start(struct fleet_engine *e)
+assign_id(struct fleet_engine *e)
 {
 	g_snprintf(e->id, sizeof(e->id), "i-%zu-%u", e->i, ++e->starts);
 }
 
 static void
-note_born(struct fleet_engine *e)
+set_started(struct fleet_engine *e)
 {
-	e->born_ms = g_get_real_time() / 1000;
+	e->started_ms = g_get_real_time() / 1000;
 }
 
 static bool
-listen_again(struct fleet_engine *e, struct err *err)
+start_server(struct fleet_engine *e, struct err *err)
 {
 	e->server = hserver_new(&(struct hserver_conf){ .loop = e->f->loop,
 				    .address = e->real,
@@ -493,15 +498,15 @@
 	g_strlcpy(e->real, address, sizeof(e->real));
 	g_strlcpy(e->advertised, advertised, sizeof(e->advertised));
 	LIST_INIT(&e->runs);
-	name_start(e);
-	note_born(e);
+	assign_id(e);
+	set_started(e);
 	for (c = 0; llm && !empty && c < FLEET_CHUNKS; c++) {
 		e->staged[c] = g_malloc(FLEET_CHUNK_BYTES);
-		fleet_piece(1, c, e->staged[c]);
+		fleet_chunk(1, c, e->staged[c]);
 	}
 	e->version = llm && !empty ? 1 : 0;
 	f->engine[i] = e;
-	return listen_again(e, err);
+	return start_server(e, err);
 }
 
 const char *
@@ -522,62 +527,61 @@
 	e->sequence = 0;
 	if (!keeps_id) {
 		fleet_store_remove(f, "servers", e->id);
-		name_start(e);
+		assign_id(e);
 	}
-	note_born(e);
-	fleet_engine_limit(f, i, 0);
-	fleet_engine_beat(f, i);
+	set_started(e);
+	fleet_engine_set_limit(f, i, 0);
+	fleet_engine_publish(f, i);
 }
 
 static void
-on_back(struct evl_timer *t)
+on_restart(struct evl_timer *t)
 {
-	struct fleet_engine *e = CONTAINER_OF(t, struct fleet_engine, back);
+	struct fleet_engine *e = CONTAINER_OF(t, struct fleet_engine, restart);
 	struct err err = { 0 };
 
-	if (!listen_again(e, &err))
+	if (!start_server(e, &err))
 		g_error("engine %zu: %s", e->i, err.message);
 	fleet_proxy_listen(e->f->proxy[e->i + 1], true);
 	fleet_engine_crash(e->f, e->i, false);
 }
 
 void
-fleet_engine_end(struct fleet *f, size_t i)
+fleet_engine_terminate(struct fleet *f, size_t i)
 {
 	struct fleet_engine *e = f->engine[i];
 
 	if (e->server == NULL)
 		return;
 	cut_runs(e);
-	fleet_proxy_listen(
-	    f->proxy[i + 1], false); /* the first is the store's */
+	fleet_proxy_listen(f->proxy[i + 1], false); /* proxy 0 is the store's */
 	fleet_proxy_reset(f->proxy[i + 1]);
 	hserver_free(e->server);
 	e->server = NULL;
-	e->back.fire = on_back;
-	evl_timer_set(f->loop, &e->back, evl_now_us(f->loop) + DOWN_US);
+	e->restart.fire = on_restart;
+	evl_timer_set(f->loop, &e->restart, evl_now_us(f->loop) + DOWN_US);
 }
 
 void
-fleet_engine_limit(struct fleet *f, size_t i, double limit)
+fleet_engine_set_limit(struct fleet *f, size_t i, double limit)
 {
 	fleet_limit_set(f, &f->engine[i]->limit, limit);
 }
 
 unsigned int
-fleet_engine_most(const struct fleet *f, size_t i)
+fleet_engine_max_in_window(const struct fleet *f, size_t i)
 {
-	return f->engine[i]->limit.most;
+	return f->engine[i]->limit.max_in_window;
 }
 
 void
-fleet_engine_rot(struct fleet *f, size_t i)
+fleet_engine_corrupt_chunk(struct fleet *f, size_t i)
 {
-	uint8_t *piece = f->engine[i]->staged[rng_below(&f->rng, FLEET_CHUNKS)];
+	uint8_t *chunk = f->engine[i]->staged[rng_below(&f->rng, FLEET_CHUNKS)];
 
-	f->engine[i]->rot_us = evl_now_us(f->loop);
-	if (piece != NULL)
-		piece[rng_below(&f->rng, FLEET_CHUNK_BYTES)] ^= 1;
+	f->engine[i]->corrupted_us = evl_now_us(f->loop);
+	if (chunk != NULL)
+		chunk[rng_below(&f->rng, FLEET_CHUNK_BYTES)] ^= 1;
 }
 
 /* ------------------------------------------------------------------ */
@@ -585,10 +589,10 @@
 /* ------------------------------------------------------------------ */
 
 static void
-manifest(struct hreq *r, int64_t version)
+answer_manifest(struct hreq *r, int64_t version)
 {
 	GString *out = g_string_new(NULL);
-	uint8_t piece[FLEET_CHUNK_BYTES];
+	uint8_t chunk[FLEET_CHUNK_BYTES];
 	struct digest digest;
 	char hex[DIGEST_HEX];
 	uint64_t i;
@@ -598,8 +602,8 @@
 	    ",\"chunkBytes\":%d,\"layers\":4,\"digests\":[",
 	    version, FLEET_CHUNK_BYTES);
 	for (i = 0; i < FLEET_CHUNKS; i++) {
-		fleet_piece(version, i, piece);
-		digest_of(piece, sizeof(piece), &digest);
+		fleet_chunk(version, i, chunk);
+		digest_of(chunk, sizeof(chunk), &digest);
 		digest_to_hex(&digest, hex);
 		g_string_append_printf(out, "%s\"%s\"", i > 0 ? "," : "", hex);
 	}
@@ -609,7 +613,7 @@
 	g_string_free(out, TRUE);
 }
 
-/* One answer in twenty is spoilt on its way. */
+/* Corrupts one answer in twenty. */
 static void
 on_origin(struct hreq *r, void *ctx)
 {
@@ -618,15 +622,15 @@
 	const char *at = strstr(target, "version=");
 	int64_t version = at == NULL ? f->version : atoll(at + 8);
 	uint64_t i = index_of(target);
-	uint8_t piece[FLEET_CHUNK_BYTES];
+	uint8_t chunk[FLEET_CHUNK_BYTES];
 
 	if (g_str_has_prefix(target, "/-/manifest/")) {
-		manifest(r, version);
+		answer_manifest(r, version);
 	} else if (i < FLEET_CHUNKS) {
-		fleet_piece(version, i, piece);
+		fleet_chunk(version, i, chunk);
 		if (rng_below(&f->rng, 20) == 0)
-			piece[7] ^= 1;
-		hreq_answer(r, 200, "", piece, sizeof(piece));
+			chunk[7] ^= 1;
+		hreq_answer(r, 200, "", chunk, sizeof(chunk));
 	} else {
 		hreq_answer(r, 404, "", "", 0);
 	}
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -3,9 +3,9 @@
 
 /*
  * fleet: a stand-in for the users' platform, for tests and the demo: its
- * store, model engines with a staging place, a plain service, the origin of
- * weights, callers that check what they get, and a proxy before each engine
- * and the store that misbehaves when told to. One process, on loopback
+ * store, model engines with a staging area, a plain service, the origin of
+ * weights, callers that check the answers they get, and a proxy in front of
+ * each engine and of the store that injects faults. One process, on loopback
  * addresses: engine i is at 127.0.NET.(10 + i).
  */
 
@@ -28,27 +28,39 @@
 struct fleet_engine;
 struct fleet_poison;
 
-/* What was seen, over all callers and engines. */
+/* Counts over all callers and engines; `printed` names the key in the output
+ * where it differs from the member. */
 struct fleet_tally {
-	unsigned int asked, answered, refused, failed, broken;
-	unsigned int twice; /* ran again what may run once */
-	unsigned int mixed; /* an answer that is not the request's own */
-	unsigned int lied; /* "not run" of what had run */
-	unsigned int unwhole; /* loaded with a spoilt or missing piece */
-	unsigned int stale; /* begun on a version that was past its due */
-	unsigned int over; /* more than the limit that the engine named */
-	unsigned int stranger; /* a run without a proper workspace or id */
-	unsigned int spread; /* sends of what had ended three engines */
+	unsigned int sent_count; /* printed `asked` */
+	unsigned int answered, refused, failed;
+	unsigned int broken; /* connection failures and missed deadlines */
+	/* Repeated runs of requests that may run once; printed `twice`. */
+	unsigned int ran_twice;
+	/* Answers that do not belong to the request; printed `mixed`. */
+	unsigned int wrong_answers;
+	/* Requests reported as not run that had run; printed `lied`. */
+	unsigned int false_not_run;
+	/* Loads with a corrupt or missing chunk; printed `unwhole`. */
+	unsigned int incomplete;
+	/* Runs begun on a version that was past its deadline. */
+	unsigned int stale;
+	/* Requests above the announced rate limit; printed `over`. */
+	unsigned int over_limit;
+	/* Runs without the right workspace or an id; printed `stranger`. */
+	unsigned int bad_identity;
+	/* Excess sends of requests that terminated three engines; printed
+	 * `spread`. */
+	unsigned int excess_sends;
 };
 
-/* A rate limit that an engine names in its answers. */
+/* A rate limit that an engine announces in its answers. */
 struct fleet_limit {
 	double limit; /* requests a second; 0: none */
-	int64_t first_us; /* first named */
-	int64_t
-	    told_us[FLEET_GATEWAYS_MAX]; /* first told to each; 0: not yet */
-	GArray *arrivals; /* of the last four seconds that count */
-	guint most; /* of them, ever */
+	int64_t first_us; /* first announced; 0: not yet */
+	/* First announced to each gateway; 0: not yet. */
+	int64_t announced_us[FLEET_GATEWAYS_MAX];
+	GArray *arrivals; /* counted requests of the last four seconds */
+	guint max_in_window; /* highest number of arrivals in four seconds */
 };
 
 struct fleet {
@@ -68,19 +80,19 @@
 	/* Engines. */
 	struct fleet_engine *engine[FLEET_ENGINES_MAX];
 	size_t nengines;
-	int64_t version, named_us; /* newest, and since when */
-	int64_t version_before;
+	int64_t version, announced_us; /* newest, and when it was announced */
+	int64_t previous_version;
 	/* Origin. */
 	struct hserver *origin;
 	/* Callers. */
 	char *gateways[FLEET_GATEWAYS_MAX];
 	size_t ngateways;
-	bool uneven; /* over the gateways */
+	bool uneven; /* distribution over the gateways */
 	unsigned int rate; /* requests a second */
-	struct evl_timer next_request, beat, fault;
+	struct evl_timer next_request, schedule, fault;
 	unsigned int open_calls;
 	bool stopping;
-	bool judges_poison; /* else its sends are only told */
+	bool check_poison; /* otherwise its sends are only printed */
 	struct fleet_poison *poison[FLEET_POISONS_MAX]; /* NULL: none */
 	/* Proxies. */
 	struct fleet_proxy *proxy[FLEET_ENGINES_MAX + 1];
@@ -92,62 +104,67 @@
 void fleet_store_put(
     struct fleet *f, const char *kind, const char *name, const char *spec);
 void fleet_store_remove(struct fleet *f, const char *kind, const char *name);
-void fleet_store_forget_history(struct fleet *f);
+void fleet_store_discard_history(struct fleet *f);
 
 /* engine.c */
 bool fleet_engine_open(struct fleet *f, size_t i, const char *address,
     const char *advertised, bool llm, bool empty, struct err *err);
-void fleet_engine_beat(struct fleet *f, size_t i); /* writes its entry */
-/* As it stands in the store. */
+void fleet_engine_publish(struct fleet *f, size_t i); /* writes its record */
+/* The id of the engine's record in the store. */
 const char *fleet_engine_id(const struct fleet *f, size_t i);
-/* It starts again, with nothing loaded, under its id or another. */
-void fleet_engine_crash(
-    struct fleet *f, size_t i, bool keeps_id); /* and starts again */
-/* Its process ends: all is cut, and nobody listens for a while. Then it starts
- * again under another id, with nothing loaded. */
-void fleet_engine_end(struct fleet *f, size_t i);
-void fleet_engine_rot(struct fleet *f, size_t i); /* spoils a staged piece */
-/* Bytes of a piece of a version; both engines and origin use them. */
-void fleet_piece(int64_t version, uint64_t index, uint8_t *out);
+/* Restarts the engine at once with nothing loaded, under its id or another. */
+void fleet_engine_crash(struct fleet *f, size_t i, bool keeps_id);
+/* Terminates the engine's process: all connections are reset, and its address
+ * refuses connections for DOWN_US. Then the engine restarts under another id,
+ * with nothing loaded. */
+void fleet_engine_terminate(struct fleet *f, size_t i);
+/* Flips a bit of a random staged chunk. */
+void fleet_engine_corrupt_chunk(struct fleet *f, size_t i);
+/* The bytes of a chunk of a version, for the engines and the origin. */
+void fleet_chunk(int64_t version, uint64_t index, uint8_t *out);
 bool fleet_origin_open(struct fleet *f, const char *address, struct err *err);
 
-/* 0: it names none any more. */
-void fleet_engine_limit(struct fleet *f, size_t i, double limit);
-/* The most requests in four seconds that its limits were judged by. */
-unsigned int fleet_engine_most(const struct fleet *f, size_t i);
+/* 0: the engine announces no limit any more. */
+void fleet_engine_set_limit(struct fleet *f, size_t i, double limit);
+/* The highest number of requests in four seconds that was checked against a
+ * limit. */
+unsigned int fleet_engine_max_in_window(const struct fleet *f, size_t i);
 
 /* limit.c */
 void fleet_limit_set(struct fleet *f, struct fleet_limit *l, double limit);
-/* Request `id` arrived; its answer bears the limit. */
+/* Counts a request that arrived against the limit. */
 void fleet_limit_arrived(
     struct fleet *f, struct fleet_limit *l, const char *id);
-void fleet_limit_named(struct fleet *f, struct fleet_limit *l, const char *id);
+/* The answer to the request announces the limit to the request's gateway. */
+void fleet_limit_announced(
+    struct fleet *f, struct fleet_limit *l, const char *id);
 
 /* caller.c */
 void fleet_callers_start(struct fleet *f);
 
-/* poison.c: a request that ends the engines that run it */
-/* The first is a stream, the second a plain request, and so on in turn. */
+/* poison.c: requests that terminate the engines that run them.
+ * Streams and plain requests alternate; the first is a stream. */
 void fleet_poisons_start(
     struct fleet *f, unsigned int n, int64_t gap_us, int64_t from_us);
-/* NULL: an ordinary request. */
+/* NULL when `id` is not of a poison request. */
 struct fleet_poison *fleet_poison_of(struct fleet *f, const char *id);
 void fleet_poison_arrived(struct fleet_poison *p, const char *id);
-void fleet_poison_ended(struct fleet_poison *p); /* an engine, under it */
-void fleet_poison_tell(const struct fleet *f);
+/* The request terminated an engine. */
+void fleet_poison_terminated(struct fleet_poison *p);
+void fleet_poison_print(const struct fleet *f);
 
 /* proxy.c */
 enum proxy_mode {
 	PROXY_PASS,
-	PROXY_SILENT, /* bytes are held, both ways */
-	PROXY_ONE_WAY, /* answers are held */
-	PROXY_DELAY, /* bytes come later */
+	PROXY_STALL, /* buffers bytes in both directions */
+	PROXY_STALL_RESPONSES, /* buffers responses */
+	PROXY_DELAY, /* forwards bytes after a delay */
 };
 struct fleet_proxy *fleet_proxy_open(
     struct fleet *f, const char *address, const char *to, struct err *err);
 void fleet_proxy_set(struct fleet_proxy *p, enum proxy_mode mode);
 void fleet_proxy_reset(struct fleet_proxy *p); /* all its connections */
-/* Whether it accepts connections: not while what it stands for is gone. */
+/* Whether the proxy accepts connections; not while its target is down. */
 void fleet_proxy_listen(struct fleet_proxy *p, bool listen);
 
 #endif
--- a/tests/fleet/limit.c
+++ b/tests/fleet/limit.c
@@ -1,8 +1,9 @@
 /*
- * Rate limits that engines name, and whether all gateways together hold to
- * them. From three seconds after a limit was first named, no four seconds may
- * bring more than one and a half times what it allows, and five requests; a
- * gateway counts from half a second after an answer that told it.
+ * Rate limits that engines announce, and the check that all gateways together
+ * obey them. From three seconds after a limit was first announced, any window
+ * of four seconds may contain at most one and a half times the allowed requests
+ * plus five. The requests of a gateway count from half a second after the first
+ * answer that announced the limit to it.
  */
 
 #include <string.h>
@@ -11,17 +12,17 @@
 
 #define STABLE_US 3000000
 #define WINDOW_US 4000000
-#define TOLD_US 500000
-#define EXCESS 1.5
-#define SLACK 5
+#define REACTION_US 500000
+#define ALLOWED_FACTOR 1.5
+#define ALLOWED_EXTRA 5
 
 struct arrival {
 	int64_t at_us;
-	double limit; /* then */
+	double limit; /* at that time */
 	size_t gateway;
 };
 
-/* Ids of requests end with the number of the gateway that was asked. */
+/* Request ids end with the number of the gateway that got the request. */
 static size_t
 gateway_of(const char *id)
 {
@@ -33,9 +34,9 @@
 void
 fleet_limit_set(struct fleet *f, struct fleet_limit *l, double limit)
 {
-	/* One that has ended is judged no more; the next begins anew. */
+	/* A limit that has ended is not checked; the next starts from zero. */
 	if (limit == 0 || l->limit == 0) {
-		memset(l->told_us, 0, sizeof(l->told_us));
+		memset(l->announced_us, 0, sizeof(l->announced_us));
 		l->first_us = 0;
 		if (l->arrivals != NULL)
 			g_array_set_size(l->arrivals, 0);
@@ -44,7 +45,7 @@
 }
 
 void
-fleet_limit_named(struct fleet *f, struct fleet_limit *l, const char *id)
+fleet_limit_announced(struct fleet *f, struct fleet_limit *l, const char *id)
 {
 	size_t gateway = gateway_of(id) % FLEET_GATEWAYS_MAX;
 
@@ -52,11 +53,12 @@
 		return;
 	if (l->first_us == 0)
 		l->first_us = evl_now_us(f->loop);
-	if (l->told_us[gateway] == 0)
-		l->told_us[gateway] = evl_now_us(f->loop);
+	if (l->announced_us[gateway] == 0)
+		l->announced_us[gateway] = evl_now_us(f->loop);
 }
 
-/* What the window that ends now allows: the limit may have changed in it. */
+/* Requests allowed in the window that ends now: the highest limit within it
+ * applies, as the limit may have changed. */
 static double
 allowed(const struct fleet_limit *l)
 {
@@ -66,7 +68,8 @@
 	for (i = 0; i < l->arrivals->len; i++)
 		most = MAX(
 		    most, g_array_index(l->arrivals, struct arrival, i).limit);
-	return EXCESS * most * WINDOW_US / G_USEC_PER_SEC + SLACK;
+	return ALLOWED_FACTOR * most * WINDOW_US / G_USEC_PER_SEC +
+	    ALLOWED_EXTRA;
 }
 
 void
@@ -75,12 +78,13 @@
 	struct arrival now = { .at_us = evl_now_us(f->loop),
 		.limit = l->limit,
 		.gateway = gateway_of(id) % FLEET_GATEWAYS_MAX };
-	int64_t told_us = l->told_us[now.gateway];
+	int64_t announced_us = l->announced_us[now.gateway];
 
 	const struct arrival *arrival;
 	guint i;
 
-	if (l->limit == 0 || told_us == 0 || now.at_us - told_us < TOLD_US ||
+	if (l->limit == 0 || announced_us == 0 ||
+	    now.at_us - announced_us < REACTION_US ||
 	    now.at_us - l->first_us < STABLE_US)
 		return;
 	if (l->arrivals == NULL)
@@ -89,10 +93,10 @@
 	while (now.at_us - g_array_index(l->arrivals, struct arrival, 0).at_us >
 	    WINDOW_US)
 		g_array_remove_index(l->arrivals, 0);
-	l->most = MAX(l->most, l->arrivals->len);
+	l->max_in_window = MAX(l->max_in_window, l->arrivals->len);
 	if (l->arrivals->len <= allowed(l))
 		return;
-	f->tally.over++;
+	f->tally.over_limit++;
 	g_printerr("over its limit of %.1f a second: %u requests in 4 s, "
 		   "allowed %.0f\n",
 	    l->limit, l->arrivals->len, allowed(l));
--- a/tests/fleet/main.c
+++ b/tests/fleet/main.c
@@ -1,13 +1,13 @@
 /*
- * The stand-in for the users' platform as a process:
+ * The stand-in for the users' platform as a process (see fleet.h):
  *
  *   fleet --engines N --empty N --gateways ADDRESS,... --rate N --seconds N
  *         --seed N --faults 0|1 --bump SECONDS --crash SECONDS
  *         --limit SECONDS --limited N --limit-milli N --uneven 0|1
  *         --poison SECONDS --poisons N --poison-gap-ms N --poison-judged 0|1
  *
- * It prints "ready", plays, and ends with one line of what was seen; its exit
- * code is 0 when no promise was broken and most requests were answered.
+ * It prints "ready", runs, and at the end prints one line of counts; its exit
+ * code is 0 when no invariant was violated and most requests were answered.
  */
 
 #include <popt.h>
@@ -31,10 +31,11 @@
 static GMainLoop *main_loop;
 static int64_t begun_us;
 static int64_t config_version = 1;
-static struct evl_timer calm[FLEET_ENGINES_MAX + 1], store_back, end;
+static struct evl_timer proxy_restore[FLEET_ENGINES_MAX + 1], store_restore,
+    end;
 
 /* ------------------------------------------------------------------ */
-/* What the operators say                                              */
+/* Operators' settings and versions                                    */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -73,20 +74,21 @@
 }
 
 static void
-name_version(void)
+announce_version(void)
 {
 	char *spec;
 
-	f.version_before = f.version;
+	f.previous_version = f.version;
 	f.version++;
-	f.named_us = evl_now_us(f.loop);
+	f.announced_us = evl_now_us(f.loop);
 	spec = g_strdup_printf("{\"model\":\"" FLEET_MODEL
 			       "\",\"version\":%" G_GINT64_FORMAT "}",
 	    f.version);
 	fleet_store_put(&f, "versions", FLEET_MODEL, spec);
 	g_free(spec);
-	/* The one before is due only when it was named long enough ago. */
-	f.version_before = MAX(1, f.version_before - 1);
+	/* The version before may have been announced too recently to be in use,
+	 * so runs on the one before that are not stale yet. */
+	f.previous_version = MAX(1, f.previous_version - 1);
 }
 
 /* ------------------------------------------------------------------ */
@@ -94,33 +96,34 @@
 /* ------------------------------------------------------------------ */
 
 static void
-on_calm(struct evl_timer *t)
+on_proxy_restore(struct evl_timer *t)
 {
-	fleet_proxy_set(f.proxy[t - calm], PROXY_PASS);
+	fleet_proxy_set(f.proxy[t - proxy_restore], PROXY_PASS);
 }
 
 static void
-on_store_back(struct evl_timer *t)
+on_store_restore(struct evl_timer *t)
 {
 	f.store_refuses = false;
 }
 
 static void
-disturb_proxy(void)
+inject_proxy_fault(void)
 {
 	size_t i = rng_below(&f.rng, f.nproxies);
 
 	fleet_proxy_set(
 	    f.proxy[i], (enum proxy_mode)(1 + rng_below(&f.rng, 3)));
-	calm[i].fire = on_calm;
-	evl_timer_set(f.loop, &calm[i],
+	proxy_restore[i].fire = on_proxy_restore;
+	evl_timer_set(f.loop, &proxy_restore[i],
 	    evl_now_us(f.loop) + 200000 + (int64_t)rng_below(&f.rng, 1500000));
 }
 
-/* Entries by another writer: none of them names an engine. One that spoils a
- * good entry stays until its engine writes again. */
+/* Writes invalid records, as another writer of the store might; none of them
+ * describes an engine. One that overwrites an engine's valid record stays until
+ * the engine publishes again. */
 static void
-write_foreign(size_t engine)
+write_invalid_records(size_t engine)
 {
 	static const char *const specs[] = {
 		"{}",
@@ -138,7 +141,7 @@
 	if (rng_below(&f.rng, 2) == 0)
 		return;
 	fleet_store_put(&f, "servers", fleet_engine_id(&f, engine), spec);
-	fleet_engine_beat(&f, engine);
+	fleet_engine_publish(&f, engine);
 }
 
 static void
@@ -150,7 +153,7 @@
 	case 0:
 	case 1:
 	case 2:
-		disturb_proxy();
+		inject_proxy_fault();
 		break;
 	case 3:
 		fleet_proxy_reset(f.proxy[rng_below(&f.rng, f.nproxies)]);
@@ -159,26 +162,26 @@
 		fleet_engine_crash(&f, engine, rng_below(&f.rng, 2) == 0);
 		break;
 	case 5:
-		fleet_engine_rot(&f, engine);
+		fleet_engine_corrupt_chunk(&f, engine);
 		break;
 	case 6:
 		f.store_refuses = true;
-		store_back.fire = on_store_back;
-		evl_timer_set(f.loop, &store_back,
+		store_restore.fire = on_store_restore;
+		evl_timer_set(f.loop, &store_restore,
 		    evl_now_us(f.loop) + 300000 +
 			(int64_t)rng_below(&f.rng, 1500000));
 		break;
 	case 7:
-		fleet_store_forget_history(&f);
+		fleet_store_discard_history(&f);
 		break;
 	case 8:
 		put_config();
 		break;
 	case 9:
-		write_foreign(engine);
+		write_invalid_records(engine);
 		break;
 	case 10:
-		fleet_engine_limit(&f, engine,
+		fleet_engine_set_limit(&f, engine,
 		    rng_below(&f.rng, 3) == 0
 			? 0
 			: 0.5 + (double)rng_below(&f.rng, 40) / 10);
@@ -188,7 +191,7 @@
 }
 
 static void
-on_beat(struct evl_timer *t)
+on_schedule(struct evl_timer *t)
 {
 	static int64_t bumped_us;
 	int i;
@@ -198,7 +201,7 @@
 	if (bump > 0 && now_us - begun_us > (int64_t)bump * G_USEC_PER_SEC &&
 	    (bumped_us == 0 || now_us - bumped_us > 9 * G_USEC_PER_SEC)) {
 		bumped_us = now_us;
-		name_version();
+		announce_version();
 	}
 	if (crash > 0 && !crashed &&
 	    now_us - begun_us > (int64_t)crash * G_USEC_PER_SEC) {
@@ -209,9 +212,9 @@
 	    now_us - begun_us > (int64_t)limit * G_USEC_PER_SEC) {
 		is_limited = true;
 		for (i = 0; i < limited; i++)
-			fleet_engine_limit(
+			fleet_engine_set_limit(
 			    &f, (size_t)i, (double)limit_milli / 1000);
-		fleet_engine_limit(&f, (size_t)engines, 2.2);
+		fleet_engine_set_limit(&f, (size_t)engines, 2.2);
 	}
 	evl_timer_set(f.loop, t, now_us + 200000);
 }
@@ -221,10 +224,11 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-promises_kept(const struct fleet_tally *t)
+invariants_hold(const struct fleet_tally *t)
 {
-	return t->twice + t->mixed + t->lied + t->unwhole + t->stale +
-	    t->stranger + t->over + t->spread ==
+	return t->ran_twice + t->wrong_answers + t->false_not_run +
+	    t->incomplete + t->stale + t->bad_identity + t->over_limit +
+	    t->excess_sends ==
 	    0;
 }
 
@@ -242,32 +246,33 @@
 static bool
 open_engine(int i, struct err *err)
 {
-	char real[32], seen[32];
+	char real[32], advertised[32];
 	bool llm = i < engines;
 
 	g_snprintf(real, sizeof(real), "127.0.%d.%d:8002", net, 10 + i);
-	g_snprintf(seen, sizeof(seen), "127.0.%d.%d:8001", net, 10 + i);
-	if (!fleet_engine_open(
-		&f, (size_t)i, real, seen, llm, i >= engines - empty, err))
+	g_snprintf(
+	    advertised, sizeof(advertised), "127.0.%d.%d:8001", net, 10 + i);
+	if (!fleet_engine_open(&f, (size_t)i, real, advertised, llm,
+		i >= engines - empty, err))
 		return false;
 	f.nengines++;
-	if (fleet_proxy_open(&f, seen, real, err) == NULL)
+	if (fleet_proxy_open(&f, advertised, real, err) == NULL)
 		return false;
-	fleet_engine_beat(&f, (size_t)i);
+	fleet_engine_publish(&f, (size_t)i);
 	return true;
 }
 
 static bool
 open_all(struct err *err)
 {
-	char store[32], seen[32], origin[32];
+	char store[32], advertised[32], origin[32];
 	int i;
 
 	g_snprintf(store, sizeof(store), "127.0.%d.9:8000", net);
-	g_snprintf(seen, sizeof(seen), "127.0.%d.9:8007", net);
+	g_snprintf(advertised, sizeof(advertised), "127.0.%d.9:8007", net);
 	g_snprintf(origin, sizeof(origin), "127.0.%d.8:8000", net);
 	if (!fleet_store_open(&f, store, err) ||
-	    fleet_proxy_open(&f, seen, store, err) == NULL ||
+	    fleet_proxy_open(&f, advertised, store, err) == NULL ||
 	    !fleet_origin_open(&f, origin, err))
 		return false;
 	put_config();
@@ -287,31 +292,32 @@
 	for (i = 0; i < G_N_ELEMENTS(f.gateways) && list[i] != NULL; i++)
 		f.gateways[i] = list[i];
 	f.ngateways = i;
-	g_free(list); /* its strings are the fleet's now */
+	g_free(list); /* f.gateways owns its strings now */
 }
 
 static int
-tell(void)
+print_result(void)
 {
 	const struct fleet_tally *t = &f.tally;
-	bool kept = promises_kept(t);
+	bool kept = invariants_hold(t);
 	size_t i, loaded = 0;
 
 	for (i = 0; i < (size_t)engines; i++)
 		loaded += f.engine[i] != NULL;
-	fleet_poison_tell(&f);
+	fleet_poison_print(&f);
 	if (limit > 0)
 		printf("most in 4 s: engine %u, plain target %u\n",
-		    fleet_engine_most(&f, 0),
-		    fleet_engine_most(&f, (size_t)engines));
+		    fleet_engine_max_in_window(&f, 0),
+		    fleet_engine_max_in_window(&f, (size_t)engines));
 	printf("fleet: %s asked=%u answered=%u refused=%u failed=%u broken=%u "
 	       "twice=%u mixed=%u lied=%u unwhole=%u stale=%u stranger=%u "
 	       "over=%u spread=%u "
 	       "seed=%d\n",
-	    kept ? "kept" : "BROKEN", t->asked, t->answered, t->refused,
-	    t->failed, t->broken, t->twice, t->mixed, t->lied, t->unwhole,
-	    t->stale, t->stranger, t->over, t->spread, seed);
-	return kept && t->answered > t->asked / 2 ? 0 : 1;
+	    kept ? "kept" : "BROKEN", t->sent_count, t->answered, t->refused,
+	    t->failed, t->broken, t->ran_twice, t->wrong_answers,
+	    t->false_not_run, t->incomplete, t->stale, t->bad_identity,
+	    t->over_limit, t->excess_sends, seed);
+	return kept && t->answered > t->sent_count / 2 ? 0 : 1;
 }
 
 int
@@ -319,15 +325,19 @@
 {
 	struct poptOption options[] = { { "engines", 0, POPT_ARG_INT, &engines,
 					    0, "model engines", "N" },
-		{ "empty", 0, POPT_ARG_INT, &empty, 0, "of them empty", "N" },
+		{ "empty", 0, POPT_ARG_INT, &empty, 0,
+		    "number of them that start without weights", "N" },
 		{ "gateways", 0, POPT_ARG_STRING, &gateways, 0,
-		    "addresses for callers", "LIST" },
+		    "addresses of the gateways for callers", "LIST" },
 		{ "rate", 0, POPT_ARG_INT, &rate, 0, "requests a second", "N" },
-		{ "seconds", 0, POPT_ARG_INT, &seconds, 0, "to play", "N" },
+		{ "seconds", 0, POPT_ARG_INT, &seconds, 0,
+		    "duration of the run", "N" },
 		{ "net", 0, POPT_ARG_INT, &net, 0,
 		    "addresses are 127.0.N.x, so that several can run", "N" },
-		{ "seed", 0, POPT_ARG_INT, &seed, 0, "of all chance", "N" },
-		{ "faults", 0, POPT_ARG_INT, &faults, 0, "0 or 1", "N" },
+		{ "seed", 0, POPT_ARG_INT, &seed, 0,
+		    "seed of the random numbers", "N" },
+		{ "faults", 0, POPT_ARG_INT, &faults, 0,
+		    "0 or 1: inject random faults", "N" },
 		{ "crash", 0, POPT_ARG_INT, &crash, 0,
 		    "seconds to a crash of the first engine; 0: none", "N" },
 		{ "limit", 0, POPT_ARG_INT, &limit, 0,
@@ -337,17 +347,18 @@
 		{ "limited", 0, POPT_ARG_INT, &limited, 0,
 		    "engines with a rate limit", "N" },
 		{ "limit-milli", 0, POPT_ARG_INT, &limit_milli, 0,
-		    "their limit, thousandths of a request a second", "N" },
+		    "their limit, in thousandths of a request a second", "N" },
 		{ "uneven", 0, POPT_ARG_INT, &uneven, 0,
-		    "0 or 1: requests over the gateways", "N" },
-		{ "poison", 0, POPT_ARG_INT, &poison, 0,
-		    "seconds to a request that ends engines; 0: none", "N" },
-		{ "poisons", 0, POPT_ARG_INT, &poisons, 0, "different ones",
+		    "0 or 1: distribute requests unevenly over the gateways",
 		    "N" },
+		{ "poison", 0, POPT_ARG_INT, &poison, 0,
+		    "seconds to the first poison request; 0: none", "N" },
+		{ "poisons", 0, POPT_ARG_INT, &poisons, 0,
+		    "number of different poison requests", "N" },
 		{ "poison-judged", 0, POPT_ARG_INT, &poison_judged, 0,
-		    "0 or 1: their sends break a promise", "N" },
+		    "0 or 1: count their excess sends as violations", "N" },
 		{ "poison-gap-ms", 0, POPT_ARG_INT, &poison_gap_ms, 0,
-		    "between two of its kind", "N" },
+		    "time between two sends of the same poison request", "N" },
 		{ "bump", 0, POPT_ARG_INT, &bump, 0,
 		    "seconds to a new version; 0: none", "N" },
 		POPT_AUTOHELP POPT_TABLEEND };
@@ -369,9 +380,9 @@
 	f.runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	f.rate = (unsigned int)rate;
 	f.uneven = uneven != 0;
-	f.judges_poison = poison_judged != 0;
+	f.check_poison = poison_judged != 0;
 	f.version = 1;
-	f.version_before = 1;
+	f.previous_version = 1;
 	read_gateways();
 	if (!open_all(&err)) {
 		fprintf(stderr, "fleet: %s\n", err.message);
@@ -381,8 +392,8 @@
 	fflush(stdout);
 	begun_us = evl_now_us(f.loop);
 	fleet_callers_start(&f);
-	f.beat.fire = on_beat;
-	evl_timer_set(f.loop, &f.beat, begun_us);
+	f.schedule.fire = on_schedule;
+	evl_timer_set(f.loop, &f.schedule, begun_us);
 	if (poison > 0)
 		fleet_poisons_start(&f, (unsigned int)poisons,
 		    (int64_t)poison_gap_ms * 1000,
@@ -396,5 +407,5 @@
 	main_loop = g_main_loop_new(NULL, FALSE);
 	g_main_loop_run(main_loop);
 	poptFreeContext(pc);
-	return tell();
+	return print_result();
 }
--- a/tests/fleet/poison.c
+++ b/tests/fleet/poison.c
@@ -1,31 +1,32 @@
 /*
- * A request that ends each engine that begins to run it. It comes again and
- * again under new ids, at any gateway. Once three engines have ended under it
- * and gateways have had time to learn of that, at most three more sends may
- * reach engines.
+ * A request that terminates each engine that begins to run it. It is sent
+ * repeatedly under new ids, to any gateway. Once it has terminated three
+ * engines and the notification has had time to reach all gateways, at most
+ * three more sends may reach engines.
  */
 
 #include <string.h>
 
 #include "fleet.h"
 
-#define ENDS_KNOWN 3
-#define LEARN_US 1000000 /* the bound `stable_ms` of the gateways' settings */
+#define TERMINATIONS_KNOWN 3
+#define PROPAGATION_US 1000000 /* the bound `stable_ms` of gateway settings */
 #define SENDS_ALLOWED 3
 #define DEADLINE_US 4000000
 
 struct fleet_poison {
 	struct fleet *f;
 	unsigned int number;
-	struct rng rng; /* its own: others' draws stay the same without it */
+	/* Separate, so that other draws do not depend on poison requests. */
+	struct rng rng;
 	int64_t gap_us;
 	struct evl_timer next;
-	unsigned int asked, refused, failed;
-	unsigned int ended, sends_after;
-	int64_t known_us; /* the third engine ended; 0: not yet */
+	unsigned int sent_count, refused, failed;
+	unsigned int terminations, sends_after;
+	int64_t known_us; /* third termination; 0: not yet */
 };
 
-struct poison_ask {
+struct poison_request {
 	struct fleet_poison *p;
 	char id[40];
 	struct hcall *call;
@@ -33,7 +34,7 @@
 	unsigned int status;
 };
 
-/* Their ids are "p0-17-g2": number, attempt, gateway. */
+/* Ids of poison requests are "p0-17-g2": number, attempt, gateway. */
 struct fleet_poison *
 fleet_poison_of(struct fleet *f, const char *id)
 {
@@ -47,27 +48,28 @@
 {
 	struct fleet *f = p->f;
 
-	if (p->known_us == 0 || evl_now_us(f->loop) - p->known_us < LEARN_US)
+	if (p->known_us == 0 ||
+	    evl_now_us(f->loop) - p->known_us < PROPAGATION_US)
 		return;
 	p->sends_after++;
 	g_printerr("at %.3f %s was sent, %" G_GINT64_FORMAT
-		   " ms after the third end\n",
+		   " ms after the third termination\n",
 	    (double)g_get_real_time() / G_USEC_PER_SEC, id,
 	    (evl_now_us(f->loop) - p->known_us) / 1000);
-	if (f->judges_poison && p->sends_after > SENDS_ALLOWED)
-		f->tally.spread++;
+	if (f->check_poison && p->sends_after > SENDS_ALLOWED)
+		f->tally.excess_sends++;
 }
 
 void
-fleet_poison_ended(struct fleet_poison *p)
+fleet_poison_terminated(struct fleet_poison *p)
 {
-	p->ended++;
-	if (p->ended == ENDS_KNOWN)
+	p->terminations++;
+	if (p->terminations == TERMINATIONS_KNOWN)
 		p->known_us = evl_now_us(p->f->loop);
 }
 
 static void
-ask_free(struct poison_ask *a)
+request_free(struct poison_request *a)
 {
 	evl_timer_stop(a->p->f->loop, &a->deadline);
 	a->p->f->open_calls--;
@@ -77,7 +79,7 @@
 static void
 on_head(struct hcall *c, const struct hmsg *m, void *ctx)
 {
-	((struct poison_ask *)ctx)->status = m->status;
+	((struct poison_request *)ctx)->status = m->status;
 }
 
 static void
@@ -85,40 +87,41 @@
 {
 }
 
-/* 503 promises that it did not run. */
+/* Status 503 guarantees that the request did not run. */
 static void
 on_done(struct hcall *c, void *ctx)
 {
-	struct poison_ask *a = ctx;
+	struct poison_request *a = ctx;
 	struct fleet *f = a->p->f;
 
 	if (a->status != 503)
 		a->p->failed++;
 	else if (g_hash_table_contains(f->runs, a->id)) {
-		f->tally.lied++;
+		f->tally.false_not_run++;
 		g_printerr("lied %s\n", a->id);
 	} else
 		a->p->refused++;
-	ask_free(a);
+	request_free(a);
 }
 
 static void
 on_failed(struct hcall *c, enum hcall_failure why, bool sent, void *ctx)
 {
-	struct poison_ask *a = ctx;
+	struct poison_request *a = ctx;
 
 	a->p->failed++;
-	ask_free(a);
+	request_free(a);
 }
 
 static void
 on_deadline(struct evl_timer *t)
 {
-	struct poison_ask *a = CONTAINER_OF(t, struct poison_ask, deadline);
+	struct poison_request *a =
+	    CONTAINER_OF(t, struct poison_request, deadline);
 
 	hcall_cancel(a->call);
 	a->p->failed++;
-	ask_free(a);
+	request_free(a);
 }
 
 static const struct hcall_ops ops = {
@@ -129,16 +132,16 @@
 };
 
 static void
-ask(struct fleet_poison *p)
+send_request(struct fleet_poison *p)
 {
-	struct poison_ask *a = g_new0(struct poison_ask, 1);
+	struct poison_request *a = g_new0(struct poison_request, 1);
 	struct fleet *f = p->f;
 	size_t gateway = rng_below(&p->rng, f->ngateways);
 	char head[512];
 
 	a->p = p;
-	g_snprintf(a->id, sizeof(a->id), "p%u-%u-g%zu", p->number, p->asked++,
-	    gateway);
+	g_snprintf(a->id, sizeof(a->id), "p%u-%u-g%zu", p->number,
+	    p->sent_count++, gateway);
 	f->open_calls++;
 	g_snprintf(head, sizeof(head),
 	    "POST %s%u HTTP/1.1\r\nHost: a.example\r\n"
@@ -166,7 +169,7 @@
 
 	if (f->stopping)
 		return;
-	ask(p);
+	send_request(p);
 	evl_timer_set(f->loop, t, evl_now_us(f->loop) + p->gap_us);
 }
 
@@ -195,7 +198,7 @@
 }
 
 void
-fleet_poison_tell(const struct fleet *f)
+fleet_poison_print(const struct fleet *f)
 {
 	const struct fleet_poison *p;
 	unsigned int i;
@@ -206,7 +209,7 @@
 			continue;
 		g_print("crashing request %u: asked=%u refused=%u failed=%u "
 			"engines_ended=%u sends_after_third=%u\n",
-		    i, p->asked, p->refused, p->failed, p->ended,
+		    i, p->sent_count, p->refused, p->failed, p->terminations,
 		    p->sends_after);
 	}
 }
--- a/tests/fleet/proxy.c
+++ b/tests/fleet/proxy.c
@@ -1,4 +1,5 @@
-/* A loopback proxy that delays, silences, cuts one way and resets. */
+/* A loopback proxy that delays or stalls traffic, stalls responses only, and
+ * resets connections. */
 
 #include <errno.h>
 #include <string.h>
@@ -8,22 +9,22 @@
 #include "fleet.h"
 
 #define DELAY_US 250000
-#define HELD_MAX (1u << 20)
+#define BUFFERED_MAX (1u << 20)
 
 struct fleet_pipe;
 
-/* One side of a proxied connection. */
-struct fleet_end {
+/* The connection to the caller or to the target. */
+struct fleet_conn {
 	struct evl_fd fd;
 	struct fleet_pipe *pipe;
-	struct hbuf out; /* bytes for this side */
-	struct evl_timer late;
+	struct hbuf out; /* bytes to send to it */
+	struct evl_timer delay;
 };
 
 struct fleet_pipe {
 	LIST_ENTRY(fleet_pipe) link;
 	struct fleet_proxy *proxy;
-	struct fleet_end caller, target;
+	struct fleet_conn caller, target;
 };
 
 struct fleet_proxy {
@@ -38,39 +39,39 @@
 pipe_close(struct fleet_pipe *p, bool reset)
 {
 	struct linger now = { .l_onoff = 1, .l_linger = 0 };
-	struct fleet_end *ends[] = { &p->caller, &p->target };
+	struct fleet_conn *conns[] = { &p->caller, &p->target };
 	size_t i;
 
 	for (i = 0; i < 2; i++) {
 		if (reset)
-			(void)setsockopt(ends[i]->fd.fd, SOL_SOCKET, SO_LINGER,
+			(void)setsockopt(conns[i]->fd.fd, SOL_SOCKET, SO_LINGER,
 			    &now, sizeof(now));
-		evl_forget(p->proxy->f->loop, &ends[i]->fd);
-		evl_timer_stop(p->proxy->f->loop, &ends[i]->late);
-		close(ends[i]->fd.fd);
-		hbuf_free(&ends[i]->out);
+		evl_forget(p->proxy->f->loop, &conns[i]->fd);
+		evl_timer_stop(p->proxy->f->loop, &conns[i]->delay);
+		close(conns[i]->fd.fd);
+		hbuf_free(&conns[i]->out);
 	}
 	LIST_REMOVE(p, link);
 	g_free(p);
 }
 
 static bool
-is_held(const struct fleet_end *e)
+is_stalled(const struct fleet_conn *e)
 {
 	enum proxy_mode mode = e->pipe->proxy->mode;
 
-	if (mode == PROXY_SILENT)
+	if (mode == PROXY_STALL)
 		return true;
-	return mode == PROXY_ONE_WAY && e == &e->pipe->caller;
+	return mode == PROXY_STALL_RESPONSES && e == &e->pipe->caller;
 }
 
-/* False when the pipe is gone. */
+/* Sends the buffered bytes; false when an error closed the pipe. */
 static bool
-push(struct fleet_end *e)
+flush(struct fleet_conn *e)
 {
 	ssize_t n;
 
-	while (hbuf_left(&e->out) > 0 && !is_held(e)) {
+	while (hbuf_left(&e->out) > 0 && !is_stalled(e)) {
 		n = send(e->fd.fd, hbuf_front(&e->out), hbuf_left(&e->out),
 		    MSG_NOSIGNAL);
 		if (n < 0 &&
@@ -84,46 +85,47 @@
 		hbuf_use(&e->out, (size_t)n);
 	}
 	evl_watch(e->pipe->proxy->f->loop, &e->fd,
-	    EPOLLIN | (hbuf_left(&e->out) > 0 && !is_held(e) ? EPOLLOUT : 0u));
+	    EPOLLIN |
+		(hbuf_left(&e->out) > 0 && !is_stalled(e) ? EPOLLOUT : 0u));
 	return true;
 }
 
 static void
-on_late(struct evl_timer *t)
+on_delay(struct evl_timer *t)
 {
-	push(CONTAINER_OF(t, struct fleet_end, late));
+	flush(CONTAINER_OF(t, struct fleet_conn, delay));
 }
 
 static void
 on_ready(struct evl_fd *fd, uint32_t events)
 {
-	struct fleet_end *e = (struct fleet_end *)fd;
+	struct fleet_conn *e = (struct fleet_conn *)fd;
 	struct fleet_pipe *p = e->pipe;
-	struct fleet_end *other = e == &p->caller ? &p->target : &p->caller;
+	struct fleet_conn *other = e == &p->caller ? &p->target : &p->caller;
 	struct fleet *f = p->proxy->f;
 	uint8_t buffer[16384];
 	ssize_t n;
 
-	if ((events & EPOLLOUT) != 0 && !push(e))
+	if ((events & EPOLLOUT) != 0 && !flush(e))
 		return;
 	if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) == 0)
 		return;
 	n = recv(e->fd.fd, buffer, sizeof(buffer), 0);
 	if (n < 0 && errno == EAGAIN)
 		return;
-	if (n <= 0 || hbuf_left(&other->out) + (size_t)n > HELD_MAX) {
-		push(other);
+	if (n <= 0 || hbuf_left(&other->out) + (size_t)n > BUFFERED_MAX) {
+		flush(other);
 		pipe_close(p, n < 0);
 		return;
 	}
 	hbuf_add(&other->out, buffer, (size_t)n);
 	if (p->proxy->mode == PROXY_DELAY) {
-		other->late.fire = on_late;
+		other->delay.fire = on_delay;
 		evl_timer_set(
-		    f->loop, &other->late, evl_now_us(f->loop) + DELAY_US);
+		    f->loop, &other->delay, evl_now_us(f->loop) + DELAY_US);
 		return;
 	}
-	push(other);
+	flush(other);
 }
 
 static void
@@ -196,8 +198,8 @@
 	proxy->mode = mode;
 	for (; p != NULL; p = next) {
 		next = LIST_NEXT(p, link);
-		if (push(&p->caller))
-			push(&p->target);
+		if (flush(&p->caller))
+			flush(&p->target);
 	}
 }
 
--- a/tests/fleet/store.c
+++ b/tests/fleet/store.c
@@ -1,11 +1,12 @@
-/* The stand-in's store: lists, watches with a wait, a history that can go. */
+/* The stand-in's store: lists, long-poll watches, and a history that can be
+ * discarded. */
 
 #include <stdlib.h>
 #include <string.h>
 
 #include "fleet.h"
 
-#define PAGE 50 /* objects an answer, so that clients must page */
+#define PAGE 50 /* objects per response, so that clients must page */
 
 struct fleet_object {
 	char *kind, *name, *spec;
@@ -18,7 +19,7 @@
 	bool removed;
 };
 
-/* A call that waits for news. */
+/* A watch request that waits for events. */
 struct fleet_watch {
 	LIST_ENTRY(fleet_watch) link;
 	struct fleet *f;
@@ -101,7 +102,7 @@
 }
 
 static void
-tell_watches(struct fleet *f, const char *kind)
+notify_watches(struct fleet *f, const char *kind)
 {
 	struct fleet_watch *w = LIST_FIRST(&f->watches), *next;
 
@@ -125,8 +126,8 @@
 /* ------------------------------------------------------------------ */
 
 static void
-note(struct fleet *f, const char *kind, const char *name, const char *spec,
-    bool removed)
+append_event(struct fleet *f, const char *kind, const char *name,
+    const char *spec, bool removed)
 {
 	struct fleet_event *e = g_new0(struct fleet_event, 1);
 
@@ -136,7 +137,7 @@
 	e->revision = ++f->revision;
 	e->removed = removed;
 	g_ptr_array_add(f->history, e);
-	tell_watches(f, kind);
+	notify_watches(f, kind);
 }
 
 void
@@ -160,7 +161,7 @@
 	g_free(o->spec);
 	o->spec = g_strdup(spec);
 	o->revision = f->revision + 1;
-	note(f, kind, name, spec, false);
+	append_event(f, kind, name, spec, false);
 }
 
 void
@@ -169,12 +170,12 @@
 	char *key = g_strdup_printf("%s/%s", kind, name);
 
 	if (g_hash_table_remove(f->objects, key))
-		note(f, kind, name, "null", true);
+		append_event(f, kind, name, "null", true);
 	g_free(key);
 }
 
 void
-fleet_store_forget_history(struct fleet *f)
+fleet_store_discard_history(struct fleet *f)
 {
 	struct fleet_watch *w;
 
