--- a/tests/fleet/caller.c
+++ b/tests/fleet/caller.c
@@ -31,12 +31,12 @@
 };
 
 static void
-request_free(struct request *a)
+request_free(struct request *r)
 {
-	evl_timer_stop(a->f->loop, &a->deadline);
-	g_string_free(a->body, TRUE);
-	a->f->open_calls--;
-	g_free(a);
+	evl_timer_stop(r->f->loop, &r->deadline);
+	g_string_free(r->body, TRUE);
+	r->f->open_calls--;
+	g_free(r);
 }
 
 /* ------------------------------------------------------------------ */
@@ -44,7 +44,7 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-stream_matches(const struct request *a)
+stream_matches(const struct request *r)
 {
 	GString *expected = g_string_new(NULL);
 	unsigned int i;
@@ -52,44 +52,44 @@
 
 	for (i = 1; i <= EVENTS; i++)
 		g_string_append_printf(
-		    expected, "id: %u\ndata: %s %u\n\n", i, a->id, i);
-	matches = strcmp(expected->str, a->body->str) == 0;
+		    expected, "id: %u\ndata: %s %u\n\n", i, r->id, i);
+	matches = strcmp(expected->str, r->body->str) == 0;
 	g_string_free(expected, TRUE);
 	return matches;
 }
 
 static bool
-body_matches(const struct request *a)
+body_matches(const struct request *r)
 {
 	char expected[64];
 
-	if (a->kind == REQUEST_STREAM)
-		return stream_matches(a);
-	g_snprintf(expected, sizeof(expected), "answer to %s", a->id);
-	return strcmp(expected, a->body->str) == 0;
+	if (r->kind == REQUEST_STREAM)
+		return stream_matches(r);
+	g_snprintf(expected, sizeof(expected), "answer to %s", r->id);
+	return strcmp(expected, r->body->str) == 0;
 }
 
 static void
-check_answer(struct request *a)
+check_answer(struct request *r)
 {
-	struct fleet_tally *t = &a->f->tally;
+	struct fleet_tally *t = &r->f->tally;
 
-	if (a->status == 200) {
+	if (r->status == 200) {
 		t->answered++;
-		if (!a->sealed || !body_matches(a)) {
+		if (!r->sealed || !body_matches(r)) {
 			t->wrong_answers++;
-			g_printerr("mixed %s: %s\n", a->id, a->body->str);
+			g_printerr("mixed %s: %s\n", r->id, r->body->str);
 		}
-	} else if (a->status == 503 || a->status == 429) {
+	} else if (r->status == 503 || r->status == 429) {
 		t->refused++;
-		if (a->kind == REQUEST_UNSAFE &&
-		    g_hash_table_contains(a->f->runs, a->id)) {
+		if (r->kind == REQUEST_UNSAFE &&
+		    g_hash_table_contains(r->f->runs, r->id)) {
 			t->false_not_run++;
-			g_printerr("lied %s\n", a->id);
+			g_printerr("lied %s\n", r->id);
 		}
 	} else {
 		t->failed++;
-		if (a->sealed && a->status != 500)
+		if (r->sealed && r->status != 500)
 			t->wrong_answers++;
 	}
 }
@@ -97,7 +97,7 @@
 /* The part of an answer that arrived before a failure must be a prefix of the
  * expected answer. */
 static void
-check_partial_answer(struct request *a)
+check_partial_answer(struct request *r)
 {
 	char *whole;
 	unsigned int i;
@@ -105,12 +105,12 @@
 
 	for (i = 1; i <= EVENTS; i++)
 		g_string_append_printf(
-		    expected, "id: %u\ndata: %s %u\n\n", i, a->id, i);
+		    expected, "id: %u\ndata: %s %u\n\n", i, r->id, i);
 	whole = expected->str;
-	if (a->status == 200 && a->kind == REQUEST_STREAM &&
-	    strncmp(whole, a->body->str, a->body->len) != 0) {
-		a->f->tally.wrong_answers++;
-		g_printerr("mixed part %s: %s\n", a->id, a->body->str);
+	if (r->status == 200 && r->kind == REQUEST_STREAM &&
+	    strncmp(whole, r->body->str, r->body->len) != 0) {
+		r->f->tally.wrong_answers++;
+		g_printerr("mixed part %s: %s\n", r->id, r->body->str);
 	}
 	g_string_free(expected, TRUE);
 }
@@ -122,10 +122,10 @@
 static void
 on_head(struct hcall *c, const struct hmsg *m, void *ctx)
 {
-	struct request *a = ctx;
+	struct request *r = ctx;
 
-	a->status = m->status;
-	a->sealed = hmsg_find(m, "X-Response-Seal") != NULL;
+	r->status = m->status;
+	r->sealed = hmsg_find(m, "X-Response-Seal") != NULL;
 }
 
 static void
@@ -144,24 +144,24 @@
 static void
 on_failed(struct hcall *c, enum hcall_failure why, bool sent, void *ctx)
 {
-	struct request *a = ctx;
+	struct request *r = ctx;
 
-	g_printerr("broken %s: failure %d, sent %d, status %u\n", a->id, why,
-	    sent, a->status);
-	a->f->tally.broken++;
-	check_partial_answer(a);
-	request_free(a);
+	g_printerr("broken %s: failure %d, sent %d, status %u\n", r->id, why,
+	    sent, r->status);
+	r->f->tally.broken++;
+	check_partial_answer(r);
+	request_free(r);
 }
 
 static void
 on_deadline(struct evl_timer *t)
 {
-	struct request *a = CONTAINER_OF(t, struct request, deadline);
+	struct request *r = CONTAINER_OF(t, struct request, deadline);
 
-	hcall_cancel(a->call);
-	a->f->tally.broken++;
-	check_partial_answer(a);
-	request_free(a);
+	hcall_cancel(r->call);
+	r->f->tally.broken++;
+	check_partial_answer(r);
+	request_free(r);
 }
 
 static const struct hcall_ops ops = {
@@ -187,15 +187,15 @@
 static void
 start_request(struct fleet *f)
 {
-	struct request *a = g_new0(struct request, 1);
+	struct request *r = g_new0(struct request, 1);
 	size_t gateway = choose_gateway(f);
 	char *head;
 
-	a->f = f;
-	a->kind = (enum request_kind)rng_below(&f->rng, REQUEST_KINDS);
-	a->body = g_string_new(NULL);
-	g_snprintf(a->id, sizeof(a->id), "%c-%u-%" G_GUINT64_FORMAT "-g%zu",
-	    request_letter[a->kind], f->tally.sent_count,
+	r->f = f;
+	r->kind = (enum request_kind)rng_below(&f->rng, REQUEST_KINDS);
+	r->body = g_string_new(NULL);
+	g_snprintf(r->id, sizeof(r->id), "%c-%u-%" G_GUINT64_FORMAT "-g%zu",
+	    request_letter[r->kind], f->tally.sent_count,
 	    rng_next(&f->rng) % 100000, gateway);
 	f->tally.sent_count++;
 	f->open_calls++;
@@ -203,17 +203,17 @@
 	    "POST %s%u HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: %s\r\n"
 	    "X-Deadline-Ms: %d\r\nAuthorization: Bearer " FLEET_KEY "\r\n"
 	    "X-Tenant: forged\r\n%sContent-Length: 4\r\n\r\nbody",
-	    request_path[a->kind], f->tally.sent_count, a->id, DEADLINE_MS,
-	    a->kind == REQUEST_STREAM ? "X-Model: " FLEET_MODEL "\r\n" : "");
-	a->deadline.fire = on_deadline;
-	evl_timer_set(f->loop, &a->deadline,
+	    request_path[r->kind], f->tally.sent_count, r->id, DEADLINE_MS,
+	    r->kind == REQUEST_STREAM ? "X-Model: " FLEET_MODEL "\r\n" : "");
+	r->deadline.fire = on_deadline;
+	evl_timer_set(f->loop, &r->deadline,
 	    evl_now_us(f->loop) + (DEADLINE_MS + 500) * 1000);
-	a->call = hcall_start(f->pool,
+	r->call = hcall_start(f->pool,
 	    &(struct hcall_conf){ .address = f->gateways[gateway],
 		.head = head,
 		.head_len = strlen(head),
 		.ops = &ops,
-		.ctx = a });
+		.ctx = r });
 	g_free(head);
 }
 
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -115,8 +115,8 @@
 /* Restarts the engine at once with nothing loaded, under its id or another. */
 void fleet_engine_crash(struct fleet *f, size_t i, bool keeps_id);
 /* Terminates the engine's process: all connections are reset, and its address
- * refuses connections for DOWN_US. Then the engine restarts under another id,
- * with nothing loaded. */
+ * refuses connections for DOWN_US (engine.c). Then the engine restarts under
+ * another id, with nothing loaded. */
 void fleet_engine_terminate(struct fleet *f, size_t i);
 /* Flips a bit of a random staged chunk. */
 void fleet_engine_corrupt_chunk(struct fleet *f, size_t i);
--- a/tests/fleet/poison.c
+++ b/tests/fleet/poison.c
@@ -69,11 +69,11 @@
 }
 
 static void
-request_free(struct poison_request *a)
+request_free(struct poison_request *r)
 {
-	evl_timer_stop(a->p->f->loop, &a->deadline);
-	a->p->f->open_calls--;
-	g_free(a);
+	evl_timer_stop(r->p->f->loop, &r->deadline);
+	r->p->f->open_calls--;
+	g_free(r);
 }
 
 static void
@@ -91,37 +91,37 @@
 static void
 on_done(struct hcall *c, void *ctx)
 {
-	struct poison_request *a = ctx;
-	struct fleet *f = a->p->f;
+	struct poison_request *r = ctx;
+	struct fleet *f = r->p->f;
 
-	if (a->status != 503)
-		a->p->failed++;
-	else if (g_hash_table_contains(f->runs, a->id)) {
+	if (r->status != 503)
+		r->p->failed++;
+	else if (g_hash_table_contains(f->runs, r->id)) {
 		f->tally.false_not_run++;
-		g_printerr("lied %s\n", a->id);
+		g_printerr("lied %s\n", r->id);
 	} else
-		a->p->refused++;
-	request_free(a);
+		r->p->refused++;
+	request_free(r);
 }
 
 static void
 on_failed(struct hcall *c, enum hcall_failure why, bool sent, void *ctx)
 {
-	struct poison_request *a = ctx;
+	struct poison_request *r = ctx;
 
-	a->p->failed++;
-	request_free(a);
+	r->p->failed++;
+	request_free(r);
 }
 
 static void
 on_deadline(struct evl_timer *t)
 {
-	struct poison_request *a =
+	struct poison_request *r =
 	    CONTAINER_OF(t, struct poison_request, deadline);
 
-	hcall_cancel(a->call);
-	a->p->failed++;
-	request_free(a);
+	hcall_cancel(r->call);
+	r->p->failed++;
+	request_free(r);
 }
 
 static const struct hcall_ops ops = {
@@ -134,13 +134,13 @@
 static void
 send_request(struct fleet_poison *p)
 {
-	struct poison_request *a = g_new0(struct poison_request, 1);
+	struct poison_request *r = g_new0(struct poison_request, 1);
 	struct fleet *f = p->f;
 	size_t gateway = rng_below(&p->rng, f->ngateways);
 	char head[512];
 
-	a->p = p;
-	g_snprintf(a->id, sizeof(a->id), "p%u-%u-g%zu", p->number,
+	r->p = p;
+	g_snprintf(r->id, sizeof(r->id), "p%u-%u-g%zu", p->number,
 	    p->sent_count++, gateway);
 	f->open_calls++;
 	g_snprintf(head, sizeof(head),
@@ -149,16 +149,16 @@
 	    "Authorization: Bearer " FLEET_KEY "\r\nX-Model: " FLEET_MODEL
 	    "\r\nContent-Length: 5\r\n\r\ncrash",
 	    p->number % 2 == 0 ? "/chat/again" : "/look/again", p->number,
-	    a->id, DEADLINE_US / 1000);
-	a->deadline.fire = on_deadline;
+	    r->id, DEADLINE_US / 1000);
+	r->deadline.fire = on_deadline;
 	evl_timer_set(
-	    f->loop, &a->deadline, evl_now_us(f->loop) + DEADLINE_US + 500000);
-	a->call = hcall_start(f->pool,
+	    f->loop, &r->deadline, evl_now_us(f->loop) + DEADLINE_US + 500000);
+	r->call = hcall_start(f->pool,
 	    &(struct hcall_conf){ .address = f->gateways[gateway],
 		.head = head,
 		.head_len = strlen(head),
 		.ops = &ops,
-		.ctx = a });
+		.ctx = r });
 }
 
 static void
--- a/tests/fleet/proxy.c
+++ b/tests/fleet/proxy.c
@@ -56,37 +56,37 @@
 }
 
 static bool
-is_stalled(const struct fleet_conn *e)
+is_stalled(const struct fleet_conn *c)
 {
-	enum proxy_mode mode = e->pipe->proxy->mode;
+	enum proxy_mode mode = c->pipe->proxy->mode;
 
 	if (mode == PROXY_STALL)
 		return true;
-	return mode == PROXY_STALL_RESPONSES && e == &e->pipe->caller;
+	return mode == PROXY_STALL_RESPONSES && c == &c->pipe->caller;
 }
 
 /* Sends the buffered bytes; false when an error closed the pipe. */
 static bool
-flush(struct fleet_conn *e)
+flush(struct fleet_conn *c)
 {
 	ssize_t n;
 
-	while (hbuf_left(&e->out) > 0 && !is_stalled(e)) {
-		n = send(e->fd.fd, hbuf_front(&e->out), hbuf_left(&e->out),
+	while (hbuf_left(&c->out) > 0 && !is_stalled(c)) {
+		n = send(c->fd.fd, hbuf_front(&c->out), hbuf_left(&c->out),
 		    MSG_NOSIGNAL);
 		if (n < 0 &&
 		    (errno == EAGAIN || errno == EINPROGRESS ||
 			errno == ENOTCONN))
 			break;
 		if (n < 0) {
-			pipe_close(e->pipe, false);
+			pipe_close(c->pipe, false);
 			return false;
 		}
-		hbuf_use(&e->out, (size_t)n);
+		hbuf_use(&c->out, (size_t)n);
 	}
-	evl_watch(e->pipe->proxy->f->loop, &e->fd,
+	evl_watch(c->pipe->proxy->f->loop, &c->fd,
 	    EPOLLIN |
-		(hbuf_left(&e->out) > 0 && !is_stalled(e) ? EPOLLOUT : 0u));
+		(hbuf_left(&c->out) > 0 && !is_stalled(c) ? EPOLLOUT : 0u));
 	return true;
 }
 
@@ -99,18 +99,18 @@
 static void
 on_ready(struct evl_fd *fd, uint32_t events)
 {
-	struct fleet_conn *e = (struct fleet_conn *)fd;
-	struct fleet_pipe *p = e->pipe;
-	struct fleet_conn *other = e == &p->caller ? &p->target : &p->caller;
+	struct fleet_conn *c = (struct fleet_conn *)fd;
+	struct fleet_pipe *p = c->pipe;
+	struct fleet_conn *other = c == &p->caller ? &p->target : &p->caller;
 	struct fleet *f = p->proxy->f;
 	uint8_t buffer[16384];
 	ssize_t n;
 
-	if ((events & EPOLLOUT) != 0 && !flush(e))
+	if ((events & EPOLLOUT) != 0 && !flush(c))
 		return;
 	if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) == 0)
 		return;
-	n = recv(e->fd.fd, buffer, sizeof(buffer), 0);
+	n = recv(c->fd.fd, buffer, sizeof(buffer), 0);
 	if (n < 0 && errno == EAGAIN)
 		return;
 	if (n <= 0 || hbuf_left(&other->out) + (size_t)n > BUFFERED_MAX) {
