--- a/tests/fleet/caller.c
+++ b/tests/fleet/caller.c
@@ -1,4 +1,4 @@
-/* The stand-in's callers: they know what each answer must be. */
+/* The stand-in's callers: each answer is compared with the expected one. */
 
 #include <stdlib.h>
 #include <string.h>
@@ -8,19 +8,20 @@
 #define EVENTS 12
 #define DEADLINE_MS 4000
 
-enum ask_kind {
-	ASK_STREAM,
-	ASK_UNSAFE,
-	ASK_SAFE,
-	ASK_KINDS
+enum request_kind {
+	REQUEST_STREAM,
+	REQUEST_UNSAFE,
+	REQUEST_SAFE,
+	REQUEST_KINDS
 };
 
-static const char ask_letter[ASK_KINDS] = { 's', 'u', 'g' };
-static const char *const ask_path[ASK_KINDS] = { "/chat/", "/book/", "/look/" };
+static const char request_letter[REQUEST_KINDS] = { 's', 'u', 'g' };
+static const char *const request_path[REQUEST_KINDS] = { "/chat/", "/book/",
+	"/look/" };
 
-struct ask {
+struct request {
 	struct fleet *f;
-	enum ask_kind kind;
+	enum request_kind kind;
 	char id[40];
 	struct hcall *call;
 	struct evl_timer deadline;
@@ -30,12 +31,12 @@
 };
 
 static void
-ask_free(struct ask *a)
+request_free(struct request *r)
 {
-	evl_timer_stop(a->f->loop, &a->deadline);
-	g_string_free(a->body, TRUE);
-	a->f->open_calls--;
-	g_free(a);
+	evl_timer_stop(r->f->loop, &r->deadline);
+	g_string_free(r->body, TRUE);
+	r->f->open_calls--;
+	g_free(r);
 }
 
 /* ------------------------------------------------------------------ */
@@ -43,74 +44,75 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-stream_is_right(const struct ask *a)
+stream_matches(const struct request *r)
 {
-	GString *want = g_string_new(NULL);
+	GString *expected = g_string_new(NULL);
 	unsigned int i;
-	bool right;
+	bool matches;
 
 	for (i = 1; i <= EVENTS; i++)
 		g_string_append_printf(
-		    want, "id: %u\ndata: %s %u\n\n", i, a->id, i);
-	right = strcmp(want->str, a->body->str) == 0;
-	g_string_free(want, TRUE);
-	return right;
+		    expected, "id: %u\ndata: %s %u\n\n", i, r->id, i);
+	matches = strcmp(expected->str, r->body->str) == 0;
+	g_string_free(expected, TRUE);
+	return matches;
 }
 
 static bool
-body_is_right(const struct ask *a)
+body_matches(const struct request *r)
 {
-	char want[64];
+	char expected[64];
 
-	if (a->kind == ASK_STREAM)
-		return stream_is_right(a);
-	g_snprintf(want, sizeof(want), "answer to %s", a->id);
-	return strcmp(want, a->body->str) == 0;
+	if (r->kind == REQUEST_STREAM)
+		return stream_matches(r);
+	g_snprintf(expected, sizeof(expected), "answer to %s", r->id);
+	return strcmp(expected, r->body->str) == 0;
 }
 
 static void
-check(struct ask *a)
+check_answer(struct request *r)
 {
-	struct fleet_tally *t = &a->f->tally;
+	struct fleet_tally *t = &r->f->tally;
 
-	if (a->status == 200) {
+	if (r->status == 200) {
 		t->answered++;
-		if (!a->sealed || !body_is_right(a)) {
-			t->mixed++;
-			g_printerr("mixed %s: %s\n", a->id, a->body->str);
+		if (!r->sealed || !body_matches(r)) {
+			t->wrong_answers++;
+			g_printerr("mixed %s: %s\n", r->id, r->body->str);
 		}
-	} else if (a->status == 503 || a->status == 429) {
+	} else if (r->status == 503 || r->status == 429) {
 		t->refused++;
-		if (a->kind == ASK_UNSAFE &&
-		    g_hash_table_contains(a->f->runs, a->id)) {
-			t->lied++;
-			g_printerr("lied %s\n", a->id);
+		if (r->kind == REQUEST_UNSAFE &&
+		    g_hash_table_contains(r->f->runs, r->id)) {
+			t->false_not_run++;
+			g_printerr("lied %s\n", r->id);
 		}
 	} else {
 		t->failed++;
-		if (a->sealed && a->status != 500)
-			t->mixed++;
+		if (r->sealed && r->status != 500)
+			t->wrong_answers++;
 	}
 }
 
-/* What came before a break must be right as far as it goes. */
+/* The part of an answer that arrived before a failure must be a prefix of the
+ * expected answer. */
 static void
-check_part(struct ask *a)
+check_partial_answer(struct request *r)
 {
 	char *whole;
 	unsigned int i;
-	GString *want = g_string_new(NULL);
+	GString *expected = g_string_new(NULL);
 
 	for (i = 1; i <= EVENTS; i++)
 		g_string_append_printf(
-		    want, "id: %u\ndata: %s %u\n\n", i, a->id, i);
-	whole = want->str;
-	if (a->status == 200 && a->kind == ASK_STREAM &&
-	    strncmp(whole, a->body->str, a->body->len) != 0) {
-		a->f->tally.mixed++;
-		g_printerr("mixed part %s: %s\n", a->id, a->body->str);
+		    expected, "id: %u\ndata: %s %u\n\n", i, r->id, i);
+	whole = expected->str;
+	if (r->status == 200 && r->kind == REQUEST_STREAM &&
+	    strncmp(whole, r->body->str, r->body->len) != 0) {
+		r->f->tally.wrong_answers++;
+		g_printerr("mixed part %s: %s\n", r->id, r->body->str);
 	}
-	g_string_free(want, TRUE);
+	g_string_free(expected, TRUE);
 }
 
 /* ------------------------------------------------------------------ */
@@ -120,46 +122,46 @@
 static void
 on_head(struct hcall *c, const struct hmsg *m, void *ctx)
 {
-	struct ask *a = ctx;
+	struct request *r = ctx;
 
-	a->status = m->status;
-	a->sealed = hmsg_find(m, "X-Response-Seal") != NULL;
+	r->status = m->status;
+	r->sealed = hmsg_find(m, "X-Response-Seal") != NULL;
 }
 
 static void
 on_body(struct hcall *c, const void *data, size_t len, void *ctx)
 {
-	g_string_append_len(((struct ask *)ctx)->body, data, (gssize)len);
+	g_string_append_len(((struct request *)ctx)->body, data, (gssize)len);
 }
 
 static void
 on_done(struct hcall *c, void *ctx)
 {
-	check(ctx);
-	ask_free(ctx);
+	check_answer(ctx);
+	request_free(ctx);
 }
 
 static void
 on_failed(struct hcall *c, enum hcall_failure why, bool sent, void *ctx)
 {
-	struct ask *a = ctx;
+	struct request *r = ctx;
 
-	g_printerr("broken %s: failure %d, sent %d, status %u\n", a->id, why,
-	    sent, a->status);
-	a->f->tally.broken++;
-	check_part(a);
-	ask_free(a);
+	g_printerr("broken %s: failure %d, sent %d, status %u\n", r->id, why,
+	    sent, r->status);
+	r->f->tally.broken++;
+	check_partial_answer(r);
+	request_free(r);
 }
 
 static void
 on_deadline(struct evl_timer *t)
 {
-	struct ask *a = CONTAINER_OF(t, struct ask, deadline);
+	struct request *r = CONTAINER_OF(t, struct request, deadline);
 
-	hcall_cancel(a->call);
-	a->f->tally.broken++;
-	check_part(a);
-	ask_free(a);
+	hcall_cancel(r->call);
+	r->f->tally.broken++;
+	check_partial_answer(r);
+	request_free(r);
 }
 
 static const struct hcall_ops ops = {
@@ -169,8 +171,9 @@
 	.failed = on_failed,
 };
 
-/* Unevenly, as a balancer does that goes by the caller: half of what is left
- * goes to the first, and so on. */
+/* The uneven distribution is like that of a load balancer that hashes by
+ * caller: half of the requests go to the first gateway, half of the remaining
+ * ones to the second, and so on. */
 static size_t
 choose_gateway(struct fleet *f)
 {
@@ -182,35 +185,35 @@
 }
 
 static void
-start_ask(struct fleet *f)
+start_request(struct fleet *f)
 {
-	struct ask *a = g_new0(struct ask, 1);
+	struct request *r = g_new0(struct request, 1);
 	size_t gateway = choose_gateway(f);
 	char *head;
 
-	a->f = f;
-	a->kind = (enum ask_kind)rng_below(&f->rng, ASK_KINDS);
-	a->body = g_string_new(NULL);
-	g_snprintf(a->id, sizeof(a->id), "%c-%u-%" G_GUINT64_FORMAT "-g%zu",
-	    ask_letter[a->kind], f->tally.asked, rng_next(&f->rng) % 100000,
-	    gateway);
-	f->tally.asked++;
+	r->f = f;
+	r->kind = (enum request_kind)rng_below(&f->rng, REQUEST_KINDS);
+	r->body = g_string_new(NULL);
+	g_snprintf(r->id, sizeof(r->id), "%c-%u-%" G_GUINT64_FORMAT "-g%zu",
+	    request_letter[r->kind], f->tally.sent_count,
+	    rng_next(&f->rng) % 100000, gateway);
+	f->tally.sent_count++;
 	f->open_calls++;
 	head = g_strdup_printf(
 	    "POST %s%u HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: %s\r\n"
 	    "X-Deadline-Ms: %d\r\nAuthorization: Bearer " FLEET_KEY "\r\n"
 	    "X-Tenant: forged\r\n%sContent-Length: 4\r\n\r\nbody",
-	    ask_path[a->kind], f->tally.asked, a->id, DEADLINE_MS,
-	    a->kind == ASK_STREAM ? "X-Model: " FLEET_MODEL "\r\n" : "");
-	a->deadline.fire = on_deadline;
-	evl_timer_set(f->loop, &a->deadline,
+	    request_path[r->kind], f->tally.sent_count, r->id, DEADLINE_MS,
+	    r->kind == REQUEST_STREAM ? "X-Model: " FLEET_MODEL "\r\n" : "");
+	r->deadline.fire = on_deadline;
+	evl_timer_set(f->loop, &r->deadline,
 	    evl_now_us(f->loop) + (DEADLINE_MS + 500) * 1000);
-	a->call = hcall_start(f->pool,
+	r->call = hcall_start(f->pool,
 	    &(struct hcall_conf){ .address = f->gateways[gateway],
 		.head = head,
 		.head_len = strlen(head),
 		.ops = &ops,
-		.ctx = a });
+		.ctx = r });
 	g_free(head);
 }
 
@@ -221,7 +224,7 @@
 
 	if (f->stopping)
 		return;
-	start_ask(f);
+	start_request(f);
 	evl_timer_set(
 	    f->loop, t, evl_now_us(f->loop) + G_USEC_PER_SEC / f->rate);
 }
