--- a/lib/platform/engine.c
+++ b/lib/platform/engine.c
@@ -17,16 +17,17 @@
 
 static void
 call_start(struct plat *plat, const struct fetch_request *request,
-    fetch_cb *answered, const struct engine_call *call)
+    fetch_cb *on_response, const struct engine_call *call)
 {
 	struct fetch_request bounded = *request;
 
 	bounded.max_bytes = FETCH_JSON_MAX;
-	fetch_start(plat, &bounded, answered, g_memdup2(call, sizeof(*call)));
+	fetch_start(
+	    plat, &bounded, on_response, g_memdup2(call, sizeof(*call)));
 }
 
 static struct engine_call
-call_take(void *ctx)
+call_consume(void *ctx)
 {
 	struct engine_call call = *(struct engine_call *)ctx;
 
@@ -51,29 +52,29 @@
 
 /* 409 and 502 have a meaning of their own here: docs/INTERFACES.md. */
 static void
-load_refused(const struct fetch_answer *answer, struct err *why)
+map_load_error(const struct fetch_response *response, struct err *why)
 {
-	if (answer == NULL)
+	if (response == NULL)
 		return;
-	if (answer->status == SOUP_STATUS_CONFLICT)
+	if (response->status == SOUP_STATUS_CONFLICT)
 		err_set(why, ERR_STALE_FENCE, VERDICT_NOT_RUN,
 		    "the engine has seen a higher fencing number");
-	else if (answer->status == SOUP_STATUS_BAD_GATEWAY)
+	else if (response->status == SOUP_STATUS_BAD_GATEWAY)
 		err_set(why, ERR_CORRUPT, VERDICT_RAN,
 		    "the bytes that the engine read did not match");
 }
 
 static void
-on_load(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_load(const struct fetch_response *response, const struct err *err, void *ctx)
 {
-	struct engine_call call = call_take(ctx);
+	struct engine_call call = call_consume(ctx);
 	struct digest loaded;
 	struct reply reply;
 	struct err why;
 	bool ok;
 
-	if (!reply_take(&reply, answer, err, &why)) {
-		load_refused(answer, &why);
+	if (!reply_from_fetch(&reply, response, err, &why)) {
+		map_load_error(response, &why);
 		call.load(NULL, &why, call.ctx);
 		return;
 	}
@@ -152,16 +153,17 @@
 }
 
 static void
-on_loaded(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_loaded(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
-	struct engine_call call = call_take(ctx);
+	struct engine_call call = call_consume(ctx);
 	const char *version = NULL;
 	struct digest digest;
 	struct reply reply;
 	uint64_t fence = 0;
 	struct err why;
 
-	if (!reply_take(&reply, answer, err, &why)) {
+	if (!reply_from_fetch(&reply, response, err, &why)) {
 		call.loaded(NULL, NULL, 0, &why, call.ctx);
 		return;
 	}
@@ -193,15 +195,16 @@
 /* ------------------------------------------------------------------ */
 
 static void
-on_report(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_report(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
-	struct engine_call call = call_take(ctx);
+	struct engine_call call = call_consume(ctx);
 	struct engine_report report;
 	struct reply reply;
 	struct err why;
 	bool ok;
 
-	if (!reply_take(&reply, answer, err, &why)) {
+	if (!reply_from_fetch(&reply, response, err, &why)) {
 		call.report(NULL, &why, call.ctx);
 		return;
 	}
@@ -231,7 +234,7 @@
 
 static void
 on_cancelled(
-    const struct fetch_answer *answer, const struct err *err, void *ctx)
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 }
 
@@ -296,16 +299,17 @@
 }
 
 static void
-on_events(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_events(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
-	struct engine_call call = call_take(ctx);
+	struct engine_call call = call_consume(ctx);
 	struct engine_cache_event *events;
 	struct reply reply;
 	uint64_t next = 0;
 	struct err why;
 	guint n = 0;
 
-	if (!reply_take(&reply, answer, err, &why)) {
+	if (!reply_from_fetch(&reply, response, err, &why)) {
 		call.cache(0, NULL, 0, &why, call.ctx);
 		return;
 	}
--- a/lib/platform/fetch.c
+++ b/lib/platform/fetch.c
@@ -11,14 +11,14 @@
 	struct ctr *stalls;
 	size_t max_bytes;
 	GByteArray *body;
-	struct fetch_answer answer;
+	struct fetch_response response;
 };
 
 static void
 fetch_free(struct fetch *fetch)
 {
-	if (fetch->answer.headers != NULL)
-		soup_message_headers_unref(fetch->answer.headers);
+	if (fetch->response.headers != NULL)
+		soup_message_headers_unref(fetch->response.headers);
 	if (fetch->body != NULL)
 		g_byte_array_unref(fetch->body);
 	g_free(fetch);
@@ -26,7 +26,7 @@
 
 /* More than was asked for is of no use and could be without end. */
 static void
-refuse_size(struct fetch *fetch)
+fail_too_large(struct fetch *fetch)
 {
 	fetch_cb *done = fetch->done;
 	void *ctx = fetch->ctx;
@@ -46,14 +46,14 @@
 	    soup_message_headers_get_one(headers, "X-Not-Run");
 	goffset length = 0;
 
-	fetch->answer.status = status;
-	fetch->answer.headers = soup_message_headers_ref(headers);
-	fetch->answer.not_run = status >= 400 && g_strcmp0(not_run, "1") == 0;
+	fetch->response.status = status;
+	fetch->response.headers = soup_message_headers_ref(headers);
+	fetch->response.not_run = status >= 400 && g_strcmp0(not_run, "1") == 0;
 	if (soup_message_headers_get_encoding(headers) ==
 	    SOUP_ENCODING_CONTENT_LENGTH)
 		length = soup_message_headers_get_content_length(headers);
 	if ((guint64)length > fetch->max_bytes) {
-		refuse_size(fetch);
+		fail_too_large(fetch);
 		return;
 	}
 	fetch->body = g_byte_array_sized_new((guint)length);
@@ -65,7 +65,7 @@
 	struct fetch *fetch = ctx;
 
 	if (len > fetch->max_bytes - fetch->body->len) {
-		refuse_size(fetch);
+		fail_too_large(fetch);
 		return;
 	}
 	g_byte_array_append(fetch->body, bytes, (guint)len);
@@ -84,19 +84,19 @@
 on_ended(const struct err *err, void *ctx)
 {
 	struct fetch *fetch = ctx;
-	bool refused = fetch->answer.not_run && fetch->body != NULL;
+	bool not_run = fetch->response.not_run && fetch->body != NULL;
 
 	fetch->call = NULL;
-	if (err_is(err) && !refused) {
+	if (err_is(err) && !not_run) {
 		fetch->done(NULL, err, fetch->ctx);
 		fetch_free(fetch);
 		return;
 	}
-	fetch->answer.retry_after_ms = err->retry_after_ms;
-	fetch->answer.body = g_byte_array_free_to_bytes(fetch->body);
+	fetch->response.retry_after_ms = err->retry_after_ms;
+	fetch->response.body = g_byte_array_free_to_bytes(fetch->body);
 	fetch->body = NULL;
-	fetch->done(&fetch->answer, NULL, fetch->ctx);
-	g_bytes_unref(fetch->answer.body);
+	fetch->done(&fetch->response, NULL, fetch->ctx);
+	g_bytes_unref(fetch->response.body);
 	fetch_free(fetch);
 }
 
@@ -142,7 +142,7 @@
 }
 
 static enum err_code
-status_code(unsigned int status)
+status_to_err_code(unsigned int status)
 {
 	switch (status) {
 	case SOUP_STATUS_UNAUTHORIZED:
@@ -163,12 +163,12 @@
 }
 
 bool
-fetch_refused(const struct fetch_answer *answer, struct err *err)
+fetch_status_error(const struct fetch_response *response, struct err *err)
 {
-	err_set(err, status_code(answer->status),
-	    answer->not_run ? VERDICT_NOT_RUN : VERDICT_RAN,
-	    "answered with status %u", answer->status);
+	err_set(err, status_to_err_code(response->status),
+	    response->not_run ? VERDICT_NOT_RUN : VERDICT_RAN,
+	    "answered with status %u", response->status);
 	if (err != NULL)
-		err->retry_after_ms = answer->retry_after_ms;
+		err->retry_after_ms = response->retry_after_ms;
 	return false;
 }
--- a/lib/platform/hosts.c
+++ b/lib/platform/hosts.c
@@ -47,7 +47,8 @@
 }
 
 static void
-on_hosts(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_hosts(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct hosts_call call = *(struct hosts_call *)ctx;
 	struct hosts_entry *hosts = NULL;
@@ -56,7 +57,7 @@
 	guint n = 0;
 
 	g_free(ctx);
-	if (!reply_take(&reply, answer, err, &why)) {
+	if (!reply_from_fetch(&reply, response, err, &why)) {
 		call.done(NULL, 0, &why, call.ctx);
 		return;
 	}
--- a/lib/platform/obj.c
+++ b/lib/platform/obj.c
@@ -147,7 +147,7 @@
 }
 
 static void
-give_object(struct read_call *read, JsonObject *json, struct err *err)
+deliver_object(struct read_call *read, JsonObject *json, struct err *err)
 {
 	struct obj_object object;
 	struct read_call copy = *read;
@@ -188,7 +188,7 @@
 }
 
 static void
-give_list(struct read_call *read, JsonObject *json, struct err *err)
+deliver_list(struct read_call *read, JsonObject *json, struct err *err)
 {
 	struct read_call copy = *read;
 	struct obj_object *objects;
@@ -207,7 +207,7 @@
 
 /* Answers that another attempt could change. */
 static bool
-is_passing(enum err_code code)
+is_retryable(enum err_code code)
 {
 	return code == ERR_UNAVAILABLE || code == ERR_OVERLOADED ||
 	    code == ERR_DEADLINE;
@@ -216,7 +216,7 @@
 static void read_attempt(struct read_call *read);
 
 static gboolean
-read_again(gpointer data)
+on_retry_timer(gpointer data)
 {
 	struct read_call *read = data;
 
@@ -236,30 +236,30 @@
 	/* Only this attempt's deadline has passed, not the caller's. */
 	if (err->code == ERR_DEADLINE)
 		read->last.code = ERR_UNAVAILABLE;
-	if (is_passing(err->code) &&
+	if (is_retryable(err->code) &&
 	    obj_retry_wait(&read->budget, obj_now_ms(obj), &obj->rng, &wait_ms))
-		obj_call_wait(&read->call, wait_ms, read_again);
+		obj_call_wait(&read->call, wait_ms, on_retry_timer);
 	else
 		read_fail(&read->call, &read->last);
 }
 
 static void
-on_read_answer(
-    const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_read_response(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct read_call *read = ctx;
 	struct reply reply;
 	struct err why = { .code = ERR_NONE };
 
 	read->call.fetch = NULL;
-	if (!reply_take(&reply, answer, err, &why)) {
+	if (!reply_from_fetch(&reply, response, err, &why)) {
 		read_retry(read, &why);
 		return;
 	}
 	if (read->got != NULL)
-		give_object(read, reply.json, &why);
+		deliver_object(read, reply.json, &why);
 	else
-		give_list(read, reply.json, &why);
+		deliver_list(read, reply.json, &why);
 	if (err_is(&why))
 		read_retry(read, &why);
 	reply_close(&reply);
@@ -284,11 +284,11 @@
 		.deadline_ms = ms,
 		.max_bytes = FETCH_JSON_MAX,
 	    },
-	    on_read_answer, read);
+	    on_read_response, read);
 }
 
 static gboolean
-read_begin(gpointer data)
+on_start_timer(gpointer data)
 {
 	struct read_call *read = data;
 
@@ -308,7 +308,7 @@
 	err_set(&read->last, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
 	    "no time left for a read");
 	/* Failing at once must not call back from within the start. */
-	obj_call_wait(&read->call, 0, read_begin);
+	obj_call_wait(&read->call, 0, on_start_timer);
 	return read;
 }
 
--- a/lib/platform/obj_put.c
+++ b/lib/platform/obj_put.c
@@ -16,7 +16,7 @@
 	GBytes *json;
 	obj_put_cb *done;
 	void *ctx;
-	struct err malformed; /* found before anything is sent */
+	struct err invalid; /* found before anything is sent */
 };
 
 static void
@@ -32,7 +32,7 @@
 
 /* `now`, if there is one, borrows from an answer that outlives the call. */
 static void
-put_end(struct put_call *put, const struct obj_action *action,
+put_finish(struct put_call *put, const struct obj_action *action,
     const struct obj_object *now)
 {
 	struct obj *obj = put->call.obj;
@@ -60,14 +60,14 @@
 
 	if (!put->write.in_doubt && !sending)
 		action.err.verdict = VERDICT_NOT_RUN;
-	put_end(put, &action, NULL);
+	put_finish(put, &action, NULL);
 }
 
 static void put_step(struct put_call *put, const struct obj_event *event,
     const struct obj_object *now);
 
 static gboolean
-put_waited(gpointer data)
+on_retry_timer(gpointer data)
 {
 	struct put_call *put = data;
 
@@ -78,22 +78,22 @@
 }
 
 static bool
-is_transient(const struct fetch_answer *answer)
+is_transient(const struct fetch_response *response)
 {
-	return answer->status >= 500 ||
-	    answer->status == HTTP_TOO_MANY_REQUESTS;
+	return response->status >= 500 ||
+	    response->status == HTTP_TOO_MANY_REQUESTS;
 }
 
 /* An answer to the write that carries JSON. False: it does not as it should. */
 static bool
-parse_written(JsonObject *json, unsigned int status, const char *key,
+parse_write_response(JsonObject *json, unsigned int status, const char *key,
     struct obj_event *event, struct obj_object *now)
 {
 	if (status == SOUP_STATUS_OK) {
 		event->kind = OBJ_WRITTEN;
 		return reply_u64(json, "version", &event->version);
 	}
-	event->kind = OBJ_DIFFERS;
+	event->kind = OBJ_CONFLICT;
 	if (!reply_u64(json, "version", &event->version))
 		return false;
 	now->key = key;
@@ -108,16 +108,17 @@
 }
 
 static void
-take_written(struct put_call *put, const struct fetch_answer *answer)
+handle_write_response(
+    struct put_call *put, const struct fetch_response *response)
 {
-	struct obj_event event = { .kind = OBJ_LOST };
+	struct obj_event event = { .kind = OBJ_NO_RESPONSE };
 	struct obj_object now = { .key = NULL };
 	struct reply reply = { .json = NULL };
 
-	if (!reply_open(&reply, answer->body, NULL) ||
-	    !parse_written(
-		reply.json, answer->status, put->key, &event, &now)) {
-		event = (struct obj_event){ .kind = OBJ_LOST };
+	if (!reply_open(&reply, response->body, NULL) ||
+	    !parse_write_response(
+		reply.json, response->status, put->key, &event, &now)) {
+		event = (struct obj_event){ .kind = OBJ_NO_RESPONSE };
 		now.key = NULL;
 	}
 	put_step(put, &event, now.key != NULL ? &now : NULL);
@@ -125,37 +126,37 @@
 }
 
 static void
-on_write_answer(
-    const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_write_response(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct put_call *put = ctx;
-	struct obj_event event = { .kind = OBJ_LOST };
+	struct obj_event event = { .kind = OBJ_NO_RESPONSE };
 	struct err why;
 
 	put->call.fetch = NULL;
 	if (err == NULL &&
-	    (answer->status == SOUP_STATUS_OK ||
-		answer->status == SOUP_STATUS_CONFLICT)) {
-		take_written(put, answer);
+	    (response->status == SOUP_STATUS_OK ||
+		response->status == SOUP_STATUS_CONFLICT)) {
+		handle_write_response(put, response);
 		return;
 	}
 	if (err != NULL) {
 		if (err->verdict == VERDICT_NOT_RUN)
 			event.kind = OBJ_NOT_SENT;
-	} else if (answer->not_run ||
-	    answer->status == HTTP_TOO_MANY_REQUESTS) {
+	} else if (response->not_run ||
+	    response->status == HTTP_TOO_MANY_REQUESTS) {
 		event.kind = OBJ_NOT_SENT;
-	} else if (!is_transient(answer)) {
-		fetch_refused(answer, &why);
-		event.kind = OBJ_REFUSED;
+	} else if (!is_transient(response)) {
+		fetch_status_error(response, &why);
+		event.kind = OBJ_REJECTED;
 		event.err = &why;
 	}
 	put_step(put, &event, NULL);
 }
 
 static void
-on_back_answer(
-    const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_read_back(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct put_call *put = ctx;
 	struct obj_event event = { .kind = OBJ_READ_FAILED };
@@ -163,15 +164,15 @@
 	struct reply reply = { .json = NULL };
 
 	put->call.fetch = NULL;
-	if (err == NULL && answer->status == SOUP_STATUS_NOT_FOUND)
-		event.kind = OBJ_FOUND;
-	else if (reply_take(&reply, answer, err, NULL) &&
+	if (err == NULL && response->status == SOUP_STATUS_NOT_FOUND)
+		event.kind = OBJ_READ_BACK;
+	else if (reply_from_fetch(&reply, response, err, NULL) &&
 	    obj_parse(reply.json, put->key, &now)) {
-		event.kind = OBJ_FOUND;
+		event.kind = OBJ_READ_BACK;
 		event.version = now.version;
 		event.op = now.op;
 	}
-	put_step(put, &event, event.kind == OBJ_FOUND ? &now : NULL);
+	put_step(put, &event, event.kind == OBJ_READ_BACK ? &now : NULL);
 	reply_close(&reply);
 }
 
@@ -191,7 +192,7 @@
 		.deadline_ms = action->ms,
 		.max_bytes = FETCH_JSON_MAX,
 	    },
-	    write ? on_write_answer : on_back_answer, put);
+	    write ? on_write_response : on_read_back, put);
 }
 
 static void
@@ -208,22 +209,22 @@
 		put_send(put, &action);
 		break;
 	case OBJ_DO_WAIT:
-		obj_call_wait(&put->call, action.ms, put_waited);
+		obj_call_wait(&put->call, action.ms, on_retry_timer);
 		break;
 	case OBJ_DO_END:
-		put_end(put, &action, now);
+		put_finish(put, &action, now);
 		break;
 	}
 }
 
 static gboolean
-put_begin(gpointer data)
+on_start_timer(gpointer data)
 {
 	struct put_call *put = data;
 
 	put->call.timer = 0;
-	if (err_is(&put->malformed))
-		put_fail(&put->call, &put->malformed);
+	if (err_is(&put->invalid))
+		put_fail(&put->call, &put->invalid);
 	else
 		put_step(put, &(struct obj_event){ .kind = OBJ_BEGIN }, NULL);
 	return G_SOURCE_REMOVE;
@@ -291,9 +292,9 @@
 	call->write.conditional = put->conditional;
 	call->write.if_version = put->if_version;
 	call->write.budget.deadline_ms = obj_now_ms(obj) + put->deadline_ms;
-	if (check_put(put, &call->malformed)) {
+	if (check_put(put, &call->invalid)) {
 		call->json = put_json(put);
-		check_json(call->json, &call->malformed);
+		check_json(call->json, &call->invalid);
 	}
-	obj_call_wait(&call->call, 0, put_begin);
+	obj_call_wait(&call->call, 0, on_start_timer);
 }
--- a/lib/platform/obj_retry.c
+++ b/lib/platform/obj_retry.c
@@ -58,7 +58,7 @@
 }
 
 static struct obj_action
-succeed(uint64_t version, bool settled)
+finish_ok(uint64_t version, bool settled)
 {
 	return (struct obj_action){
 		.step = OBJ_DO_END,
@@ -68,7 +68,7 @@
 }
 
 static struct obj_action
-out_of_time(const struct obj_write *write)
+finish_timeout(const struct obj_write *write)
 {
 	struct obj_action action = { .step = OBJ_DO_END };
 
@@ -85,23 +85,23 @@
 	unsigned int ms = obj_attempt_ms(&write->budget, now_ms);
 
 	if (ms == 0)
-		return out_of_time(write);
+		return finish_timeout(write);
 	return (struct obj_action){ .step = step, .ms = ms };
 }
 
 static struct obj_action
-wait_on(struct obj_write *write, int64_t now_ms, struct rng *rng)
+wait_for_retry(struct obj_write *write, int64_t now_ms, struct rng *rng)
 {
 	struct obj_action action = { .step = OBJ_DO_WAIT };
 
 	if (!obj_retry_wait(&write->budget, now_ms, rng, &action.ms))
-		return out_of_time(write);
+		return finish_timeout(write);
 	return action;
 }
 
 /* The object has moved on from the condition's version, by another's write. */
 static struct obj_action
-lose(const struct obj_write *write, uint64_t version)
+finish_conflict(const struct obj_write *write, uint64_t version)
 {
 	struct obj_action action = { .step = OBJ_DO_END };
 	bool excluded = !write->in_doubt ||
@@ -115,24 +115,24 @@
 }
 
 static bool
-is_ours(const struct obj_write *write, const struct obj_event *event)
+is_own_write(const struct obj_write *write, const struct obj_event *event)
 {
 	return event->version != 0 && g_strcmp0(event->op, write->op) == 0;
 }
 
 static struct obj_action
-read_back(
+after_read_back(
     struct obj_write *write, const struct obj_event *event, int64_t now_ms)
 {
-	if (is_ours(write, event))
-		return succeed(event->version, true);
+	if (is_own_write(write, event))
+		return finish_ok(event->version, true);
 	if (write->conditional && event->version != write->if_version)
-		return lose(write, event->version);
+		return finish_conflict(write, event->version);
 	return attempt(write, OBJ_DO_WRITE, now_ms);
 }
 
 static struct obj_action
-refuse(const struct obj_write *write, const struct err *err)
+finish_rejected(const struct obj_write *write, const struct err *err)
 {
 	struct obj_action action = { .step = OBJ_DO_END, .err = *err };
 
@@ -149,24 +149,24 @@
 	case OBJ_BEGIN:
 		return attempt(write, OBJ_DO_WRITE, now_ms);
 	case OBJ_WRITTEN:
-		return succeed(event->version, false);
-	case OBJ_DIFFERS:
-		if (is_ours(write, event))
-			return succeed(event->version, true);
-		return lose(write, event->version);
-	case OBJ_LOST:
+		return finish_ok(event->version, false);
+	case OBJ_CONFLICT:
+		if (is_own_write(write, event))
+			return finish_ok(event->version, true);
+		return finish_conflict(write, event->version);
+	case OBJ_NO_RESPONSE:
 		write->in_doubt = true;
-		return wait_on(write, now_ms, rng);
+		return wait_for_retry(write, now_ms, rng);
 	case OBJ_NOT_SENT:
 	case OBJ_READ_FAILED:
-		return wait_on(write, now_ms, rng);
+		return wait_for_retry(write, now_ms, rng);
 	case OBJ_WAITED:
 		return attempt(write,
 		    write->in_doubt ? OBJ_DO_READ : OBJ_DO_WRITE, now_ms);
-	case OBJ_FOUND:
-		return read_back(write, event, now_ms);
-	case OBJ_REFUSED:
-		return refuse(write, event->err);
+	case OBJ_READ_BACK:
+		return after_read_back(write, event, now_ms);
+	case OBJ_REJECTED:
+		return finish_rejected(write, event->err);
 	}
 	g_assert_not_reached();
 }
--- a/lib/platform/obj_watch.c
+++ b/lib/platform/obj_watch.c
@@ -25,8 +25,8 @@
 
 struct obj_watch {
 	struct obj *obj;
-	char *prefix; /* escaped for a query */
-	char *plain_prefix;
+	char *escaped_prefix; /* escaped for a query */
+	char *prefix;
 	uint64_t since;
 	const struct obj_watch_ops *ops;
 	void *ctx;
@@ -35,13 +35,13 @@
 	unsigned int failures;
 	bool lost; /* reported as failing */
 	int64_t polled_ms; /* when the last poll began */
-	bool prompt; /* the next poll is not to wait */
+	bool poll_at_once; /* the next poll is not to wait */
 	/* A listing afresh: what is still to be read. */
 	GPtrArray *keys;
 	guint next_key;
 	uint64_t listed_revision;
 	unsigned int pending; /* gets and lists that will call back */
-	bool busy; /* a callback of the owner is running */
+	bool in_callback; /* a callback of the owner is running */
 	bool stopped;
 };
 
@@ -53,75 +53,75 @@
 {
 	if (watch->keys != NULL)
 		g_ptr_array_unref(watch->keys);
+	g_free(watch->escaped_prefix);
 	g_free(watch->prefix);
-	g_free(watch->plain_prefix);
 	g_free(watch);
 }
 
 /* True when the watch was stopped meanwhile; it may then be gone. */
 static bool
-leave_if_stopped(struct obj_watch *watch)
+check_stopped(struct obj_watch *watch)
 {
 	if (!watch->stopped)
 		return false;
-	if (watch->pending == 0 && !watch->busy)
+	if (watch->pending == 0 && !watch->in_callback)
 		watch_free(watch);
 	return true;
 }
 
 static bool
-tell_lost(struct obj_watch *watch, const struct err *err)
+notify_lost(struct obj_watch *watch, const struct err *err)
 {
 	if (watch->lost)
 		return true;
 	watch->lost = true;
 	if (watch->obj->plat->timeline != NULL) {
 		tl_add(watch->obj->plat->timeline, "obj_watch_lost",
-		    watch->plain_prefix, "%s", err->message);
+		    watch->prefix, "%s", err->message);
 	}
 	if (watch->ops->lost == NULL)
 		return true;
-	watch->busy = true;
+	watch->in_callback = true;
 	watch->ops->lost(err, watch->ctx);
-	watch->busy = false;
-	return !leave_if_stopped(watch);
+	watch->in_callback = false;
+	return !check_stopped(watch);
 }
 
 static bool
-tell_found(struct obj_watch *watch)
+notify_recovered(struct obj_watch *watch)
 {
 	watch->failures = 0;
-	watch->prompt = false;
+	watch->poll_at_once = false;
 	if (!watch->lost)
 		return true;
 	watch->lost = false;
 	if (watch->obj->plat->timeline != NULL) {
 		tl_add(watch->obj->plat->timeline, "obj_watch_found",
-		    watch->plain_prefix, "at revision %" G_GUINT64_FORMAT,
+		    watch->prefix, "at revision %" G_GUINT64_FORMAT,
 		    watch->since);
 	}
 	if (watch->ops->found == NULL)
 		return true;
-	watch->busy = true;
+	watch->in_callback = true;
 	watch->ops->found(watch->ctx);
-	watch->busy = false;
-	return !leave_if_stopped(watch);
+	watch->in_callback = false;
+	return !check_stopped(watch);
 }
 
 static bool
-tell_changed(
+notify_changed(
     struct obj_watch *watch, const struct obj_object *objects, size_t n)
 {
 	if (n == 0)
 		return true;
-	watch->busy = true;
+	watch->in_callback = true;
 	watch->ops->changed(watch->since, objects, n, watch->ctx);
-	watch->busy = false;
-	return !leave_if_stopped(watch);
+	watch->in_callback = false;
+	return !check_stopped(watch);
 }
 
 static gboolean
-watch_again(gpointer data)
+on_poll_timer(gpointer data)
 {
 	struct obj_watch *watch = data;
 
@@ -135,13 +135,13 @@
 {
 	watch->failures++;
 	/* What answers next may have restarted: learn its revision at once. */
-	watch->prompt = true;
+	watch->poll_at_once = true;
 	ctr_add(watch->obj->retries, 1);
-	if (!tell_lost(watch, err))
+	if (!notify_lost(watch, err))
 		return;
 	watch->timer =
 	    g_timeout_add(obj_backoff_ms(&watch->obj->rng, watch->failures),
-		watch_again, watch);
+		on_poll_timer, watch);
 }
 
 /* ------------------------------------------------------------------ */
@@ -155,7 +155,7 @@
 {
 	g_ptr_array_unref(watch->keys);
 	watch->keys = NULL;
-	if (tell_found(watch))
+	if (notify_recovered(watch))
 		watch_next(watch);
 }
 
@@ -166,13 +166,13 @@
 	struct obj_watch *watch = ctx;
 
 	watch->pending--;
-	if (leave_if_stopped(watch))
+	if (check_stopped(watch))
 		return;
 	if (err != NULL && err->code != ERR_NOT_FOUND) {
 		watch_failed(watch, err);
 		return;
 	}
-	if (err == NULL && !tell_changed(watch, object, 1))
+	if (err == NULL && !notify_changed(watch, object, 1))
 		return;
 	relist_next(watch);
 }
@@ -199,7 +199,7 @@
 	size_t i;
 
 	watch->pending--;
-	if (leave_if_stopped(watch))
+	if (check_stopped(watch))
 		return;
 	if (err != NULL) {
 		watch_failed(watch, err);
@@ -220,8 +220,8 @@
 	watch->keys = g_ptr_array_new_with_free_func(g_free);
 	watch->next_key = 0;
 	watch->pending++;
-	obj_list(watch->obj, watch->plain_prefix, RELIST_DEADLINE_MS,
-	    on_relisted, watch);
+	obj_list(
+	    watch->obj, watch->prefix, RELIST_DEADLINE_MS, on_relisted, watch);
 }
 
 /* ------------------------------------------------------------------ */
@@ -251,7 +251,7 @@
 }
 
 static void
-take_changes(struct obj_watch *watch, JsonObject *json)
+apply_changes(struct obj_watch *watch, JsonObject *json)
 {
 	struct obj_object *objects;
 	uint64_t revision;
@@ -268,14 +268,16 @@
 		relist(watch);
 	} else {
 		watch->since = revision;
-		if (tell_found(watch) && tell_changed(watch, objects, n))
+		if (notify_recovered(watch) &&
+		    notify_changed(watch, objects, n))
 			watch_next(watch);
 	}
 	g_free(objects);
 }
 
 static void
-on_polled(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_poll_response(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct obj_watch *watch = ctx;
 	struct reply reply;
@@ -284,10 +286,10 @@
 	watch->poll = NULL;
 	if (err != NULL && err->code == ERR_TOO_LARGE) {
 		relist(watch);
-	} else if (!reply_take(&reply, answer, err, &why)) {
+	} else if (!reply_from_fetch(&reply, response, err, &why)) {
 		watch_failed(watch, &why);
 	} else {
-		take_changes(watch, reply.json);
+		apply_changes(watch, reply.json);
 		reply_close(&reply);
 	}
 }
@@ -295,17 +297,17 @@
 static void
 watch_next(struct obj_watch *watch)
 {
-	int64_t early_ms =
+	int64_t delay_ms =
 	    watch->polled_ms + POLL_SPACING_MS - obj_now_ms(watch->obj);
 
 	watch->timer =
-	    g_timeout_add((guint)MAX(0, early_ms), watch_again, watch);
+	    g_timeout_add((guint)MAX(0, delay_ms), on_poll_timer, watch);
 }
 
 static void
 watch_poll(struct obj_watch *watch)
 {
-	unsigned int wait_ms = watch->prompt ? 0 : POLL_WAIT_MS;
+	unsigned int wait_ms = watch->poll_at_once ? 0 : POLL_WAIT_MS;
 	char *path;
 
 	/* A listing that failed half way begins anew. */
@@ -315,7 +317,7 @@
 	}
 	path = g_strdup_printf("/v1/watch?prefix=%s&since=%" G_GUINT64_FORMAT
 			       "&wait_ms=%u",
-	    watch->prefix, watch->since, wait_ms);
+	    watch->escaped_prefix, watch->since, wait_ms);
 	ctr_add(watch->obj->watch_calls, 1);
 	watch->polled_ms = obj_now_ms(watch->obj);
 	watch->poll = fetch_start(watch->obj->plat,
@@ -326,7 +328,7 @@
 		.deadline_ms = wait_ms + POLL_GRACE_MS,
 		.max_bytes = FETCH_JSON_MAX,
 	    },
-	    on_polled, watch);
+	    on_poll_response, watch);
 	g_free(path);
 }
 
@@ -337,14 +339,14 @@
 	struct obj_watch *watch = g_new0(struct obj_watch, 1);
 
 	watch->obj = obj;
-	watch->plain_prefix = g_strdup(prefix);
-	watch->prefix = g_uri_escape_string(prefix, NULL, FALSE);
+	watch->prefix = g_strdup(prefix);
+	watch->escaped_prefix = g_uri_escape_string(prefix, NULL, FALSE);
 	watch->since = since;
 	watch->ops = ops;
 	watch->ctx = ctx;
 	/* The first poll does not wait: `since` may be of an earlier life
 	 * of the API. */
-	watch->prompt = true;
+	watch->poll_at_once = true;
 	obj->watches++;
 	watch_poll(watch);
 	return watch;
@@ -360,5 +362,5 @@
 	watch->timer = 0;
 	watch->obj->watches--;
 	watch->stopped = true;
-	leave_if_stopped(watch);
+	check_stopped(watch);
 }
--- a/lib/platform/origin.c
+++ b/lib/platform/origin.c
@@ -15,21 +15,22 @@
 /* Bytes of another place pass no digest check, but the mistake would be blamed
  * on corruption; so the answer has to name the range that was asked for. */
 static bool
-is_range(const struct origin_read *read, const struct fetch_answer *answer)
+is_requested_range(
+    const struct origin_read *read, const struct fetch_response *response)
 {
 	goffset start, last;
 
-	if (g_bytes_get_size(answer->body) != read->len)
+	if (g_bytes_get_size(response->body) != read->len)
 		return false;
-	if (answer->status == SOUP_STATUS_OK)
+	if (response->status == SOUP_STATUS_OK)
 		return read->offset == 0;
 	return soup_message_headers_get_content_range(
-		   answer->headers, &start, &last, NULL) &&
+		   response->headers, &start, &last, NULL) &&
 	    (uint64_t)start == read->offset;
 }
 
 static void
-end(struct origin_read *read, GBytes *bytes, const struct err *err)
+finish(struct origin_read *read, GBytes *bytes, const struct err *err)
 {
 	struct origin_read copy = *read;
 
@@ -40,27 +41,28 @@
 }
 
 static void
-on_fetched(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_response(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct origin_read *read = ctx;
 	struct err why;
 
 	if (err != NULL) {
-		end(read, NULL, err);
+		finish(read, NULL, err);
 		return;
 	}
 	ctr_add(plat_counter(read->plat, "origin_bytes"),
-	    (int64_t)g_bytes_get_size(answer->body));
-	if (answer->status != SOUP_STATUS_OK &&
-	    answer->status != SOUP_STATUS_PARTIAL_CONTENT) {
-		fetch_refused(answer, &why);
-		end(read, NULL, &why);
-	} else if (!is_range(read, answer)) {
+	    (int64_t)g_bytes_get_size(response->body));
+	if (response->status != SOUP_STATUS_OK &&
+	    response->status != SOUP_STATUS_PARTIAL_CONTENT) {
+		fetch_status_error(response, &why);
+		finish(read, NULL, &why);
+	} else if (!is_requested_range(read, response)) {
 		err_set(&why, ERR_INVALID, VERDICT_RAN,
 		    "the origin answered with another range");
-		end(read, NULL, &why);
+		finish(read, NULL, &why);
 	} else {
-		end(read, answer->body, NULL);
+		finish(read, response->body, NULL);
 	}
 }
 
@@ -94,7 +96,7 @@
 		.stalls = plat_counter(plat, "origin_stalls"),
 		.max_bytes = len,
 	    },
-	    on_fetched, read);
+	    on_response, read);
 	g_free(path);
 	g_free(escaped);
 	return read;
--- a/lib/platform/plat.c
+++ b/lib/platform/plat.c
@@ -17,35 +17,35 @@
 #define IDLE_TIMEOUT_S 20
 
 struct plat_socket {
-	struct plat_lane *lane;
+	struct plat_pool *pool;
 	guint64 id; /* libsoup's number of the connection; key in the map */
 	GSocket *socket; /* weak */
 };
 
 static void
-on_socket_gone(gpointer data, GObject *socket)
+on_socket_finalized(gpointer data, GObject *socket)
 {
 	struct plat_socket *entry = data;
 
-	g_hash_table_remove(entry->lane->sockets, &entry->id);
+	g_hash_table_remove(entry->pool->sockets, &entry->id);
 }
 
 static void
 on_network_event(SoupMessage *message, GSocketClientEvent event,
     GIOStream *stream, gpointer data)
 {
-	struct plat_lane *lane = data;
+	struct plat_pool *pool = data;
 	struct plat_socket *entry;
 
 	if (event != G_SOCKET_CLIENT_CONNECTED)
 		return;
 	entry = g_new0(struct plat_socket, 1);
-	entry->lane = lane;
+	entry->pool = pool;
 	entry->id = soup_message_get_connection_id(message);
 	entry->socket =
 	    g_socket_connection_get_socket(G_SOCKET_CONNECTION(stream));
-	g_object_weak_ref(G_OBJECT(entry->socket), on_socket_gone, entry);
-	g_hash_table_insert(lane->sockets, &entry->id, entry);
+	g_object_weak_ref(G_OBJECT(entry->socket), on_socket_finalized, entry);
+	g_hash_table_insert(pool->sockets, &entry->id, entry);
 }
 
 static void
@@ -64,70 +64,70 @@
 }
 
 GSocket *
-plat_socket(const struct plat_lane *lane, SoupMessage *message)
+plat_socket(const struct plat_pool *pool, SoupMessage *message)
 {
 	guint64 id = soup_message_get_connection_id(message);
 	const struct plat_socket *entry =
-	    g_hash_table_lookup(lane->sockets, &id);
+	    g_hash_table_lookup(pool->sockets, &id);
 
 	return entry == NULL ? NULL : entry->socket;
 }
 
 static void
-lane_open(struct plat_lane *lane, unsigned int conns)
+pool_open(struct plat_pool *pool, unsigned int conns)
 {
-	lane->sockets =
+	pool->sockets =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	lane->session = soup_session_new_with_options("max-conns", conns,
+	pool->session = soup_session_new_with_options("max-conns", conns,
 	    "max-conns-per-host", conns, "proxy-resolver", NULL, "timeout", 0,
 	    "idle-timeout", IDLE_TIMEOUT_S, NULL);
 	g_signal_connect(
-	    lane->session, "request-queued", G_CALLBACK(on_queued), lane);
+	    pool->session, "request-queued", G_CALLBACK(on_queued), pool);
 	g_signal_connect(
-	    lane->session, "request-unqueued", G_CALLBACK(on_unqueued), lane);
+	    pool->session, "request-unqueued", G_CALLBACK(on_unqueued), pool);
 	/* Bytes are handed on as they came, and no request is repeated with
 	 * credentials. */
 	soup_session_remove_feature_by_type(
-	    lane->session, SOUP_TYPE_CONTENT_DECODER);
+	    pool->session, SOUP_TYPE_CONTENT_DECODER);
 	soup_session_remove_feature_by_type(
-	    lane->session, SOUP_TYPE_AUTH_MANAGER);
+	    pool->session, SOUP_TYPE_AUTH_MANAGER);
 }
 
 static void
-lane_close(struct plat_lane *lane)
+pool_close(struct plat_pool *pool)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	soup_session_abort(lane->session);
-	g_signal_handlers_disconnect_by_data(lane->session, lane);
-	g_hash_table_iter_init(&iter, lane->sockets);
+	soup_session_abort(pool->session);
+	g_signal_handlers_disconnect_by_data(pool->session, pool);
+	g_hash_table_iter_init(&iter, pool->sockets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct plat_socket *entry = value;
 
 		g_object_weak_unref(
-		    G_OBJECT(entry->socket), on_socket_gone, entry);
+		    G_OBJECT(entry->socket), on_socket_finalized, entry);
 	}
-	g_hash_table_unref(lane->sockets);
-	g_object_unref(lane->session);
+	g_hash_table_unref(pool->sockets);
+	g_object_unref(pool->session);
 }
 
-struct plat_lane *
-plat_lane(struct plat *plat, const char *base)
+struct plat_pool *
+plat_pool(struct plat *plat, const char *base)
 {
-	size_t first = hash64(0, base, strlen(base)) % PLAT_LANES;
-	struct plat_lane *least = &plat->lanes[first];
+	size_t first = hash64(0, base, strlen(base)) % PLAT_POOLS;
+	struct plat_pool *least_loaded = &plat->pools[first];
 	size_t i;
 
-	for (i = 0; i < PLAT_LANES; i++) {
-		struct plat_lane *lane = &plat->lanes[(first + i) % PLAT_LANES];
+	for (i = 0; i < PLAT_POOLS; i++) {
+		struct plat_pool *pool = &plat->pools[(first + i) % PLAT_POOLS];
 
-		if (lane->running < PLAT_LANE_FILL)
-			return lane;
-		if (lane->running < least->running)
-			least = lane;
+		if (pool->running < PLAT_POOL_FILL)
+			return pool;
+		if (pool->running < least_loaded->running)
+			least_loaded = pool;
 	}
-	return least;
+	return least_loaded;
 }
 
 struct plat *
@@ -141,8 +141,8 @@
 	plat->counters = counters;
 	plat->timeline = timeline;
 	TAILQ_INIT(&plat->calls);
-	for (i = 0; i < PLAT_LANES; i++)
-		lane_open(&plat->lanes[i], conns);
+	for (i = 0; i < PLAT_POOLS; i++)
+		pool_open(&plat->pools[i], conns);
 	return plat;
 }
 
@@ -160,15 +160,15 @@
 	if (plat == NULL)
 		return;
 	target_cancel_all(plat);
-	for (i = 0; i < PLAT_LANES; i++)
-		lane_close(&plat->lanes[i]);
+	for (i = 0; i < PLAT_POOLS; i++)
+		pool_close(&plat->pools[i]);
 	g_free(plat);
 }
 
 SoupSession *
 plat_session(struct plat *plat)
 {
-	return plat->lanes[0].session;
+	return plat->pools[0].session;
 }
 
 struct ctr *
--- a/lib/platform/platform_internal.h
+++ b/lib/platform/platform_internal.h
@@ -14,18 +14,18 @@
  * does for one exchange grows with the number of those in the same session, so
  * that some hundred streams would take the whole processor.
  */
-struct plat_lane {
+struct plat_pool {
 	SoupSession *session;
 	GHashTable *sockets; /* of open connections, by libsoup's number */
 	unsigned int running; /* exchanges */
 };
 
-#define PLAT_LANES 64
+#define PLAT_POOLS 64
 /* Exchanges in one lane before the next one is taken. */
-#define PLAT_LANE_FILL 32
+#define PLAT_POOL_FILL 32
 
 struct plat {
-	struct plat_lane lanes[PLAT_LANES];
+	struct plat_pool pools[PLAT_POOLS];
 	const struct clk *clock;
 	struct ctr_set *counters;
 	struct tl *timeline; /* may be NULL */
@@ -37,9 +37,9 @@
     struct tl *timeline, unsigned int conns);
 /* The lane for an exchange with `base`: the same as before where that is
  * not full, so that connections are used again. */
-struct plat_lane *plat_lane(struct plat *plat, const char *base);
+struct plat_pool *plat_pool(struct plat *plat, const char *base);
 /* The socket that a message went over; NULL when it is gone. Borrowed. */
-GSocket *plat_socket(const struct plat_lane *lane, SoupMessage *message);
+GSocket *plat_socket(const struct plat_pool *pool, SoupMessage *message);
 
 struct ctr *plat_counter(const struct plat *plat, const char *name);
 /* Ends every running exchange with ERR_CANCELLED; for plat_free. */
@@ -68,7 +68,7 @@
 /* 429, which libsoup's list lacks. */
 #define HTTP_TOO_MANY_REQUESTS 429
 
-struct fetch_answer {
+struct fetch_response {
 	unsigned int status;
 	GBytes *body;
 	bool not_run; /* the answer says that nothing was run */
@@ -81,7 +81,7 @@
  * NULL and `err` has the verdict of the exchange.
  */
 typedef void fetch_cb(
-    const struct fetch_answer *answer, const struct err *err, void *ctx);
+    const struct fetch_response *response, const struct err *err, void *ctx);
 
 struct fetch;
 struct fetch *fetch_start(struct plat *plat,
@@ -89,7 +89,7 @@
 /* No callback follows. NULL is allowed. */
 void fetch_cancel(struct fetch *fetch);
 /* The error that a status outside 200-299 stands for; false. */
-bool fetch_refused(const struct fetch_answer *answer, struct err *err);
+bool fetch_status_error(const struct fetch_response *response, struct err *err);
 
 /* ------------------------------------------------------------------ */
 /* JSON of answers                                                     */
@@ -103,8 +103,9 @@
 bool reply_open(struct reply *reply, GBytes *bytes, struct err *err);
 /* The same for what a fetch gave, whose error or status other than 200 is the
  * error. */
-bool reply_take(struct reply *reply, const struct fetch_answer *answer,
-    const struct err *failure, struct err *err);
+bool reply_from_fetch(struct reply *reply,
+    const struct fetch_response *response, const struct err *failure,
+    struct err *err);
 void reply_close(struct reply *reply); /* nothing when it was not opened */
 /* For an answer that lacks what it should have; returns false. */
 bool reply_malformed(struct err *err);
@@ -152,11 +153,11 @@
 enum obj_event_kind {
 	OBJ_BEGIN,
 	OBJ_WRITTEN, /* 200, with the version */
-	OBJ_DIFFERS, /* 409, with what is there */
+	OBJ_CONFLICT, /* 409, with what is there */
 	OBJ_NOT_SENT, /* certain: nothing was applied */
-	OBJ_LOST, /* sent, and no usable answer */
-	OBJ_REFUSED, /* an answer that repeating does not change */
-	OBJ_FOUND, /* read back: what is there, version 0 if absent */
+	OBJ_NO_RESPONSE, /* sent, and no usable answer */
+	OBJ_REJECTED, /* an answer that repeating does not change */
+	OBJ_READ_BACK, /* read back: what is there, version 0 if absent */
 	OBJ_READ_FAILED,
 	OBJ_WAITED, /* the wait asked for is over */
 };
@@ -164,7 +165,7 @@
 	enum obj_event_kind kind;
 	uint64_t version;
 	const char *op; /* may be NULL */
-	const struct err *err; /* of OBJ_REFUSED */
+	const struct err *err; /* of OBJ_REJECTED */
 };
 
 enum obj_step {
--- a/lib/platform/reply.c
+++ b/lib/platform/reply.c
@@ -61,7 +61,7 @@
 }
 
 bool
-reply_take(struct reply *reply, const struct fetch_answer *answer,
+reply_from_fetch(struct reply *reply, const struct fetch_response *response,
     const struct err *failure, struct err *err)
 {
 	if (failure != NULL) {
@@ -69,9 +69,9 @@
 			*err = *failure;
 		return false;
 	}
-	if (answer->status != SOUP_STATUS_OK)
-		return fetch_refused(answer, err);
-	return reply_open(reply, answer->body, err);
+	if (response->status != SOUP_STATUS_OK)
+		return fetch_status_error(response, err);
+	return reply_open(reply, response->body, err);
 }
 
 void
--- a/lib/platform/target.c
+++ b/lib/platform/target.c
@@ -20,7 +20,7 @@
 struct target_call {
 	TAILQ_ENTRY(target_call) link;
 	struct plat *plat; /* NULL once detached */
-	struct plat_lane *lane;
+	struct plat_pool *pool;
 	struct target_ops ops;
 	void *ctx;
 	SoupMessage *message;
@@ -31,7 +31,7 @@
 	int64_t last_byte_us;
 	bool busy; /* an operation or a callback is under way */
 	bool paused;
-	bool dropped; /* the owner cancelled; no more callbacks */
+	bool abandoned; /* the owner cancelled; no more callbacks */
 	bool sent; /* libsoup began to write the request */
 	bool not_run; /* the target said so */
 	bool own_connection; /* not to be kept after the exchange */
@@ -76,7 +76,7 @@
 	stop_timer(&call->stall_timer);
 	stop_timer(&call->idle);
 	TAILQ_REMOVE(&call->plat->calls, call, link);
-	call->lane->running--;
+	call->pool->running--;
 	call->plat = NULL;
 }
 
@@ -111,14 +111,14 @@
 }
 
 static void
-end(struct target_call *call, const struct err *err)
+finish(struct target_call *call, const struct err *err)
 {
 	struct target_ops ops = call->ops;
-	struct err copy = *err;
+	struct err final = *err;
 	void *ctx = call->ctx;
 
 	call_free(call);
-	ops.ended(&copy, ctx);
+	ops.ended(&final, ctx);
 }
 
 /* Before the first byte of the request is written nothing can have run. */
@@ -131,14 +131,14 @@
 }
 
 static void
-end_failed(struct target_call *call, const GError *error)
+finish_failed(struct target_call *call, const GError *error)
 {
 	if (!err_is(&call->why)) {
 		err_set(&call->why, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN, "%s",
 		    error != NULL ? error->message : "no answer");
 	}
 	call->why.verdict = verdict_now(call);
-	end(call, &call->why);
+	finish(call, &call->why);
 }
 
 static enum err_code
@@ -175,7 +175,7 @@
  * same right after its last chunk cannot be told from one that died.
  */
 static bool
-is_open(GSocket *socket)
+is_connection_open(GSocket *socket)
 {
 	char byte;
 	ssize_t n;
@@ -193,7 +193,7 @@
  * closes the connection.
  */
 static bool
-is_whole(const struct target_call *call)
+is_complete(const struct target_call *call)
 {
 	SoupMessageHeaders *headers =
 	    soup_message_get_response_headers(call->message);
@@ -205,7 +205,8 @@
 		return true;
 	switch (soup_message_headers_get_encoding(headers)) {
 	case SOUP_ENCODING_CHUNKED:
-		return is_open(plat_socket(call->lane, call->message));
+		return is_connection_open(
+		    plat_socket(call->pool, call->message));
 	case SOUP_ENCODING_CONTENT_LENGTH:
 		return call->received ==
 		    (uint64_t)soup_message_headers_get_content_length(headers);
@@ -215,15 +216,15 @@
 }
 
 static void
-end_body(struct target_call *call)
+finish_body(struct target_call *call)
 {
 	struct err err = { .code = ERR_NONE, .verdict = VERDICT_RAN };
 	unsigned int status = soup_message_get_status(call->message);
 
-	bool whole = is_whole(call);
+	bool complete = is_complete(call);
 
-	call->reusable = whole && !call->own_connection;
-	if (!whole) {
+	call->reusable = complete && !call->own_connection;
+	if (!complete) {
 		err_set(&err, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN,
 		    "an answer was cut");
 	}
@@ -233,20 +234,20 @@
 		err.retry_after_ms = retry_after_ms(
 		    soup_message_get_response_headers(call->message));
 	}
-	end(call, &err);
+	finish(call, &err);
 }
 
 /* No callbacks from now on; the operation under way frees the call. */
 static void
-drop(struct target_call *call)
+abandon(struct target_call *call)
 {
 	detach(call);
-	call->dropped = true;
+	call->abandoned = true;
 	g_cancellable_cancel(call->cancel);
 }
 
 static void
-give_up(struct target_call *call, enum err_code code, const char *message)
+abort_call(struct target_call *call, enum err_code code, const char *message)
 {
 	struct target_ops ops = call->ops;
 	void *ctx = call->ctx;
@@ -256,7 +257,7 @@
 		return;
 	err_set(&call->why, code, verdict_now(call), "%s", message);
 	if (!call->busy) {
-		end_failed(call, NULL);
+		finish_failed(call, NULL);
 	} else if (call->sent) {
 		g_cancellable_cancel(call->cancel);
 	} else {
@@ -264,7 +265,7 @@
 		 * waits for a connection: it would end long after its
 		 * deadline. It does before it writes. */
 		why = call->why;
-		drop(call);
+		abandon(call);
 		ops.ended(&why, ctx);
 	}
 }
@@ -275,7 +276,7 @@
 	struct target_call *call = data;
 
 	call->deadline_timer = 0;
-	give_up(call, ERR_DEADLINE, "the exchange's deadline passed");
+	abort_call(call, ERR_DEADLINE, "the exchange's deadline passed");
 	return G_SOURCE_REMOVE;
 }
 
@@ -283,7 +284,7 @@
 
 /* The timer is set anew only when it fires, not at each byte. */
 static void
-watch_stall(struct target_call *call)
+start_stall_timer(struct target_call *call)
 {
 	int64_t left_us = call->last_byte_us + call->stall_ms * (int64_t)1000 -
 	    clk_now_us(call->plat->clock);
@@ -302,12 +303,12 @@
 	if (call->paused)
 		call->last_byte_us = now_us;
 	if (now_us - call->last_byte_us < call->stall_ms * (int64_t)1000) {
-		watch_stall(call);
+		start_stall_timer(call);
 		return G_SOURCE_REMOVE;
 	}
 	if (call->ops.stalled != NULL)
 		call->ops.stalled(call->ctx);
-	give_up(call, ERR_UNAVAILABLE, "the target stalled");
+	abort_call(call, ERR_UNAVAILABLE, "the target stalled");
 	return G_SOURCE_REMOVE;
 }
 
@@ -332,18 +333,18 @@
 	gssize n =
 	    g_input_stream_read_finish(G_INPUT_STREAM(source), result, &error);
 
-	if (call->dropped) {
+	if (call->abandoned) {
 		call_free(call);
 	} else if (n < 0) {
-		end_failed(call, error);
+		finish_failed(call, error);
 	} else if (n == 0) {
-		end_body(call);
+		finish_body(call);
 	} else {
 		call->last_byte_us = clk_now_us(call->plat->clock);
 		call->received += (uint64_t)n;
 		call->ops.data(call->buffer, (size_t)n, call->ctx);
 		call->busy = false;
-		if (call->dropped)
+		if (call->abandoned)
 			call_free(call);
 		else
 			read_next(call);
@@ -352,7 +353,7 @@
 }
 
 static void
-take_head(struct target_call *call)
+handle_head(struct target_call *call)
 {
 	SoupMessageHeaders *headers =
 	    soup_message_get_response_headers(call->message);
@@ -364,26 +365,26 @@
 	call->not_run = status >= 400 && g_strcmp0(not_run, "1") == 0;
 	call->ops.head(status, headers, call->ctx);
 	call->busy = false;
-	if (call->dropped)
+	if (call->abandoned)
 		call_free(call);
 	else
 		read_next(call);
 }
 
 static void
-on_answered(GObject *source, GAsyncResult *result, gpointer data)
+on_response(GObject *source, GAsyncResult *result, gpointer data)
 {
 	struct target_call *call = data;
 	GError *error = NULL;
 
 	call->body =
 	    soup_session_send_finish(SOUP_SESSION(source), result, &error);
-	if (call->dropped)
+	if (call->abandoned)
 		call_free(call);
 	else if (call->body == NULL)
-		end_failed(call, error);
+		finish_failed(call, error);
 	else
-		take_head(call);
+		handle_head(call);
 	g_clear_error(&error);
 }
 
@@ -407,8 +408,8 @@
 {
 	struct target_call *call = data;
 
-	if (!call->dropped)
-		give_up(call, ERR_UNAVAILABLE,
+	if (!call->abandoned)
+		abort_call(call, ERR_UNAVAILABLE,
 		    "the connection was closed before an answer");
 }
 
@@ -461,12 +462,12 @@
 }
 
 static gboolean
-on_malformed(gpointer data)
+on_invalid_url(gpointer data)
 {
 	struct target_call *call = data;
 
 	call->idle = 0;
-	give_up(call, ERR_INVALID, "malformed address of a target");
+	abort_call(call, ERR_INVALID, "malformed address of a target");
 	return G_SOURCE_REMOVE;
 }
 
@@ -480,7 +481,7 @@
 	call->stall_ms = request->stall_ms;
 	call->last_byte_us = clk_now_us(call->plat->clock);
 	if (call->stall_ms != 0)
-		watch_stall(call);
+		start_stall_timer(call);
 }
 
 static void
@@ -494,8 +495,8 @@
 	    call->message, "restarted", G_CALLBACK(on_restarted), call);
 	start_timers(call, request);
 	call->busy = true;
-	soup_session_send_async(call->lane->session, call->message,
-	    G_PRIORITY_DEFAULT, call->cancel, on_answered, call);
+	soup_session_send_async(call->pool->session, call->message,
+	    G_PRIORITY_DEFAULT, call->cancel, on_response, call);
 }
 
 struct target_call *
@@ -509,12 +510,12 @@
 	call->ctx = ctx;
 	call->own_connection = request->own_connection;
 	call->cancel = g_cancellable_new();
-	call->lane = plat_lane(plat, request->base);
-	call->lane->running++;
+	call->pool = plat_pool(plat, request->base);
+	call->pool->running++;
 	TAILQ_INSERT_TAIL(&plat->calls, call, link);
 	call->message = new_message(request);
 	if (call->message == NULL)
-		call->idle = g_idle_add(on_malformed, call);
+		call->idle = g_idle_add(on_invalid_url, call);
 	else
 		send_message(call, request);
 	return call;
@@ -536,7 +537,7 @@
 target_call_cancel(struct target_call *call)
 {
 	if (call->busy) {
-		drop(call);
+		abandon(call);
 		return;
 	}
 	call_free(call);
--- a/tests/platform/api.h
+++ b/tests/platform/api.h
@@ -37,7 +37,7 @@
 	size_t listed;
 	/* What the watch told. */
 	GString *changes;
-	unsigned int lost, found;
+	unsigned int lost, recovered;
 	bool changed;
 };
 
--- a/tests/platform/test_obj_retry.c
+++ b/tests/platform/test_obj_retry.c
@@ -62,13 +62,13 @@
 {
 	static const enum obj_event_kind kinds[128] = {
 		['b'] = OBJ_BEGIN,
-		['l'] = OBJ_LOST,
+		['l'] = OBJ_NO_RESPONSE,
 		['n'] = OBJ_NOT_SENT,
 		['w'] = OBJ_WAITED,
 		['r'] = OBJ_READ_FAILED,
-		['f'] = OBJ_FOUND,
-		['s'] = OBJ_FOUND,
-		['d'] = OBJ_DIFFERS,
+		['f'] = OBJ_READ_BACK,
+		['s'] = OBJ_READ_BACK,
+		['d'] = OBJ_CONFLICT,
 		['o'] = OBJ_WRITTEN,
 	};
 	struct obj_event event = { .kind = kinds[(int)letter] };
@@ -128,7 +128,7 @@
 test_deadline_bounds_all(void **state)
 {
 	static const enum obj_event_kind failures[] = { OBJ_NOT_SENT,
-		OBJ_LOST };
+		OBJ_NO_RESPONSE };
 	static const enum verdict verdicts[] = { VERDICT_NOT_RUN,
 		VERDICT_MAY_HAVE_RUN };
 	struct obj_event event;
--- a/tests/platform/test_obj_watch.c
+++ b/tests/platform/test_obj_watch.c
@@ -32,17 +32,17 @@
 }
 
 static void
-on_found(void *ctx)
+on_recovered(void *ctx)
 {
 	struct api *api = ctx;
 
-	api->found++;
+	api->recovered++;
 }
 
 static const struct obj_watch_ops watch_ops = {
 	.changed = on_changed,
 	.lost = on_lost,
-	.found = on_found,
+	.found = on_recovered,
 };
 
 static void
@@ -100,7 +100,7 @@
 	await_change(api);
 	assert_string_equal(api->changes->str, "teams/a=1@1 ");
 	assert_int_equal(api->lost, 1);
-	assert_int_equal(api->found, 1);
+	assert_int_equal(api->recovered, 1);
 	obj_watch_stop(watch);
 }
 
@@ -132,7 +132,7 @@
 	assert_string_equal(api->changes->str, "teams/c=1@1 ");
 	assert_non_null(strstr(api->last_poll, "since=1&"));
 	assert_int_equal(api->lost, 1);
-	assert_int_equal(api->found, 1);
+	assert_int_equal(api->recovered, 1);
 	obj_watch_stop(watch);
 }
 
--- a/tests/platform/test_target.c
+++ b/tests/platform/test_target.c
@@ -332,9 +332,9 @@
 static void
 test_streams_are_spread(void **state)
 {
-	struct target_call *calls[3 * PLAT_LANE_FILL];
+	struct target_call *calls[3 * PLAT_POOL_FILL];
 	struct fixture *f = *state;
-	struct plat_lane *first = plat_lane(f->plat, f->server.base);
+	struct plat_pool *first = plat_pool(f->plat, f->server.base);
 	unsigned int running = 0;
 	size_t i;
 
@@ -342,16 +342,16 @@
 		start(f, (struct target_request){ .path = "/hang" });
 		calls[i] = f->call;
 	}
-	for (i = 0; i < PLAT_LANES; i++) {
-		assert_true(f->plat->lanes[i].running <= PLAT_LANE_FILL);
-		running += f->plat->lanes[i].running;
+	for (i = 0; i < PLAT_POOLS; i++) {
+		assert_true(f->plat->pools[i].running <= PLAT_POOL_FILL);
+		running += f->plat->pools[i].running;
 	}
 	assert_int_equal(running, G_N_ELEMENTS(calls));
-	assert_ptr_not_equal(plat_lane(f->plat, f->server.base), first);
+	assert_ptr_not_equal(plat_pool(f->plat, f->server.base), first);
 	for (i = 0; i < G_N_ELEMENTS(calls); i++)
 		target_call_cancel(calls[i]);
 	assert_int_equal(first->running, 0);
-	assert_ptr_equal(plat_lane(f->plat, f->server.base), first);
+	assert_ptr_equal(plat_pool(f->plat, f->server.base), first);
 }
 
 static void
