--- a/lib/platform/engine.c
+++ b/lib/platform/engine.c
@@ -1,4 +1,4 @@
-/* Orders to a model engine and its reports. */
+/* Load and cancel orders to a model engine, and the engine's reports. */
 
 #include <string.h>
 
@@ -6,7 +6,7 @@
 
 #define CANCEL_DEADLINE_MS 5000
 
-/* One running call; which callback is set tells its kind. */
+/* One running call. Exactly one callback is set, according to the kind. */
 struct engine_call {
 	engine_load_cb *load;
 	engine_loaded_cb *loaded;
@@ -50,7 +50,8 @@
 /* Loading                                                             */
 /* ------------------------------------------------------------------ */
 
-/* 409 and 502 have a meaning of their own here: docs/INTERFACES.md. */
+/* Statuses 409 and 502 of a load order have special meanings; see
+ * docs/INTERFACES.md. */
 static void
 map_load_error(const struct fetch_response *response, struct err *why)
 {
@@ -58,10 +59,11 @@
 		return;
 	if (response->status == SOUP_STATUS_CONFLICT)
 		err_set(why, ERR_STALE_FENCE, VERDICT_NOT_RUN,
-		    "the engine has seen a higher fencing number");
+		    "the engine has accepted a higher fencing number");
 	else if (response->status == SOUP_STATUS_BAD_GATEWAY)
 		err_set(why, ERR_CORRUPT, VERDICT_RAN,
-		    "the bytes that the engine read did not match");
+		    "the digest of the bytes that the engine read does not "
+		    "match");
 }
 
 static void
--- a/lib/platform/fetch.c
+++ b/lib/platform/fetch.c
@@ -1,4 +1,4 @@
-/* An exchange whose answer is gathered, up to a bound. */
+/* An exchange whose response body is buffered, up to a size limit. */
 
 #include <string.h>
 
@@ -24,7 +24,8 @@
 	g_free(fetch);
 }
 
-/* More than was asked for is of no use and could be without end. */
+/* A response larger than the limit is useless to the caller and could be
+ * unbounded. */
 static void
 fail_too_large(struct fetch *fetch)
 {
@@ -33,7 +34,7 @@
 	struct err err;
 
 	err_set(&err, ERR_TOO_LARGE, VERDICT_MAY_HAVE_RUN,
-	    "an answer is larger than %zu bytes", fetch->max_bytes);
+	    "response is larger than %zu bytes", fetch->max_bytes);
 	fetch_cancel(fetch);
 	done(NULL, &err, ctx);
 }
@@ -167,7 +168,7 @@
 {
 	err_set(err, status_to_err_code(response->status),
 	    response->not_run ? VERDICT_NOT_RUN : VERDICT_RAN,
-	    "answered with status %u", response->status);
+	    "response has status %u", response->status);
 	if (err != NULL)
 		err->retry_after_ms = response->retry_after_ms;
 	return false;
--- a/lib/platform/hosts.c
+++ b/lib/platform/hosts.c
@@ -1,4 +1,5 @@
-/* The platform's list of hosts. It lags: a hint, not the truth. */
+/* The platform's list of hosts. The list lags behind the real state, so callers
+ * treat it as a hint. */
 
 #include <string.h>
 
@@ -19,7 +20,7 @@
 	    !reply_str(item, "domain", &entry->domain) ||
 	    !reply_str(item, "state", &state))
 		return false;
-	/* A state we do not know is no reason to send new work there. */
+	/* Treat an unknown state as leaving: the host gets no new work. */
 	entry->leaving = strcmp(state, "live") != 0;
 	return true;
 }
--- a/lib/platform/obj.c
+++ b/lib/platform/obj.c
@@ -1,4 +1,5 @@
-/* The object API's client: its life, reads and lists. Writes: obj_put.c. */
+/* Client of the object API: creation, release, reads and lists. Writes are in
+ * obj_put.c. */
 
 #include <string.h>
 
@@ -105,7 +106,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Reads and lists: repeated within the deadline                       */
+/* Reads and lists, retried within the deadline                        */
 /* ------------------------------------------------------------------ */
 
 struct read_call {
@@ -116,7 +117,7 @@
 	obj_get_cb *got;
 	obj_list_cb *listed;
 	void *ctx;
-	struct err last; /* why the last attempt failed */
+	struct err last; /* error of the last attempt */
 };
 
 static void
@@ -128,7 +129,8 @@
 	g_free(read);
 }
 
-/* The caller may free the client from its callback: our call goes first. */
+/* Frees the call before it runs the callback, because the callback may free the
+ * client. */
 static void
 read_fail(struct obj_call *call, const struct err *err)
 {
@@ -197,7 +199,7 @@
 
 	if (!parse_list(json, &revision, &objects, &n)) {
 		err_set(
-		    err, ERR_UNAVAILABLE, VERDICT_NOT_RUN, "a malformed list");
+		    err, ERR_UNAVAILABLE, VERDICT_NOT_RUN, "malformed list");
 		return;
 	}
 	read_free(read);
@@ -205,7 +207,7 @@
 	g_free(objects);
 }
 
-/* Answers that another attempt could change. */
+/* Errors after which a retry can succeed. */
 static bool
 is_retryable(enum err_code code)
 {
@@ -233,7 +235,7 @@
 	unsigned int wait_ms;
 
 	read->last = *err;
-	/* Only this attempt's deadline has passed, not the caller's. */
+	/* The deadline of this attempt has passed, not the caller's. */
 	if (err->code == ERR_DEADLINE)
 		read->last.code = ERR_UNAVAILABLE;
 	if (is_retryable(err->code) &&
@@ -307,7 +309,7 @@
 	read->ctx = ctx;
 	err_set(&read->last, ERR_UNAVAILABLE, VERDICT_NOT_RUN,
 	    "no time left for a read");
-	/* Failing at once must not call back from within the start. */
+	/* Start from the loop: a callback must not run within this call. */
 	obj_call_wait(&read->call, 0, on_start_timer);
 	return read;
 }
--- a/lib/platform/obj_put.c
+++ b/lib/platform/obj_put.c
@@ -1,11 +1,11 @@
-/* Writes to the object API: carries out what obj_retry.c decides. */
+/* Writes to the object API. Performs the steps that obj_retry.c chooses. */
 
 #include <string.h>
 
 #include "platform/platform_internal.h"
 
-/* An object whose JSON is larger could not be read back. The margin is for
- * the other members of an answer. */
+/* An object with larger JSON could not be read back. The margin leaves room for
+ * the other members of the response. */
 #define PUT_JSON_MAX (FETCH_JSON_MAX - 4096)
 
 struct put_call {
@@ -16,7 +16,7 @@
 	GBytes *json;
 	obj_put_cb *done;
 	void *ctx;
-	struct err invalid; /* found before anything is sent */
+	struct err invalid; /* error of the arguments, reported unsent */
 };
 
 static void
@@ -30,7 +30,8 @@
 	g_free(put);
 }
 
-/* `now`, if there is one, borrows from an answer that outlives the call. */
+/* `now` may be NULL; otherwise it borrows from a response that outlives the
+ * call. */
 static void
 put_finish(struct put_call *put, const struct obj_action *action,
     const struct obj_object *now)
@@ -84,7 +85,7 @@
 	    response->status == HTTP_TOO_MANY_REQUESTS;
 }
 
-/* An answer to the write that carries JSON. False: it does not as it should. */
+/* Parses the JSON of a 200 or 409 response to a write. False if malformed. */
 static bool
 parse_write_response(JsonObject *json, unsigned int status, const char *key,
     struct obj_event *event, struct obj_object *now)
@@ -98,7 +99,7 @@
 		return false;
 	now->key = key;
 	now->version = event->version;
-	/* Nothing is there: neither an operation nor a value. */
+	/* The object is absent: it has no operation id and no value. */
 	if (event->version == 0)
 		return true;
 	if (!obj_parse(json, key, now))
@@ -256,16 +257,16 @@
 
 	if (key_len == 0 || key_len > OBJ_KEY_MAX)
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "the length of a key is out of bounds");
+		    "key length is out of bounds");
 	if (op_len == 0 || op_len >= OBJ_OP_MAX)
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "the length of an operation id is out of bounds");
+		    "operation id length is out of bounds");
 	if (!g_utf8_validate(put->value, -1, NULL))
 		return err_set(
-		    err, ERR_INVALID, VERDICT_NOT_RUN, "a value is not UTF-8");
+		    err, ERR_INVALID, VERDICT_NOT_RUN, "value is not UTF-8");
 	if (strlen(put->value) > OBJ_VALUE_MAX)
 		return err_set(err, ERR_TOO_LARGE, VERDICT_NOT_RUN,
-		    "a value is larger than %u bytes", OBJ_VALUE_MAX);
+		    "value is larger than %u bytes", OBJ_VALUE_MAX);
 	return true;
 }
 
@@ -274,7 +275,7 @@
 {
 	if (g_bytes_get_size(json) > PUT_JSON_MAX)
 		return err_set(err, ERR_TOO_LARGE, VERDICT_NOT_RUN,
-		    "a value is larger than %u bytes in JSON", PUT_JSON_MAX);
+		    "value is larger than %u bytes in JSON", PUT_JSON_MAX);
 	return true;
 }
 
--- a/lib/platform/obj_retry.c
+++ b/lib/platform/obj_retry.c
@@ -1,19 +1,20 @@
 /*
- * Decisions of the object API's client: when to try again, and how a write
- * whose answer was lost is settled. Pure functions of state, event and clock.
+ * Retry decisions of the object API client: when to retry, and how to determine
+ * the outcome of a write whose response was lost. Pure functions of state,
+ * event and clock.
  *
- * A write's answer can be lost after the write took effect. Symptom without
- * care: the caller repeats a conditional write, gets a conflict with its own
- * write and believes that somebody else won. So each write carries an
- * operation id and the object is read back:
+ * The response can be lost after the write was applied. A client that merely
+ * repeats a conditional write then gets a conflict with its own write and
+ * concludes that another writer won. Therefore each write carries an operation
+ * id, and the client reads the object back:
  *
- *  - our id there: it took effect;
- *  - still the version of the condition: no copy took effect so far, and it is
- *    safe to send another, for a late earlier copy and the new one exclude one
- *    another by the condition;
- *  - the version after the condition's, by another id: the only version our
- *    write could have made is taken, so it never takes effect;
- *  - any other version: ours may have been applied and overwritten since.
+ *  - the object has this operation id: the write was applied;
+ *  - the object is still at `if_version`: no copy has been applied yet, and
+ *    sending another copy is safe, because the condition lets only one of the
+ *    copies succeed, even if an earlier one arrives late;
+ *  - the object is at `if_version` + 1 with another id: the only version that
+ *    this write could create is taken, so the write will never be applied;
+ *  - any other version: the write may have been applied and overwritten since.
  */
 
 #include <string.h>
@@ -27,7 +28,7 @@
 
 	for (; failures > 1 && limit < OBJ_BACKOFF_MAX_MS; failures--)
 		limit *= 2;
-	/* Full jitter: callers that failed together come back spread out. */
+	/* Full jitter spreads the retries of callers that failed together. */
 	return (unsigned int)rng_below(rng, MIN(limit, OBJ_BACKOFF_MAX_MS) + 1);
 }
 
@@ -51,7 +52,7 @@
 	if (left < OBJ_ATTEMPT_MIN_MS)
 		return false;
 	budget->failures++;
-	/* Never past the point where an attempt could still be answered. */
+	/* Leave at least half of the remaining time for the next attempt. */
 	*wait_ms = MIN(obj_backoff_ms(rng, budget->failures),
 	    (unsigned int)MIN(left / 2, OBJ_BACKOFF_MAX_MS));
 	return true;
@@ -74,8 +75,9 @@
 
 	err_set(&action.err, ERR_UNAVAILABLE,
 	    write->in_doubt ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN,
-	    write->in_doubt ? "the outcome of a write was not learned in time"
-			    : "a write could not be sent in time");
+	    write->in_doubt
+		? "the outcome of a write is unknown at the deadline"
+		: "a write could not be sent before the deadline");
 	return action;
 }
 
@@ -99,7 +101,7 @@
 	return action;
 }
 
-/* The object has moved on from the condition's version, by another's write. */
+/* Another writer changed the object, which is no longer at `if_version`. */
 static struct obj_action
 finish_conflict(const struct obj_write *write, uint64_t version)
 {
