--- a/lib/platform/obj_watch.c
+++ b/lib/platform/obj_watch.c
@@ -1,31 +1,33 @@
 /*
- * The watch of the object API: a long poll that goes on until stopped.
+ * Watch of the object API: long polls that continue until the watch is stopped.
  *
- * A poll answers with what changed after the revision it names, so nothing is
- * lost between two polls. Two things break that chain, and both are answered
- * by listing afresh and reading every object, which reports it all as changed:
- * an API that restarted with a lower revision, whose new writes would stay
- * below ours for long and never be reported; and a set of changes that is too
- * large for one bounded answer, which would fail at each try.
+ * Each poll returns the changes after the revision in its query, so no change
+ * is lost between two polls. In two cases the watch instead lists the prefix
+ * again, reads every object and reports all of them as changed:
+ *
+ *  - The API restarted with a lower revision. Its new writes would stay below
+ *    the watch's revision for a long time and would not be reported.
+ *  - The changes exceed the size limit of one response, so every further poll
+ *    would fail too.
  */
 
 #include <string.h>
 
 #include "platform/platform_internal.h"
 
-/* How long the API holds an idle poll. Each poll counts as a call, so it is
- * long; a restarted API is noticed by its closed connection. */
+/* How long the API holds an idle poll. The time is long because each poll
+ * counts as a call; a restart of the API shows as a closed connection. */
 #define POLL_WAIT_MS 20000
-/* An answer later than this after the poll's end is not coming. */
+/* Time allowed for the response after the hold time of a poll has ended. */
 #define POLL_GRACE_MS 5000
 #define RELIST_DEADLINE_MS 10000
-/* Polls begin at least this far apart: a busy prefix, or an API that does
- * not hold its answers, would otherwise be asked as fast as it answers. */
+/* Minimum time between the starts of two polls. Without it, a busy prefix or
+ * an API that does not hold polls would be polled as fast as it responds. */
 #define POLL_SPACING_MS 100
 
 struct obj_watch {
 	struct obj *obj;
-	char *escaped_prefix; /* escaped for a query */
+	char *escaped_prefix; /* for use in a query */
 	char *prefix;
 	uint64_t since;
 	const struct obj_watch_ops *ops;
@@ -33,15 +35,15 @@
 	struct fetch *poll;
 	guint timer;
 	unsigned int failures;
-	bool lost; /* reported as failing */
-	int64_t polled_ms; /* when the last poll began */
-	bool poll_at_once; /* the next poll is not to wait */
-	/* A listing afresh: what is still to be read. */
+	bool lost; /* `lost` was called, and `found` not since */
+	int64_t polled_ms; /* start of the last poll */
+	bool poll_at_once; /* ask the API not to hold the next poll */
+	/* State of a relist; `keys` is NULL when none is running. */
 	GPtrArray *keys;
 	guint next_key;
 	uint64_t listed_revision;
-	unsigned int pending; /* gets and lists that will call back */
-	bool in_callback; /* a callback of the owner is running */
+	unsigned int pending; /* running gets and lists */
+	bool in_callback; /* a callback to the owner is running */
 	bool stopped;
 };
 
@@ -58,7 +60,7 @@
 	g_free(watch);
 }
 
-/* True when the watch was stopped meanwhile; it may then be gone. */
+/* True if the watch was stopped; it may then have been freed. */
 static bool
 check_stopped(struct obj_watch *watch)
 {
@@ -134,7 +136,7 @@
 watch_failed(struct obj_watch *watch, const struct err *err)
 {
 	watch->failures++;
-	/* What answers next may have restarted: learn its revision at once. */
+	/* The API may have restarted: get its revision without a hold time. */
 	watch->poll_at_once = true;
 	ctr_add(watch->obj->retries, 1);
 	if (!notify_lost(watch, err))
@@ -145,7 +147,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Listing afresh                                                      */
+/* Relist                                                              */
 /* ------------------------------------------------------------------ */
 
 static void relist_next(struct obj_watch *watch);
@@ -205,7 +207,7 @@
 		watch_failed(watch, err);
 		return;
 	}
-	/* What changes while the objects are read is polled for after. */
+	/* The next poll returns the changes made while objects are read. */
 	watch->since = revision;
 	for (i = 0; i < n; i++)
 		g_ptr_array_add(watch->keys, g_strdup(objects[i].key));
@@ -310,7 +312,7 @@
 	unsigned int wait_ms = watch->poll_at_once ? 0 : POLL_WAIT_MS;
 	char *path;
 
-	/* A listing that failed half way begins anew. */
+	/* Restart a relist that failed before its end. */
 	if (watch->keys != NULL) {
 		relist(watch);
 		return;
@@ -344,8 +346,8 @@
 	watch->since = since;
 	watch->ops = ops;
 	watch->ctx = ctx;
-	/* The first poll does not wait: `since` may be of an earlier life
-	 * of the API. */
+	/* The first poll is not held: the API may have restarted with a lower
+	 * revision since `since` was read. */
 	watch->poll_at_once = true;
 	obj->watches++;
 	watch_poll(watch);
--- a/lib/platform/origin.c
+++ b/lib/platform/origin.c
@@ -1,4 +1,4 @@
-/* Reads of ranges at the origin of weights. */
+/* Range reads at the origin of weights. */
 
 #include <string.h>
 
@@ -12,8 +12,8 @@
 	void *ctx;
 };
 
-/* Bytes of another place pass no digest check, but the mistake would be blamed
- * on corruption; so the answer has to name the range that was asked for. */
+/* Checks that the response covers the requested range. A wrong range would fail
+ * the digest check, but would be counted as corruption. */
 static bool
 is_requested_range(
     const struct origin_read *read, const struct fetch_response *response)
@@ -59,7 +59,7 @@
 		finish(read, NULL, &why);
 	} else if (!is_requested_range(read, response)) {
 		err_set(&why, ERR_INVALID, VERDICT_RAN,
-		    "the origin answered with another range");
+		    "the origin sent a range that was not requested");
 		finish(read, NULL, &why);
 	} else {
 		finish(read, response->body, NULL);
--- a/lib/platform/plat.c
+++ b/lib/platform/plat.c
@@ -1,24 +1,24 @@
 /*
- * The HTTP sessions that the adapters of a process share, and the sockets of
- * their connections, which libsoup does not show: target.c looks at them to
- * tell a whole answer from a cut one.
+ * HTTP sessions shared by the adapters of a process, and the sockets of their
+ * connections. libsoup does not expose the sockets; target.c inspects them to
+ * distinguish a complete response from a truncated one.
  */
 
 #include <string.h>
 
 #include "platform/platform_internal.h"
 
-/* An entry has some thousand streams open at once, many to one engine; a
- * request that waits in the session's queue would lose its deadline there.
- * The limits of admission are ours, not the session's. */
+/* A gateway has some thousand streams open at once, many of them to one engine,
+ * and a request that waits in the session's queue would spend its deadline
+ * there. Admission control limits the load, so the session must not. */
 #define CONNS_MAX 4096
-/* Idle connections are closed before most servers' own limit of a minute, so
- * that few requests meet a connection that is just being closed. */
+/* Idle connections are closed well before the one-minute limit of most servers,
+ * so that few requests use a connection that the server is closing. */
 #define IDLE_TIMEOUT_S 20
 
 struct plat_socket {
 	struct plat_pool *pool;
-	guint64 id; /* libsoup's number of the connection; key in the map */
+	guint64 id; /* libsoup's connection id; key of the table */
 	GSocket *socket; /* weak */
 };
 
@@ -55,7 +55,7 @@
 	    message, "network-event", G_CALLBACK(on_network_event), data);
 }
 
-/* The last mention: a message may outlive the session's owner. */
+/* Disconnects the handler, because a message may outlive the pool. */
 static void
 on_unqueued(SoupSession *session, SoupMessage *message, gpointer data)
 {
@@ -85,7 +85,7 @@
 	    pool->session, "request-queued", G_CALLBACK(on_queued), pool);
 	g_signal_connect(
 	    pool->session, "request-unqueued", G_CALLBACK(on_unqueued), pool);
-	/* Bytes are handed on as they came, and no request is repeated with
+	/* Bodies are passed on undecoded, and no request is repeated with
 	 * credentials. */
 	soup_session_remove_feature_by_type(
 	    pool->session, SOUP_TYPE_CONTENT_DECODER);
--- a/lib/platform/reply.c
+++ b/lib/platform/reply.c
@@ -1,11 +1,12 @@
-/* Reading JSON answers: every member is checked for its type. */
+/* Readers of JSON responses; the type of every member is checked. */
 
 #include <string.h>
 
 #include "platform/platform_internal.h"
 
-/* The parser calls itself for each level; without a bound, a long run of `[`
- * overflows the stack and ends the process. Our answers have three levels. */
+/* The parser recurses for each level, so that without a limit a long run of
+ * `[` overflows the stack and crashes the process. Valid responses have three
+ * levels. */
 #define DEPTH_MAX 32
 
 static bool
@@ -37,7 +38,7 @@
 reply_malformed(struct err *err)
 {
 	return err_set(
-	    err, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN, "a malformed answer");
+	    err, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN, "malformed response");
 }
 
 bool
--- a/lib/platform/target.c
+++ b/lib/platform/target.c
@@ -1,10 +1,10 @@
 /*
- * One HTTP exchange with a target, handed over piece by piece.
+ * One HTTP exchange with a target, with a streamed response.
  *
- * A call is in one of three conditions: an asynchronous operation of libsoup
- * is under way (`busy`), it rests because it is paused, or it is over. What
- * ends a call from outside (deadline, stall, cancel) cancels the operation
- * under way and leaves the rest to its completion.
+ * A call is in one of three states: an asynchronous libsoup operation is
+ * running (`busy`), the call is paused, or it has ended. A deadline, a stall or
+ * a cancellation cancels the running operation, whose completion then ends and
+ * frees the call.
  */
 
 #include <errno.h>
@@ -13,8 +13,8 @@
 
 #include "platform/platform_internal.h"
 
-/* Tokens come in pieces of some hundred bytes; weights in large ones. Held
- * by each of some thousand open streams. */
+/* Token events have some hundred bytes, chunks of weights are large. Each of
+ * some thousand open streams has a buffer of this size. */
 #define READ_BYTES (16u << 10)
 
 struct target_call {
@@ -29,19 +29,19 @@
 	guint deadline_timer, stall_timer, idle;
 	unsigned int stall_ms;
 	int64_t last_byte_us;
-	bool busy; /* an operation or a callback is under way */
+	bool busy; /* an operation or a callback is running */
 	bool paused;
-	bool abandoned; /* the owner cancelled; no more callbacks */
+	bool abandoned; /* no more callbacks; freed on completion */
 	bool sent; /* libsoup began to write the request */
-	bool not_run; /* the target said so */
-	bool own_connection; /* not to be kept after the exchange */
-	bool reusable; /* the answer was read to its end */
-	uint64_t received; /* bytes of the answer's body */
-	struct err why; /* why the call was given up, if it was */
+	bool not_run; /* the response has `X-Not-Run: 1` */
+	bool own_connection; /* close the connection after the exchange */
+	bool reusable; /* the response was read completely */
+	uint64_t received; /* bytes of the response body */
+	struct err why; /* why the call was aborted, if it was */
 	uint8_t buffer[READ_BYTES];
 };
 
-/* Headers that belong to one connection, not to the request. */
+/* Hop-by-hop headers, and others that belong to one connection. */
 static const char *const hop_headers[] = { "Connection", "Keep-Alive",
 	"Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Host", "Expect", NULL };
@@ -66,7 +66,7 @@
 	*timer = 0;
 }
 
-/* Takes the call out of its owner's sight: no timers, not in the list. */
+/* Stops the timers and removes the call from the list of running calls. */
 static void
 detach(struct target_call *call)
 {
@@ -82,8 +82,8 @@
 
 /*
  * A body stream that is closed or freed before its end first reads the rest of
- * the answer, blocking the loop for as long as the target likes to send. With a
- * cancelled cancellable it closes the connection instead.
+ * the response and blocks the loop for as long as the target sends. With a
+ * cancelled cancellable, it closes the connection instead.
  */
 static void
 close_body(struct target_call *call)
@@ -121,7 +121,7 @@
 	ops.ended(&final, ctx);
 }
 
-/* Before the first byte of the request is written nothing can have run. */
+/* Nothing can have run before the first byte of the request was written. */
 static enum verdict
 verdict_now(const struct target_call *call)
 {
@@ -135,7 +135,7 @@
 {
 	if (!err_is(&call->why)) {
 		err_set(&call->why, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN, "%s",
-		    error != NULL ? error->message : "no answer");
+		    error != NULL ? error->message : "no response");
 	}
 	call->why.verdict = verdict_now(call);
 	finish(call, &call->why);
@@ -167,12 +167,13 @@
 }
 
 /*
- * libsoup takes a chunked answer that was cut between two chunks for whole: a
- * stream whose target dies between two tokens would end as if it were
- * complete. What libsoup took for the end was then the end of the connection,
- * which shows on the socket for good; after a whole answer the connection is
- * still open, as we never ask for its end. A target that closes it all the
- * same right after its last chunk cannot be told from one that died.
+ * libsoup treats a chunked response that was truncated between two chunks as
+ * complete, so a stream whose target terminates between two tokens would seem
+ * to end normally. In that case libsoup has read the end of the connection, and
+ * the socket stays at end of file. After a complete response the connection is
+ * still open, because the requests never ask for it to be closed. A target that
+ * nevertheless closes it right after the last chunk cannot be distinguished
+ * from one that terminated.
  */
 static bool
 is_connection_open(GSocket *socket)
@@ -187,10 +188,10 @@
 }
 
 /*
- * An answer that neither has a length nor comes in chunks looks the same when
- * the target died half way; and libsoup takes one that is shorter than its
- * Content-Length for whole when the target had announced that it
- * closes the connection.
+ * A response with neither a length nor chunked encoding looks the same whether
+ * or not the target terminated before its end. In addition, libsoup treats a
+ * response shorter than its Content-Length as complete if the target announced
+ * that it closes the connection.
  */
 static bool
 is_complete(const struct target_call *call)
@@ -226,7 +227,7 @@
 	call->reusable = complete && !call->own_connection;
 	if (!complete) {
 		err_set(&err, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN,
-		    "an answer was cut");
+		    "the response was truncated");
 	}
 	if (call->not_run) {
 		err_set(&err, refusal_code(status), VERDICT_NOT_RUN,
@@ -237,7 +238,8 @@
 	finish(call, &err);
 }
 
-/* No callbacks from now on; the operation under way frees the call. */
+/* Suppresses further callbacks; completion of the running operation frees the
+ * call. */
 static void
 abandon(struct target_call *call)
 {
@@ -261,9 +263,9 @@
 	} else if (call->sent) {
 		g_cancellable_cancel(call->cancel);
 	} else {
-		/* libsoup does not look at the cancellable of a message that
-		 * waits for a connection: it would end long after its
-		 * deadline. It does before it writes. */
+		/* libsoup ignores the cancellable while a message waits for
+		 * a connection, so the call would end long after its
+		 * deadline. libsoup checks it before it writes. */
 		why = call->why;
 		abandon(call);
 		ops.ended(&why, ctx);
@@ -276,13 +278,14 @@
 	struct target_call *call = data;
 
 	call->deadline_timer = 0;
-	abort_call(call, ERR_DEADLINE, "the exchange's deadline passed");
+	abort_call(call, ERR_DEADLINE, "the deadline of the exchange passed");
 	return G_SOURCE_REMOVE;
 }
 
 static gboolean on_stall(gpointer data);
 
-/* The timer is set anew only when it fires, not at each byte. */
+/* Starts the timer for the stall limit. It is restarted only when it fires, not
+ * at each read. */
 static void
 start_stall_timer(struct target_call *call)
 {
@@ -397,11 +400,11 @@
 }
 
 /*
- * libsoup by itself sends a GET, PUT, DELETE and the like a second time when a
- * kept connection closes before any byte of the answer. The target may have
- * run the first: it would run twice on one attempt, and nobody would count it.
- * libsoup emits `restarted` before it asks for another connection, and a
- * message that is cancelled by then is not sent again.
+ * libsoup resends an idempotent request (GET, PUT, DELETE and the like) when a
+ * reused connection closes before the first byte of the response. The target
+ * may have run the request already and would run it twice in one attempt,
+ * uncounted. libsoup emits `restarted` before it requests another connection,
+ * and does not resend a message that is cancelled by then.
  */
 static void
 on_restarted(SoupMessage *message, gpointer data)
@@ -410,7 +413,7 @@
 
 	if (!call->abandoned)
 		abort_call(call, ERR_UNAVAILABLE,
-		    "the connection was closed before an answer");
+		    "the connection was closed before a response");
 }
 
 static void
@@ -442,9 +445,8 @@
 }
 
 /*
- * Connections are kept and used again, by a POST too, which libsoup does only
- * when told that it is idempotent; it still does not send a POST a second
- * time.
+ * Connections are reused, also for POST. libsoup does this only for messages
+ * that are marked idempotent; the mark does not make it resend a POST.
  */
 static SoupMessage *
 new_message(const struct target_request *request)
@@ -467,7 +469,7 @@
 	struct target_call *call = data;
 
 	call->idle = 0;
-	abort_call(call, ERR_INVALID, "malformed address of a target");
+	abort_call(call, ERR_INVALID, "malformed target address");
 	return G_SOURCE_REMOVE;
 }
 
