--- a/lib/platform/platform.h
+++ b/lib/platform/platform.h
@@ -2,14 +2,14 @@
 #define PLATFORM_H
 
 /*
- * platform: client adapters for the systems outside: the object API, the
- * origin of weights, the host list, model engines and plain services. All
- * are HTTP through libsoup, asynchronous on the default main loop.
- * docs/INTERFACES.md, section 1 is the protocol.
+ * platform: clients of the external systems: the object API, the origin of
+ * weights, the host list, model engines and plain services. All use HTTP
+ * through libsoup, asynchronously on the default main loop. The protocol is
+ * docs/INTERFACES.md, section 1.
  *
- * Callbacks run from the loop, never from within the call that starts the
- * work, exactly once, also after a deadline. `err` is NULL on success.
- * Pointers handed to a callback are valid during it only.
+ * A callback runs exactly once, from the loop and never from within the call
+ * that starts the operation, also after a deadline. `err` is NULL on success.
+ * Pointers passed to a callback are valid only until it returns.
  */
 
 #include <libsoup/soup.h>
@@ -18,12 +18,12 @@
 
 /* The HTTP sessions shared by the adapters of a process. */
 struct plat;
-/* Exchanges that are running at plat_free end with ERR_CANCELLED from within
- * it; a client of the object API is freed before. */
+/* plat_free ends running exchanges with ERR_CANCELLED, from within the call.
+ * Free the clients of the object API before it. */
 struct plat *plat_new(
     const struct clk *clock, struct ctr_set *counters, struct tl *timeline);
 void plat_free(struct plat *plat);
-/* One of its sessions, for a use that the adapters do not cover. */
+/* One of the sessions, for uses that the adapters do not cover. */
 SoupSession *plat_session(struct plat *plat);
 
 /* ------------------------------------------------------------------ */
@@ -31,13 +31,13 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * Every call has a deadline; within it reads are repeated, and writes are
- * settled, after a back-off with jitter. A write whose answer is lost is
- * settled by reading the object back: it took effect if the object carries the
- * write's operation id. Only when that cannot be learned within the deadline
- * does a write end as ERR_UNAVAILABLE with VERDICT_MAY_HAVE_RUN. Counters:
- * obj_reads, obj_writes, obj_refused_writes, obj_watches, obj_retries,
- * obj_settled_writes, obj_errors.
+ * Every call has a deadline, within which failed reads and writes are retried
+ * after a backoff with jitter. If the response to a write is lost, the client
+ * reads the object back: the write was applied if the object has its operation
+ * id. A write ends as ERR_UNAVAILABLE with VERDICT_MAY_HAVE_RUN only if its
+ * outcome cannot be determined within the deadline. Counters: obj_reads,
+ * obj_writes, obj_refused_writes, obj_watches, obj_retries, obj_settled_writes,
+ * obj_errors.
  */
 #define OBJ_VALUE_MAX (1u << 20)
 #define OBJ_KEY_MAX 200
@@ -47,15 +47,15 @@
 
 struct obj_object {
 	const char *key;
-	uint64_t version; /* grows by one a write; 0: absent */
+	uint64_t version; /* incremented by each write; 0: absent */
 	const char *op; /* operation id of the last write */
-	const char *value; /* NULL where only versions were asked for */
+	const char *value; /* NULL in a list, which holds versions only */
 };
 
 typedef void obj_get_cb(
     const struct obj_object *object, const struct err *err, void *ctx);
-/* `version` is the object's after a successful write; on ERR_CONFLICT `now` is
- * what is there. */
+/* After a successful write, `version` is the new version of the object; on
+ * ERR_CONFLICT, `now` is the current object. */
 typedef void obj_put_cb(uint64_t version, const struct obj_object *now,
     const struct err *err, void *ctx);
 typedef void obj_list_cb(uint64_t revision, const struct obj_object *objects,
@@ -63,21 +63,21 @@
 
 /* `base` is "http://ip:port". */
 struct obj *obj_new(struct plat *plat, const char *base);
-/* Pending callbacks get ERR_CANCELLED, from within the call; watches have
- * been stopped before. */
+/* Ends pending calls with ERR_CANCELLED, from within obj_free. Stop the
+ * watches before it. */
 void obj_free(struct obj *obj);
 
-/* ERR_NOT_FOUND when absent. */
+/* Ends with ERR_NOT_FOUND if the object is absent. */
 void obj_get(struct obj *obj, const char *key, unsigned int deadline_ms,
     obj_get_cb *done, void *ctx);
-/* A fresh operation id: node, time and a random part. */
+/* Creates an operation id of the node, the time and a random number. */
 void obj_new_op(struct obj *obj, const char *node, char out[OBJ_OP_MAX]);
 
 struct obj_put {
 	const char *key;
 	const char *op; /* required */
 	const char *value;
-	bool conditional; /* only if the version is `if_version` (0: absent) */
+	bool conditional; /* write only at version `if_version` (0: absent) */
 	uint64_t if_version;
 	unsigned int deadline_ms;
 };
@@ -87,13 +87,13 @@
     obj_list_cb *done, void *ctx);
 
 /*
- * A long-poll watch that goes on until stopped, with back-off while the API is
- * down. `changed` gets objects changed since the last call; `lost` (may be
- * NULL) is called when the watch begins to fail and `found` when it works
- * again. When the API restarted with a lower revision, or changes do not fit
- * into one answer, all objects under the prefix are read anew and given to
- * `changed` one by one, with the revision of the list: a caller ignores
- * versions that it has. `ops` outlives the watch.
+ * A long-poll watch that runs until stopped, with a backoff while the API is
+ * down. `changed` gets the objects changed since its last call. `lost` is
+ * called when the watch begins to fail and `found` when it works again; both
+ * may be NULL. If the API restarted with a lower revision, or the changes do
+ * not fit into one response, all objects under the prefix are read again and
+ * passed to `changed` one by one with the revision of the list, and the owner
+ * of the watch ignores versions that it has already. `ops` outlives the watch.
  */
 struct obj_watch_ops {
 	void (*changed)(uint64_t revision, const struct obj_object *objects,
@@ -111,8 +111,8 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * Reads bytes [offset, offset + len) of a name at the origin. A read that
- * brings no byte for `stall_ms` ends as ERR_UNAVAILABLE. Counters:
+ * Reads bytes [offset, offset + len) of the object `name` at the origin. A read
+ * that receives no byte for `stall_ms` ends as ERR_UNAVAILABLE. Counters:
  * origin_reads, origin_bytes, origin_stalls, origin_errors.
  */
 typedef void origin_read_cb(GBytes *bytes, const struct err *err, void *ctx);
@@ -129,7 +129,7 @@
 
 struct hosts_entry {
 	const char *host;
-	const char *address; /* "ip:port" of our process there */
+	const char *address; /* "ip:port" of the process on the host */
 	const char *domain;
 	bool leaving;
 };
@@ -143,13 +143,14 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * One HTTP exchange with a target, its answer handed over piece by piece and
- * never gathered. The verdict in `ended`: NOT_RUN when the connection was
- * refused or the target said `X-Not-Run: 1`; RAN when the answer came whole;
- * MAY_HAVE_RUN for everything else. An answer without a length, or one in
- * chunks whose connection the target closes at once, cannot be told from a cut
- * one: MAY_HAVE_RUN. No request is sent twice. A pointer to a call is invalid
- * from `ended` on; one more piece may arrive after a pause.
+ * One HTTP exchange with a target. The response is streamed to the callbacks
+ * and never buffered as a whole. The verdict in `ended` is NOT_RUN if the
+ * connection was refused or the target sent `X-Not-Run: 1`, RAN if the response
+ * was complete, and MAY_HAVE_RUN otherwise. That includes a response without a
+ * length, and a chunked one whose connection the target closes right after it:
+ * both cannot be distinguished from a truncated response. No request is sent
+ * twice. A pointer to a call is invalid once `ended` was called. `data` may be
+ * called once more after a pause.
  */
 struct target_call;
 struct target_request {
@@ -159,28 +160,30 @@
 	const char *const *headers; /* name, value, ..., NULL */
 	GBytes *body; /* may be NULL */
 	unsigned int deadline_ms; /* for the whole exchange; 0: none */
-	unsigned int stall_ms; /* no byte for so long ends it; 0: none */
-	/* Not over a connection kept from before: a target that is just
-	 * closing one makes a request MAY_HAVE_RUN that it never saw. For
-	 * requests that are not repeated; costs a round trip. */
+	unsigned int stall_ms; /* longest time without a byte; 0: none */
+	/* Open a new connection. On a reused one that the target is closing, a
+	 * request ends as MAY_HAVE_RUN although the target never received it.
+	 * For requests that must not be repeated; costs a round trip. */
 	bool own_connection;
 };
 struct target_ops {
 	void (*head)(
 	    unsigned int status, SoupMessageHeaders *headers, void *ctx);
 	void (*data)(const uint8_t *bytes, size_t len, void *ctx);
-	/* No byte came for `stall_ms`; `ended` follows. For counting only:
-	 * it must not cancel the call. May be NULL. */
+	/* No byte was received for `stall_ms`; `ended` follows. Only for
+	 * counting: it must not cancel the call. May be NULL. */
 	void (*stalled)(void *ctx);
-	/* Last call; `err` holds the verdict, ERR_NONE and RAN on success. */
+	/* The last callback. `err` is never NULL: it holds the verdict, with
+	 * ERR_NONE and RAN on success. */
 	void (*ended)(const struct err *err, void *ctx);
 };
 struct target_call *target_call_start(struct plat *plat,
     const struct target_request *request, const struct target_ops *ops,
     void *ctx);
-/* Holds back reading, so that a slow caller holds back only its stream. */
+/* Pauses or resumes reading, so that a slow caller delays only its own
+ * stream. */
 void target_call_pause(struct target_call *call, bool paused);
-/* Closes the exchange; `ended` does not follow. */
+/* Ends the exchange; `ended` is not called. */
 void target_call_cancel(struct target_call *call);
 
 struct engine_load {
@@ -189,20 +192,20 @@
 	struct digest root;
 	uint64_t bytes;
 	uint64_t chunk_bytes;
-	const char *chunks_url; /* at the side process, on loopback */
+	const char *chunks_url; /* at the sidecar, on loopback */
 	const char *source;
 	uint64_t fence;
 	const char *order_id;
 };
-/* `loaded` is the digest that the engine says it loaded. ERR_STALE_FENCE,
- * ERR_CORRUPT (the engine's own check failed) or ERR_UNAVAILABLE /
- * ERR_DEADLINE otherwise. */
+/* `loaded` is the digest that the engine reports as loaded. Errors are
+ * ERR_STALE_FENCE, ERR_CORRUPT (the engine's own check failed), ERR_UNAVAILABLE
+ * and ERR_DEADLINE. */
 typedef void engine_load_cb(
     const struct digest *loaded, const struct err *err, void *ctx);
 void engine_load(struct plat *plat, const char *base,
     const struct engine_load *order, unsigned int deadline_ms,
     engine_load_cb *done, void *ctx);
-/* What is loaded now; a zero digest when nothing is. */
+/* Reads the loaded version and its digest, which is zero if none is loaded. */
 typedef void engine_loaded_cb(const char *version, const struct digest *loaded,
     uint64_t fence, const struct err *err, void *ctx);
 void engine_loaded(struct plat *plat, const char *base,
@@ -217,7 +220,7 @@
     const struct engine_report *report, const struct err *err, void *ctx);
 void engine_report(struct plat *plat, const char *base,
     unsigned int deadline_ms, engine_report_cb *done, void *ctx);
-/* Best effort; the answer is not waited for. */
+/* Best effort: the outcome is not reported. */
 void engine_cancel(struct plat *plat, const char *base, const char *request_id);
 
 struct engine_cache_event {
--- a/lib/platform/platform_internal.h
+++ b/lib/platform/platform_internal.h
@@ -1,7 +1,7 @@
 #ifndef PLATFORM_INTERNAL_H
 #define PLATFORM_INTERNAL_H
 
-/* Shared by the files of the platform package only. */
+/* Shared by the files of lib/platform and its tests only. */
 
 #include <json-glib/json-glib.h>
 
@@ -10,18 +10,18 @@
 TAILQ_HEAD(target_calls, target_call);
 
 /*
- * One of the sessions that exchanges are spread over. The work that libsoup
- * does for one exchange grows with the number of those in the same session, so
- * that some hundred streams would take the whole processor.
+ * One of the sessions over which exchanges are distributed. libsoup's work for
+ * one exchange grows with the number of exchanges in its session, so that some
+ * hundred streams in one session would take a whole processor.
  */
 struct plat_pool {
 	SoupSession *session;
-	GHashTable *sockets; /* of open connections, by libsoup's number */
-	unsigned int running; /* exchanges */
+	GHashTable *sockets; /* of open connections, by libsoup's id */
+	unsigned int running; /* number of running exchanges */
 };
 
 #define PLAT_POOLS 64
-/* Exchanges in one lane before the next one is taken. */
+/* Exchanges in one pool before the next pool is used. */
 #define PLAT_POOL_FILL 32
 
 struct plat {
@@ -32,13 +32,14 @@
 	struct target_calls calls; /* running exchanges */
 };
 
-/* With at most `conns` connections a lane; for tests of what waits for one. */
+/* With at most `conns` connections per pool; for tests of exchanges that wait
+ * for a connection. */
 struct plat *plat_new_bounded(const struct clk *clock, struct ctr_set *counters,
     struct tl *timeline, unsigned int conns);
-/* The lane for an exchange with `base`: the same as before where that is
- * not full, so that connections are used again. */
+/* The pool for an exchange with `base`: the same one for each exchange while it
+ * is not full, so that connections are reused. */
 struct plat_pool *plat_pool(struct plat *plat, const char *base);
-/* The socket that a message went over; NULL when it is gone. Borrowed. */
+/* The socket of a message's connection, borrowed; NULL if it was freed. */
 GSocket *plat_socket(const struct plat_pool *pool, SoupMessage *message);
 
 struct ctr *plat_counter(const struct plat *plat, const char *name);
@@ -46,11 +47,11 @@
 void target_cancel_all(struct plat *plat);
 
 /* ------------------------------------------------------------------ */
-/* Fetch: one exchange whose bounded answer is gathered                */
+/* Fetch: one exchange whose response is buffered, up to a limit       */
 /* ------------------------------------------------------------------ */
 
-/* Largest answer of the object API, the host list and the engines: an object's
- * value of 1 MB with room for JSON's escapes. */
+/* Largest response of the object API, the host list and the engines: an object
+ * value of 1 MB, with room for JSON escapes. */
 #define FETCH_JSON_MAX (2u << 20)
 
 struct fetch_request {
@@ -61,24 +62,24 @@
 	GBytes *json; /* request body; NULL: none */
 	unsigned int deadline_ms; /* 0: none */
 	unsigned int stall_ms; /* 0: none */
-	struct ctr *stalls; /* counts those ended by `stall_ms`; may be NULL */
-	size_t max_bytes; /* a larger answer is refused as ERR_TOO_LARGE */
+	struct ctr *stalls; /* counts exchanges that stalled; may be NULL */
+	size_t max_bytes; /* a larger response ends as ERR_TOO_LARGE */
 };
 
-/* 429, which libsoup's list lacks. */
+/* Missing in libsoup's list of statuses. */
 #define HTTP_TOO_MANY_REQUESTS 429
 
 struct fetch_response {
 	unsigned int status;
 	GBytes *body;
-	bool not_run; /* the answer says that nothing was run */
+	bool not_run; /* an error response with `X-Not-Run: 1` */
 	unsigned int retry_after_ms;
 	SoupMessageHeaders *headers;
 };
 
 /*
- * `err` is NULL for a whole answer of whatever status. Otherwise `answer` is
- * NULL and `err` has the verdict of the exchange.
+ * `err` is NULL for a complete response of any status. Otherwise `response` is
+ * NULL and `err` holds the verdict of the exchange.
  */
 typedef void fetch_cb(
     const struct fetch_response *response, const struct err *err, void *ctx);
@@ -88,78 +89,79 @@
     const struct fetch_request *request, fetch_cb *done, void *ctx);
 /* No callback follows. NULL is allowed. */
 void fetch_cancel(struct fetch *fetch);
-/* The error that a status outside 200-299 stands for; false. */
+/* Sets the error for a status outside 200-299; returns false. */
 bool fetch_status_error(const struct fetch_response *response, struct err *err);
 
 /* ------------------------------------------------------------------ */
-/* JSON of answers                                                     */
+/* JSON responses                                                      */
 /* ------------------------------------------------------------------ */
 
 struct reply {
 	JsonObject *json; /* the root; borrowed from the parser */
 	JsonParser *parser;
 };
-/* Opens an answer's body. ERR_UNAVAILABLE when it is not one JSON object. */
+/* Parses a response body. ERR_UNAVAILABLE if it is not one JSON object. */
 bool reply_open(struct reply *reply, GBytes *bytes, struct err *err);
-/* The same for what a fetch gave, whose error or status other than 200 is the
- * error. */
+/* Parses the result of a fetch. Its error, or a status other than 200, is
+ * reported in `err`. */
 bool reply_from_fetch(struct reply *reply,
     const struct fetch_response *response, const struct err *failure,
     struct err *err);
-void reply_close(struct reply *reply); /* nothing when it was not opened */
-/* For an answer that lacks what it should have; returns false. */
+void reply_close(struct reply *reply); /* no-op if it is not open */
+/* Sets the error for a response with missing members; returns false. */
 bool reply_malformed(struct err *err);
-/* False when the member is missing or of another type; no error is set. */
+/* False if the member is missing or of another type; no error is set. */
 bool reply_u64(JsonObject *object, const char *name, uint64_t *out);
 bool reply_str(JsonObject *object, const char *name, const char **out);
 bool reply_bool(JsonObject *object, const char *name, bool *out);
 bool reply_digest(JsonObject *object, const char *name, struct digest *out);
-/* NULL when missing or not a list of objects only. */
+/* NULL if the member is missing or is not a list of objects only. */
 JsonArray *reply_objects(JsonObject *object, const char *name);
-/* Text of a builder's document; takes the builder. */
+/* Serializes the builder's document; takes ownership of the builder. */
 GBytes *json_text(JsonBuilder *builder);
 
 /* ------------------------------------------------------------------ */
 /* Object API: decisions                                               */
 /* ------------------------------------------------------------------ */
 
-/* First and longest back-off. The API answers in milliseconds when it is
- * up; while it is down, a caller a process every second or so is no load. */
+/* First and longest backoff. The API responds within milliseconds when it is
+ * up. While it is down, one call per process every second or so is a negligible
+ * load. */
 #define OBJ_BACKOFF_FIRST_MS 25
 #define OBJ_BACKOFF_MAX_MS 2000
-/* An attempt that has not been answered for so long is given up, ... */
+/* Longest time that an attempt waits for its response. */
 #define OBJ_ATTEMPT_MAX_MS 5000
-/* ... and none is begun with less than this left. */
+/* No attempt is started with less time than this left. */
 #define OBJ_ATTEMPT_MIN_MS 5
 
-/* Wait before retry number `failures` (1 for the first): exponential, with
- * full jitter. */
+/* Delay before retry number `failures` (1 for the first): exponential backoff
+ * with full jitter. */
 unsigned int obj_backoff_ms(struct rng *rng, unsigned int failures);
 
-/* Times within one call's deadline. */
+/* Time budget of one call. */
 struct obj_budget {
 	int64_t deadline_ms; /* on the monotonic clock */
 	unsigned int failures;
 };
-/* Time for one attempt: half of what is left, so that a lost answer leaves
- * time to learn the outcome. 0 when no attempt is to be begun. */
+/* Timeout of one attempt: half of the time left, so that after a lost response
+ * there is time to determine the outcome. 0 if no attempt should start. */
 unsigned int obj_attempt_ms(const struct obj_budget *budget, int64_t now_ms);
-/* Counts a failure and gives the wait before the next attempt; false when
- * too little is left for one. */
+/* Counts a failure and sets the delay before the next attempt; false if too
+ * little time is left for one. */
 bool obj_retry_wait(struct obj_budget *budget, int64_t now_ms, struct rng *rng,
     unsigned int *wait_ms);
 
-/* What can happen to a write. */
+/* Events of a write. */
 enum obj_event_kind {
 	OBJ_BEGIN,
 	OBJ_WRITTEN, /* 200, with the version */
-	OBJ_CONFLICT, /* 409, with what is there */
-	OBJ_NOT_SENT, /* certain: nothing was applied */
-	OBJ_NO_RESPONSE, /* sent, and no usable answer */
-	OBJ_REJECTED, /* an answer that repeating does not change */
-	OBJ_READ_BACK, /* read back: what is there, version 0 if absent */
+	OBJ_CONFLICT, /* 409, with the current object */
+	OBJ_NOT_SENT, /* known not to have been applied */
+	OBJ_NO_RESPONSE, /* sent, without a usable response */
+	OBJ_REJECTED, /* an error that a retry would not change */
+	OBJ_READ_BACK, /* the object was read back; version 0 if absent */
 	OBJ_READ_FAILED,
-	OBJ_WAITED, /* the wait asked for is over */
+	OBJ_WAITED, /* the delay of OBJ_DO_WAIT is over */
 };
 struct obj_event {
 	enum obj_event_kind kind;
@@ -176,8 +178,8 @@
 };
 struct obj_action {
 	enum obj_step step;
-	unsigned int ms; /* limit of the attempt, or length of the wait */
-	bool settled; /* OBJ_DO_END: learned from the object itself */
+	unsigned int ms; /* timeout of the attempt, or length of the delay */
+	bool settled; /* OBJ_DO_END: the outcome was read from the object */
 	uint64_t version; /* OBJ_DO_END without error */
 	struct err err; /* OBJ_DO_END */
 };
@@ -186,10 +188,10 @@
 	char op[OBJ_OP_MAX];
 	bool conditional;
 	uint64_t if_version;
-	bool in_doubt; /* a copy that was sent may have been applied */
+	bool in_doubt; /* a copy already sent may have been applied */
 	struct obj_budget budget;
 };
-/* The next step of a write; changes `write` only. */
+/* Returns the next step of a write; changes only `write` and `rng`. */
 struct obj_action obj_write_next(struct obj_write *write,
     const struct obj_event *event, int64_t now_ms, struct rng *rng);
 
@@ -210,9 +212,8 @@
 	    *settled_writes, *errors;
 };
 
-/* What gets, lists and puts have in common: a place in the client's list, the
- * exchange or the wait that is going on, and how to end. First member of each.
- */
+/* Common part of gets, lists and puts, and the first member of each: the entry
+ * in the client's list, the running exchange or delay, and how to fail. */
 struct obj_call {
 	TAILQ_ENTRY(obj_call) link;
 	struct obj *obj;
@@ -223,14 +224,15 @@
 };
 void obj_call_init(struct obj_call *call, struct obj *obj,
     void (*fail)(struct obj_call *call, const struct err *err));
-/* Stops what is going on and leaves the list. */
+/* Stops the exchange or the delay and removes the call from the list. */
 void obj_call_end(struct obj_call *call);
-/* Calls `resume` with the call after `ms`. */
+/* Calls `resume` with the call after a delay of `ms`. */
 void obj_call_wait(struct obj_call *call, unsigned int ms, GSourceFunc resume);
 int64_t obj_now_ms(const struct obj *obj);
 
 char *obj_key_path(const char *key); /* g_free */
-/* Reads an object out of an answer; `out` borrows from `json`. */
+/* Reads an object from a response; `out` borrows from `json`. With a NULL `key`
+ * the key is read from `json` too. */
 bool obj_parse(JsonObject *json, const char *key, struct obj_object *out);
 
 #endif
