--- a/tests/adapter/test_foreign.c
+++ b/tests/adapter/test_foreign.c
@@ -1,4 +1,4 @@
-/* Entries that another writer put into the store, or that were spoilt there. */
+/* Entries that another writer put into the store, or that were corrupted. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,19 +15,19 @@
 	"\"version\":\"v1\",\"slots\":16,\"sequence\":3,\"state\":\"ready\"," \
 	"\"coldMs\":0,\"born\":1700000000123"
 
-/* An object of the store with this spec. */
+/* JSON of a store object with this spec. */
 #define OBJECT(name, spec)                                                    \
 	"{\"metadata\":{\"name\":\"" name "\",\"revision\":7},\"spec\":" spec \
 	"}"
 
-struct seen {
+struct counts {
 	guint good, bad;
 	char last_good[SV_ID_MAX];
 };
 
 static bool
-read_text(const struct store_kind *kind, const char *text, size_t len,
-    struct seen *seen)
+read_page(const struct store_kind *kind, const char *text, size_t len,
+    struct counts *counts)
 {
 	struct store_page page = { 0 };
 	struct store_item *item;
@@ -35,17 +35,17 @@
 	bool ok;
 	guint i;
 
-	memset(seen, 0, sizeof(*seen));
+	memset(counts, 0, sizeof(*counts));
 	page.items = g_array_new(FALSE, FALSE, sizeof(struct store_item));
 	ok = adapter_store.read_page(kind, text, len, &page, &err);
 	for (i = 0; i < page.items->len; i++) {
 		item = &g_array_index(page.items, struct store_item, i);
 		if (item->value != NULL) {
-			seen->good++;
-			g_strlcpy(seen->last_good, item->name, SV_ID_MAX);
+			counts->good++;
+			g_strlcpy(counts->last_good, item->name, SV_ID_MAX);
 			kind->free(item->value);
 		} else if (!item->removed) {
-			seen->bad++;
+			counts->bad++;
 			assert_true(item->why[0] != '\0');
 		}
 		g_free(item->name);
@@ -54,10 +54,10 @@
 	return ok;
 }
 
-/* A page with one entry of this spec between two good ones. */
+/* Reads a page with one entry of this spec between two valid ones. */
 static void
 read_between(const struct store_kind *kind, const char *good, const char *spec,
-    struct seen *seen)
+    struct counts *counts)
 {
 	char *text = g_strdup_printf(
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\",\"revision\":1},"
@@ -66,33 +66,34 @@
 	    "\"spec\":{%s}}],\"hasMore\":false,\"at\":9}",
 	    good, spec, good);
 
-	assert_true(read_text(kind, text, strlen(text), seen));
+	assert_true(read_page(kind, text, strlen(text), counts));
 	g_free(text);
 }
 
-/* None of these entries names anything, and those beside it hold. */
+/* Asserts that each of the specs is rejected, and that the valid entries in the
+ * same page are read. */
 static void
-expect_foreign(const struct store_kind *kind, const char *good,
+assert_rejected(const struct store_kind *kind, const char *good,
     const char *const *specs, size_t n)
 {
-	struct seen seen;
+	struct counts counts;
 	size_t i;
 
 	for (i = 0; i < n; i++) {
-		read_between(kind, good, specs[i], &seen);
-		if (seen.good != 2 || seen.bad != 1)
-			fail_msg("taken for one of ours: %s", specs[i]);
+		read_between(kind, good, specs[i], &counts);
+		if (counts.good != 2 || counts.bad != 1)
+			fail_msg("accepted an invalid entry: %s", specs[i]);
 	}
 }
 
 /*
- * An operator's script writes an entry without a state beside the engines'
- * own. Read with a fallback it is a ready engine with one place, and callers'
- * requests go to whatever stands at its address. None of these names an
- * engine; the two entries beside it hold.
+ * An operator's script writes an entry without a state into the list of
+ * engines. Read with defaults, it would be a ready engine with one slot, and
+ * requests would be sent to whatever process listens at its address. Each of
+ * these entries must be rejected, without the two valid ones in its page.
  */
 static void
-test_entries_that_name_no_target(void **state)
+test_invalid_targets(void **state)
 {
 	static const char *const specs[] = {
 		"null",
@@ -110,7 +111,8 @@
 		"{\"service\":\"x\",\"address\":\"1.2.3.4:80\","
 		"\"version\":\"v1\",\"slots\":16,\"sequence\":3,"
 		"\"state\":\"ready\"}",
-		/* or of another type (the last of two members counts) */
+		/* a field is of another type or out of range (of two members
+		 * with one name, the last counts) */
 		"{" GOOD ",\"slots\":\"16\"}",
 		"{" GOOD ",\"slots\":16.5}",
 		"{" GOOD ",\"slots\":0}",
@@ -126,7 +128,7 @@
 		"{" GOOD ",\"born\":\"today\"}",
 		"{" GOOD ",\"born\":1.5}",
 		"{" GOOD ",\"models\":\"m\"}",
-		/* no state or address of ours */
+		/* the state or the address is invalid */
 		"{" GOOD ",\"state\":\"melting\"}",
 		"{" GOOD ",\"state\":1}",
 		"{" GOOD ",\"address\":\"1.2.3.4\"}",
@@ -135,15 +137,15 @@
 		"{" GOOD ",\"address\":\"example.org:80\"}",
 		"{" GOOD ",\"address\":\"1.2.3.4.5.6.7.8.9.10.11:80\"}",
 	};
-	struct seen seen;
+	struct counts counts;
 
-	expect_foreign(&adapter_targets, GOOD, specs, G_N_ELEMENTS(specs));
-	read_between(&adapter_targets, GOOD, "{" GOOD "}", &seen);
-	assert_int_equal(seen.good, 3);
+	assert_rejected(&adapter_targets, GOOD, specs, G_N_ELEMENTS(specs));
+	read_between(&adapter_targets, GOOD, "{" GOOD "}", &counts);
+	assert_int_equal(counts.good, 3);
 }
 
 static void
-test_entries_that_name_no_version(void **state)
+test_invalid_versions(void **state)
 {
 	static const char good[] = "\"model\":\"m\",\"version\":2";
 	static const char *const specs[] = { "{}", "[]", "{\"model\":\"m\"}",
@@ -153,38 +155,39 @@
 		"{\"model\":\"m\",\"version\":0}",
 		"{\"model\":\"m\",\"version\":-1}" };
 
-	expect_foreign(&adapter_versions, good, specs, G_N_ELEMENTS(specs));
+	assert_rejected(&adapter_versions, good, specs, G_N_ELEMENTS(specs));
 }
 
 /*
- * Bytes that are no UTF-8, and a value of half a million brackets: a parser
- * refuses the one and overflows its stack on the other. Either way a gateway
- * would know no engine at all, for one entry that it has no use for.
+ * A parser rejects bytes that are not UTF-8, and overflows its stack on a value
+ * of half a million brackets. In both cases, a single unusable entry would
+ * leave a gateway without any engine.
  */
 static void
-test_bytes_that_cannot_be_read(void **state)
+test_unreadable_entries(void **state)
 {
 	GString *deep = g_string_new("{" GOOD ",\"models\":");
-	struct seen seen;
+	struct counts counts;
 	size_t i;
 
-	read_between(&adapter_targets, GOOD, "\"\xff\xfe\x80\"", &seen);
-	assert_int_equal(seen.good, 2);
+	read_between(&adapter_targets, GOOD, "\"\xff\xfe\x80\"", &counts);
+	assert_int_equal(counts.good, 2);
 	for (i = 0; i < 500000; i++)
 		g_string_append_c(deep, '[');
 	g_string_append(deep, "\"]\\\"{\"");
 	for (i = 0; i < 500000; i++)
 		g_string_append_c(deep, ']');
 	g_string_append_c(deep, '}');
-	read_between(&adapter_targets, GOOD, deep->str, &seen);
-	assert_true(seen.good >= 2);
-	assert_string_equal(seen.last_good, "c");
+	read_between(&adapter_targets, GOOD, deep->str, &counts);
+	assert_true(counts.good >= 2);
+	assert_string_equal(counts.last_good, "c");
 	g_string_free(deep, TRUE);
 }
 
-/* Any bytes at all may be refused, but neither crash nor be read beyond. */
+/* Arbitrary bytes may be rejected, but must cause no crash and no read past
+ * their end. */
 static void
-test_spoilt_pages(void **state)
+test_corrupt_pages(void **state)
 {
 	static const char *const pages[] = {
 		"{\"items\":[" OBJECT("a", "{" GOOD "}") "],\"at\":5}",
@@ -197,7 +200,7 @@
 	};
 	const struct store_kind *const kinds[] = { &adapter_targets,
 		&adapter_versions, &adapter_config };
-	struct seen seen;
+	struct counts counts;
 	struct rng rng;
 	int round;
 
@@ -210,8 +213,8 @@
 		while (hits-- > 0)
 			text[rng_below(&rng, len)] =
 			    "{}[]\",:0-.e\\nt\x80\x01"[rng_below(&rng, 17)];
-		read_text(
-		    kinds[round % 3], text, len - rng_below(&rng, 3), &seen);
+		read_page(
+		    kinds[round % 3], text, len - rng_below(&rng, 3), &counts);
 		g_free(text);
 	}
 }
@@ -220,10 +223,10 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_entries_that_name_no_target),
-		cmocka_unit_test(test_entries_that_name_no_version),
-		cmocka_unit_test(test_bytes_that_cannot_be_read),
-		cmocka_unit_test(test_spoilt_pages),
+		cmocka_unit_test(test_invalid_targets),
+		cmocka_unit_test(test_invalid_versions),
+		cmocka_unit_test(test_unreadable_entries),
+		cmocka_unit_test(test_corrupt_pages),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/adapter/test_records.c
+++ b/tests/adapter/test_records.c
@@ -1,4 +1,5 @@
-/* The platform's bodies, decoded into records; hostile ones refused. */
+/* Decoding of the platform's bodies into records, and rejection of malformed
+ * bodies. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -28,7 +29,7 @@
 }
 
 static void
-drop(const struct store_kind *kind, struct store_page *page)
+free_page(const struct store_kind *kind, struct store_page *page)
 {
 	guint i;
 
@@ -82,7 +83,7 @@
 	assert_string_equal(c->services[1].domain, "z");
 	assert_int_equal(c->head_bytes, 100);
 	assert_string_equal(c->workspaces[0].keys[1], "k2");
-	drop(&adapter_config, &page);
+	free_page(&adapter_config, &page);
 }
 
 static void
@@ -110,7 +111,7 @@
 	assert_string_equal(t->model, "m");
 	assert_int_equal(t->model_version, 2);
 	assert_true(t->start_ms == INT64_C(1700000000123));
-	drop(&adapter_targets, &page);
+	free_page(&adapter_targets, &page);
 }
 
 static int64_t
@@ -126,10 +127,10 @@
 	return report.version;
 }
 
-/* Layers of two versions, or with a gap, are no version: requests there would
- * be answered from mixed weights. */
+/* A model whose layers have two versions or a gap has no version: it would
+ * serve requests from mixed weights. */
 static void
-test_only_whole_models_count(void **state)
+test_only_complete_models_count(void **state)
 {
 	assert_int_equal(version_of("{\"name\":\"m\",\"version\":3}"), 3);
 	assert_int_equal(version_of("{\"name\":\"m\",\"version\":3,\"layers\":["
@@ -169,7 +170,7 @@
 	    good, strlen(good), 2, list, &chunk_bytes, &err));
 	assert_int_equal(list->len, DIGEST_BYTES);
 	assert_int_equal(chunk_bytes, 32768);
-	/* Of another version: not what was asked for. */
+	/* The manifest is of a version other than the requested one. */
 	g_byte_array_set_size(list, 0);
 	assert_false(adapter_manifest_read(
 	    good, strlen(good), 3, list, &chunk_bytes, &err));
@@ -181,8 +182,8 @@
 	g_byte_array_unref(list);
 }
 
-/* Members of unexpected types, missing names, no JSON at all: refused or left
- * out, never taken for something else. */
+/* Members of unexpected types, missing names and bodies that are not JSON are
+ * rejected or skipped, never misread. */
 static void
 test_hostile_pages(void **state)
 {
@@ -202,11 +203,11 @@
 
 	for (i = 0; i < G_N_ELEMENTS(texts); i++) {
 		read_into(&adapter_config, texts[i], &page);
-		drop(&adapter_config, &page);
+		free_page(&adapter_config, &page);
 		read_into(&adapter_targets, texts[i], &page);
-		drop(&adapter_targets, &page);
+		free_page(&adapter_targets, &page);
 		read_into(&adapter_versions, texts[i], &page);
-		drop(&adapter_versions, &page);
+		free_page(&adapter_versions, &page);
 	}
 	page.items = g_array_new(FALSE, FALSE, sizeof(struct store_item));
 	assert_false(
@@ -220,7 +221,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_config),
 		cmocka_unit_test(test_events),
-		cmocka_unit_test(test_only_whole_models_count),
+		cmocka_unit_test(test_only_complete_models_count),
 		cmocka_unit_test(test_manifest),
 		cmocka_unit_test(test_hostile_pages),
 	};
