--- a/tests/platform/api.h
+++ b/tests/platform/api.h
@@ -1,7 +1,7 @@
 #ifndef API_H
 #define API_H
 
-/* A stand-in of the object API for tests, with faults, and a client of it. */
+/* A fake object API with fault injection, and a client of it. */
 
 #include "platform/platform_internal.h"
 #include "server.h"
@@ -11,31 +11,32 @@
 	uint64_t version, revision;
 };
 
-struct api { /* the object API in little, with faults */
+struct api {
 	struct server server;
 	GPtrArray *objects;
 	uint64_t revision;
-	unsigned int lose; /* apply the next writes, answer nothing */
-	unsigned int drop; /* close on the next requests, apply nothing */
-	unsigned int down; /* 503 for the next requests */
-	unsigned int hang; /* no answer to the next requests */
-	unsigned int garble; /* malformed answers to the next requests */
-	const char *intruder; /* writes after the next lost write */
-	bool huge; /* watches answer more than fits */
-	bool restless; /* no poll is held */
-	struct peer *waiting; /* an idle poll */
+	/* Faults; a number counts the next requests that have the fault. */
+	unsigned int lose_responses; /* apply the write, close the connection */
+	unsigned int drop_requests; /* apply nothing, close the connection */
+	unsigned int unavailable; /* respond with 503 */
+	unsigned int hang_requests; /* do not respond */
+	unsigned int malformed; /* apply the write, respond malformed */
+	const char *other_writer; /* operation id of a write after a lost one */
+	bool oversized_polls; /* respond to polls with more than the limit */
+	bool never_hold_polls; /* respond to polls at once */
+	struct peer *held_poll; /* an idle poll */
 	unsigned int puts, gets, polls;
 	char last_poll[200];
 	struct ctr_set *counters;
 	struct plat *plat;
 	struct obj *obj;
-	/* What the last call ended with. */
+	/* Result of the last call. */
 	bool done;
 	uint64_t version;
 	struct err err;
 	char value[64], now_op[64];
 	size_t listed;
-	/* What the watch told. */
+	/* Reports of the watch. */
 	GString *changes;
 	unsigned int lost, recovered;
 	bool changed;
@@ -85,9 +86,9 @@
 	return s;
 }
 
-/* Values and keys of these tests need no escapes. */
+/* The values and keys of these tests need no JSON escapes. */
 static inline void
-answer_json(struct peer *peer, unsigned int status, const char *format, ...)
+respond_json(struct peer *peer, unsigned int status, const char *format, ...)
 {
 	va_list args;
 	char *text;
@@ -100,19 +101,20 @@
 }
 
 static inline void
-answer_object(struct peer *peer, unsigned int status, const struct stored *s)
+respond_object(struct peer *peer, unsigned int status, const struct stored *s)
 {
 	if (s == NULL)
-		answer_json(peer, 404, "{}");
+		respond_json(peer, 404, "{}");
 	else
-		answer_json(peer, status,
+		respond_json(peer, status,
 		    "{\"key\":\"%s\",\"version\":%u,\"op\":\"%s\","
 		    "\"value\":\"%s\"}",
 		    s->key, (unsigned int)s->version, s->op, s->value);
 }
 
 static inline void
-answer_changes(struct peer *peer, struct api *api, uint64_t since, bool whole)
+respond_changes(
+    struct peer *peer, struct api *api, uint64_t since, bool with_values)
 {
 	GString *text = g_string_new(NULL);
 	guint i;
@@ -124,12 +126,12 @@
 			continue;
 		g_string_append_printf(text, "%s{\"key\":\"%s\",\"version\":%u",
 		    text->len > 0 ? "," : "", s->key, (unsigned int)s->version);
-		if (whole)
+		if (with_values)
 			g_string_append_printf(text,
 			    ",\"op\":\"%s\",\"value\":\"%s\"", s->op, s->value);
 		g_string_append(text, "}");
 	}
-	answer_json(peer, 200, "{\"revision\":%u,\"objects\":[%s]}",
+	respond_json(peer, 200, "{\"revision\":%u,\"objects\":[%s]}",
 	    (unsigned int)api->revision, text->str);
 	g_string_free(text, TRUE);
 }
@@ -149,16 +151,16 @@
 	api->puts++;
 	if (reply_u64(reply.json, "if_version", &if_version) &&
 	    if_version != version) {
-		answer_object(peer, 409, s);
+		respond_object(peer, 409, s);
 	} else {
 		s = store(api, key, op, value);
-		if (api->lose > 0) {
-			api->lose--;
-			if (api->intruder != NULL)
-				store(api, key, api->intruder, "theirs");
+		if (api->lose_responses > 0) {
+			api->lose_responses--;
+			if (api->other_writer != NULL)
+				store(api, key, api->other_writer, "theirs");
 			peer_close(peer);
 		} else {
-			answer_json(peer, 200, "{\"version\":%u}",
+			respond_json(peer, 200, "{\"version\":%u}",
 			    (unsigned int)s->version);
 		}
 	}
@@ -167,7 +169,7 @@
 }
 
 static inline gboolean
-flood_more(GSocket *socket, GIOCondition condition, gpointer data)
+send_more(GSocket *socket, GIOCondition condition, gpointer data)
 {
 	struct peer *peer = data;
 	char *spaces;
@@ -182,9 +184,9 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* An answer without end. */
+/* Sends an endless response. */
 static inline void
-flood(struct peer *peer)
+respond_endlessly(struct peer *peer)
 {
 	GSocket *socket = g_socket_connection_get_socket(peer->conn);
 	GSource *source =
@@ -192,7 +194,7 @@
 
 	peer_text(
 	    peer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-	g_source_set_callback(source, G_SOURCE_FUNC(flood_more), peer, NULL);
+	g_source_set_callback(source, G_SOURCE_FUNC(send_more), peer, NULL);
 	g_source_attach(source, NULL);
 	g_source_unref(source);
 }
@@ -205,18 +207,18 @@
 
 	api->polls++;
 	g_strlcpy(api->last_poll, peer->path, sizeof(api->last_poll));
-	if (api->huge) {
-		flood(peer);
-	} else if (api->revision > since || api->restless ||
+	if (api->oversized_polls) {
+		respond_endlessly(peer);
+	} else if (api->revision > since || api->never_hold_polls ||
 	    strstr(peer->path, "wait_ms=0") != NULL) {
-		answer_changes(peer, api, since, true);
+		respond_changes(peer, api, since, true);
 	} else {
-		api->waiting = peer;
+		api->held_poll = peer;
 	}
 }
 
 static inline bool
-fault(unsigned int *count)
+take_fault(unsigned int *count)
 {
 	if (*count == 0)
 		return false;
@@ -230,23 +232,23 @@
 	struct api *api = ctx;
 	bool get = strcmp(peer->method, "GET") == 0;
 
-	if (fault(&api->hang))
+	if (take_fault(&api->hang_requests))
 		return;
-	if (fault(&api->drop)) {
+	if (take_fault(&api->drop_requests)) {
 		peer_close(peer);
-	} else if (fault(&api->down)) {
-		answer_json(peer, 503, "{}");
-	} else if (fault(&api->garble)) {
+	} else if (take_fault(&api->unavailable)) {
+		respond_json(peer, 503, "{}");
+	} else if (take_fault(&api->malformed)) {
 		if (!get)
 			store(api, peer->path + 12, "mine", "v");
 		peer_answer(peer, 200, "", "{\"version\":\"x\"");
 	} else if (g_str_has_prefix(peer->path, "/v1/list")) {
-		answer_changes(peer, api, 0, false);
+		respond_changes(peer, api, 0, false);
 	} else if (g_str_has_prefix(peer->path, "/v1/watch")) {
 		serve_poll(peer, api);
 	} else if (get) {
 		api->gets++;
-		answer_object(peer, 200, stored_find(api, peer->path + 12));
+		respond_object(peer, 200, stored_find(api, peer->path + 12));
 	} else {
 		serve_put(peer, api, peer->path + 12);
 	}
--- a/tests/platform/server.h
+++ b/tests/platform/server.h
@@ -2,9 +2,9 @@
 #define SERVER_H
 
 /*
- * A scripted HTTP server on the test's own loop. It works on raw sockets, so
- * that a test can close, cut or hold an answer at any byte. Include after
- * cmocka.h.
+ * A scripted HTTP server on the main loop of the test. It uses raw sockets, so
+ * that a test can close the connection, truncate a response or delay it at any
+ * byte. Include after cmocka.h.
  */
 
 #include <gio/gio.h>
@@ -12,7 +12,7 @@
 
 #include "platform/platform.h"
 
-struct peer { /* one connection, and the request last read from it */
+struct peer { /* one connection and the last request read from it */
 	struct server *server;
 	GSocketConnection *conn;
 	GString *in;
@@ -28,7 +28,8 @@
 	char base[40]; /* "http://127.0.0.1:PORT" */
 	void (*serve)(struct peer *peer, void *ctx);
 	void *ctx;
-	unsigned int requests, conns, hangups; /* hangups: by the client */
+	unsigned int requests, conns;
+	unsigned int hangups; /* connections closed by the client */
 	GPtrArray *peers;
 };
 
@@ -47,7 +48,7 @@
 	peer_raw(peer, text, strlen(text));
 }
 
-/* A whole answer; `headers` is "" or lines that end in CRLF. */
+/* Sends a complete response; `headers` is "" or lines that end in CRLF. */
 static inline void
 peer_answer(struct peer *peer, unsigned int status, const char *headers,
     const char *body)
@@ -81,7 +82,8 @@
 	g_free(peer);
 }
 
-/* Takes one whole request off the front of what was read. */
+/* Serves one complete request and removes it from the input buffer; false if
+ * the buffer holds none. */
 static inline bool
 peer_parse(struct peer *peer)
 {
@@ -136,7 +138,7 @@
 }
 
 static inline void
-server_accepted(GObject *source, GAsyncResult *result, gpointer data)
+on_accepted(GObject *source, GAsyncResult *result, gpointer data)
 {
 	GSocketConnection *conn = g_socket_listener_accept_finish(
 	    G_SOCKET_LISTENER(source), result, NULL, NULL);
@@ -159,7 +161,7 @@
 	g_source_attach(watch, NULL);
 	g_source_unref(watch);
 	g_socket_listener_accept_async(
-	    server->listener, server->stop, server_accepted, server);
+	    server->listener, server->stop, on_accepted, server);
 }
 
 static inline void
@@ -180,7 +182,7 @@
 	g_snprintf(
 	    server->base, sizeof(server->base), "http://127.0.0.1:%u", port);
 	g_socket_listener_accept_async(
-	    server->listener, server->stop, server_accepted, server);
+	    server->listener, server->stop, on_accepted, server);
 }
 
 static inline void
@@ -202,7 +204,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Runs the loop until `*flag`; a hang ends the test after ten seconds. */
+/* Runs the loop until `*flag` is set; fails the test after ten seconds. */
 static inline void
 run_until(const bool *flag)
 {
@@ -215,7 +217,7 @@
 	g_source_remove(timer);
 }
 
-/* Lets what is due and what is on the wire happen. */
+/* Runs the loop for `ms`, so that timers fire and pending I/O completes. */
 static inline void
 run_for(unsigned int ms)
 {
@@ -227,9 +229,9 @@
 }
 
 /*
- * A base at which nobody listens. The port is bound for as long as the test
- * lives: a port that was merely given back is handed to the next server that
- * asks, also in a test that runs at the same time.
+ * Writes a base URL at which no process listens. The port stays bound until the
+ * test ends: a released port can be assigned to the next server that binds one,
+ * also in a test that runs at the same time.
  */
 static inline void
 closed_base(char out[40])
@@ -239,7 +241,7 @@
 	GInetAddress *ip = g_inet_address_new_loopback(G_SOCKET_FAMILY_IPV4);
 	GSocketAddress *at = g_inet_socket_address_new(ip, 0);
 	GSocketAddress *bound;
-	static GSocket *kept;
+	static GSocket *bound_socket;
 
 	assert_true(g_socket_bind(socket, at, FALSE, NULL));
 	bound = g_socket_get_local_address(socket, NULL);
@@ -248,8 +250,8 @@
 	g_object_unref(bound);
 	g_object_unref(at);
 	g_object_unref(ip);
-	g_clear_object(&kept);
-	kept = socket;
+	g_clear_object(&bound_socket);
+	bound_socket = socket;
 }
 
 #endif
--- a/tests/platform/test_engine.c
+++ b/tests/platform/test_engine.c
@@ -1,5 +1,5 @@
-/* Engines, the origin and the host list: what is asked, and what each answer
- * means. */
+/* Clients of engines, the origin and the host list: requests sent, and the
+ * result for each response. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,10 +17,11 @@
 	struct server server;
 	struct ctr_set *counters;
 	struct plat *plat;
-	unsigned int status; /* the server answers this, ... */
+	/* Response of the server. */
+	unsigned int status;
 	const char *headers;
-	const char *body; /* ... or nothing when NULL */
-	char asked[64], sent[1024], range[64];
+	const char *body; /* NULL: do not respond */
+	char requested[64], sent[1024], range[64];
 	bool done, cancelled;
 	struct err err;
 	struct digest digest;
@@ -35,8 +36,8 @@
 	struct fixture *f = ctx;
 	const char *range = strstr(peer->head, "Range: ");
 
-	g_snprintf(
-	    f->asked, sizeof(f->asked), "%s %s", peer->method, peer->path);
+	g_snprintf(f->requested, sizeof(f->requested), "%s %s", peer->method,
+	    peer->path);
 	f->cancelled = strcmp(peer->path, "/v1/cancel") == 0;
 	g_strlcpy(f->sent, peer->body, sizeof(f->sent));
 	f->range[0] = '\0';
@@ -73,7 +74,7 @@
 }
 
 static void
-answer_with(struct fixture *f, unsigned int status, const char *body)
+set_response(struct fixture *f, unsigned int status, const char *body)
 {
 	f->status = status;
 	f->headers = "";
@@ -136,12 +137,12 @@
 	struct fixture *f = *state;
 	char hex[DIGEST_HEX];
 
-	answer_with(f, 200, "{\"digest\":\"" HEX "\"}");
+	set_response(f, 200, "{\"digest\":\"" HEX "\"}");
 	load(f, 5000);
 	assert_end(f, ERR_NONE, 0);
 	digest_to_hex(&f->digest, hex);
 	assert_string_equal(hex, HEX);
-	assert_string_equal(f->asked, "POST /v1/load");
+	assert_string_equal(f->requested, "POST /v1/load");
 	assert_string_equal(f->sent,
 	    "{\"model\":\"a/m\",\"version\":\"v1\",\"digest\":\"" HEX
 	    "\",\"bytes\":200,\"chunk_bytes\":10,"
@@ -151,12 +152,12 @@
 }
 
 /*
- * The rollout asks what became of its order. An old fencing number and bytes
- * that did not match are told apart from an engine that is down; an answer
- * without a proper digest is never taken for a load.
+ * The rollout needs the outcome of its load order. A stale fencing number and a
+ * digest mismatch are reported as other errors than an engine that is down. A
+ * response without a valid digest never counts as a successful load.
  */
 static void
-test_load_refused(void **state)
+test_load_errors(void **state)
 {
 	static const struct {
 		unsigned int status;
@@ -177,11 +178,11 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
-		answer_with(f, rows[i].status, rows[i].body);
+		set_response(f, rows[i].status, rows[i].body);
 		load(f, rows[i].body == NULL ? 50 : 5000);
 		assert_end(f, rows[i].code, rows[i].verdict);
 	}
-	answer_with(f, 503, "{}");
+	set_response(f, 503, "{}");
 	f->headers = "X-Not-Run: 1\r\n";
 	load(f, 5000);
 	assert_end(f, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
@@ -206,7 +207,7 @@
 {
 	struct fixture *f = *state;
 
-	answer_with(f, 200,
+	set_response(f, 200,
 	    "{\"model\":\"a/m\",\"version\":\"v1\",\"digest\":\"" HEX
 	    "\",\"fence\":7}");
 	engine_loaded(f->plat, f->server.base, 5000, on_loaded, f);
@@ -215,12 +216,12 @@
 	assert_string_equal(f->text, "v1");
 	assert_int_equal(f->number, 7);
 	assert_false(digest_is_none(&f->digest));
-	answer_with(f, 200, "{\"version\":\"\",\"digest\":\"\",\"fence\":0}");
+	set_response(f, 200, "{\"version\":\"\",\"digest\":\"\",\"fence\":0}");
 	engine_loaded(f->plat, f->server.base, 5000, on_loaded, f);
 	run_until(&f->done);
 	assert_end(f, ERR_NONE, 0);
 	assert_true(digest_is_none(&f->digest));
-	answer_with(f, 200, "{\"version\":1,\"digest\":\"\",\"fence\":0}");
+	set_response(f, 200, "{\"version\":1,\"digest\":\"\",\"fence\":0}");
 	engine_loaded(f->plat, f->server.base, 5000, on_loaded, f);
 	run_until(&f->done);
 	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
@@ -243,19 +244,19 @@
 {
 	struct fixture *f = *state;
 
-	answer_with(f, 200,
+	set_response(f, 200,
 	    "{\"running\":1,\"waiting\":2,\"slots\":3,\"cache_tokens\":5,"
 	    "\"step_ms\":4}");
 	engine_report(f->plat, f->server.base, 5000, on_report, f);
 	run_until(&f->done);
 	assert_string_equal(f->text, "1 2 3 4 5");
-	answer_with(f, 200, "{\"running\":-1}");
+	set_response(f, 200, "{\"running\":-1}");
 	engine_report(f->plat, f->server.base, 5000, on_report, f);
 	run_until(&f->done);
 	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	engine_cancel(f->plat, f->server.base, "r\"1");
 	run_until(&f->cancelled);
-	assert_string_equal(f->asked, "POST /v1/cancel");
+	assert_string_equal(f->requested, "POST /v1/cancel");
 	assert_string_equal(f->sent, "{\"request_id\":\"r\\\"1\"}");
 }
 
@@ -279,16 +280,16 @@
 {
 	struct fixture *f = *state;
 
-	answer_with(f, 200,
+	set_response(f, 200,
 	    "{\"next\":9,\"events\":[{\"seq\":8,"
 	    "\"prefix\":\"fedcba9876543210\",\"present\":true}]}");
 	engine_cache_events(f->plat, f->server.base, 7, 5000, on_cache, f);
 	run_until(&f->done);
 	assert_end(f, ERR_NONE, 0);
-	assert_string_equal(f->asked, "GET /v1/cache_events?since=7");
+	assert_string_equal(f->requested, "GET /v1/cache_events?since=7");
 	assert_string_equal(f->text, "8 fedcba9876543210 1");
 	assert_int_equal(f->number, 9);
-	answer_with(f, 200, "{\"next\":9,\"events\":[3]}");
+	set_response(f, 200, "{\"next\":9,\"events\":[3]}");
 	engine_cache_events(f->plat, f->server.base, 7, 5000, on_cache, f);
 	run_until(&f->done);
 	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
@@ -316,12 +317,12 @@
 static void
 get_hosts(struct fixture *f, unsigned int status, const char *body)
 {
-	answer_with(f, status, body);
+	set_response(f, status, body);
 	hosts_get(f->plat, f->server.base, 5000, on_hosts, f);
 	run_until(&f->done);
 }
 
-/* A host in a state that we do not know gets no new work. */
+/* A host in an unknown state gets no new work. */
 static void
 test_hosts(void **state)
 {
@@ -365,7 +366,7 @@
 read_start(
     struct fixture *f, uint64_t offset, const char *range, const char *body)
 {
-	answer_with(f, range != NULL ? 206 : 200, body);
+	set_response(f, range != NULL ? 206 : 200, body);
 	f->headers = range != NULL ? range : "";
 	return origin_read_start(f->plat, f->server.base, "team/m v1/chunks",
 	    offset, 4, 50, on_bytes, f);
@@ -380,7 +381,7 @@
 	run_until(&f->done);
 	assert_end(f, ERR_NONE, 0);
 	assert_string_equal(f->text, "abcd");
-	assert_string_equal(f->asked, "GET /v1/weights/team/m%20v1/chunks");
+	assert_string_equal(f->requested, "GET /v1/weights/team/m%20v1/chunks");
 	assert_string_equal(f->range, "bytes=8-11");
 	read_start(f, 0, NULL, "abcd");
 	run_until(&f->done);
@@ -390,9 +391,9 @@
 }
 
 /*
- * The origin answers with bytes of another place, or with more than was
- * asked for. Taken as they are, they would be counted as corruption; the whole
- * file instead of a range would also fill the memory.
+ * The origin responds with another range or with more bytes than requested. If
+ * such bytes were accepted, they would be counted as corruption, and a complete
+ * file instead of a range could exhaust memory.
  */
 static void
 test_origin_wrong_range(void **state)
@@ -414,8 +415,8 @@
 	assert_int_equal(ctr_read(f->counters, "origin_errors"), 4);
 }
 
-/* The link stalls without closing: the read ends and is counted, so that the
- * chunk is asked for elsewhere. */
+/* The connection stalls without closing. The read ends and the stall is
+ * counted, so that the chunk is requested from another source. */
 static void
 test_origin_stall_and_cancel(void **state)
 {
@@ -439,7 +440,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		SERVED(test_load),
-		SERVED(test_load_refused),
+		SERVED(test_load_errors),
 		SERVED(test_loaded),
 		SERVED(test_report_and_cancel),
 		SERVED(test_cache_events),
--- a/tests/platform/test_obj.c
+++ b/tests/platform/test_obj.c
@@ -1,4 +1,4 @@
-/* The object API's client: writes, reads and lists through faults. */
+/* Client of the object API: writes, reads and lists under faults. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -100,7 +100,7 @@
 	put(api, false, 0, 5000);
 	assert_int_equal(api->version, 2);
 	put(api, true, 1, 5000);
-	assert_int_equal(api->version, 2); /* the same operation */
+	assert_int_equal(api->version, 2); /* same operation id */
 	store(api, "teams/a", "other", "theirs");
 	put(api, true, 1, 5000);
 	assert_end(api, ERR_CONFLICT, VERDICT_NOT_RUN);
@@ -116,15 +116,15 @@
 }
 
 /*
- * The caller sees its write succeed once. The API applies it and closes the
- * connection without an answer; the object read back carries the write's id.
+ * The API applies a write and closes the connection without a response. The
+ * object read back has the operation id, so the write succeeds, once.
  */
 static void
-test_applied_write_with_lost_answer(void **state)
+test_applied_write_with_lost_response(void **state)
 {
 	struct api *api = *state;
 
-	api->lose = 1;
+	api->lose_responses = 1;
 	put(api, true, 0, 8000);
 	assert_end(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 1);
@@ -133,16 +133,17 @@
 }
 
 /*
- * The caller hears that its write may have run: the answer was lost, and
- * another writer wrote twice since, so that our id can no longer be seen.
+ * The response to a write is lost, and another writer overwrites the object
+ * before it is read back. The operation id is gone, so the verdict is
+ * MAY_HAVE_RUN.
  */
 static void
-test_overwritten_write_with_lost_answer(void **state)
+test_overwritten_write_with_lost_response(void **state)
 {
 	struct api *api = *state;
 
-	api->lose = 1;
-	api->intruder = "other";
+	api->lose_responses = 1;
+	api->other_writer = "other";
 	put(api, true, 0, 8000);
 	assert_end(api, ERR_CONFLICT, VERDICT_MAY_HAVE_RUN);
 	assert_string_equal(api->now_op, "other");
@@ -150,42 +151,42 @@
 }
 
 /*
- * The API closes connections, answers 503, garbles an answer that it has acted
- * on, or does not answer: the write goes on within its deadline and takes
- * effect once.
+ * The API closes connections, responds with 503, sends a malformed response to
+ * a write that it applied, or does not respond. The client retries within the
+ * deadline, and the write is applied once.
  */
 static void
 test_write_through_faults(void **state)
 {
 	struct api *api = *state;
 
-	api->drop = 1;
-	api->down = 1;
+	api->drop_requests = 1;
+	api->unavailable = 1;
 	put(api, true, 0, 8000);
 	assert_end(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 1);
 	store(api, "teams/a", "other", "x");
-	api->garble = 1;
+	api->malformed = 1;
 	put(api, true, 2, 8000);
 	assert_end(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 3);
 	store(api, "teams/a", "other", "x");
-	api->hang = 1;
+	api->hang_requests = 1;
 	put(api, true, 4, 1000);
 	assert_end(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 5);
 	assert_true(ctr_read(api->counters, "obj_retries") >= 4);
 }
 
-/* The API is gone for longer than the caller can wait: after a write was
- * sent it may have run, and when none could be sent it has not. */
+/* The API is down for longer than the deadline. A write that was sent may have
+ * run; a write that could not be sent has not run. */
 static void
 test_write_without_api(void **state)
 {
 	struct api *api = *state;
 	char base[40];
 
-	api->down = 1000;
+	api->unavailable = 1000;
 	put(api, true, 0, 100);
 	assert_end(api, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	closed_base(base);
@@ -203,16 +204,16 @@
 	struct api *api = *state;
 
 	store(api, "teams/a", "op", "v");
-	api->drop = 1;
-	api->down = 1;
-	api->garble = 1;
+	api->drop_requests = 1;
+	api->unavailable = 1;
+	api->malformed = 1;
 	get(api, "teams/a", 8000);
 	assert_end(api, ERR_NONE, 0);
 	assert_string_equal(api->value, "v");
 }
 
 static void
-test_refused_at_once(void **state)
+test_invalid_arguments(void **state)
 {
 	struct api *api = *state;
 	struct obj_put request = { .key = "teams/a",
@@ -235,9 +236,9 @@
 }
 
 /*
- * An answer without end would fill the memory. The read ends as soon as the
- * bound is passed, though the connection stays open; deeply nested
- * JSON, which would overflow the parser's stack, is malformed.
+ * An endless response would exhaust memory: the read ends as soon as the
+ * response exceeds the limit, even if the connection stays open. Deeply nested
+ * JSON would overflow the stack of the parser: it is treated as malformed.
  */
 static void
 serve_hostile(struct peer *peer, void *ctx)
@@ -245,7 +246,7 @@
 	char *text;
 
 	if (strstr(peer->path, "/endless") != NULL) {
-		flood(peer);
+		respond_endlessly(peer);
 		return;
 	}
 	if (strstr(peer->path, "/announced") != NULL) {
@@ -259,7 +260,7 @@
 }
 
 static void
-test_hostile_answers(void **state)
+test_hostile_responses(void **state)
 {
 	struct api *api = *state;
 
@@ -277,7 +278,7 @@
 {
 	struct api *api = *state;
 
-	api->hang = 1;
+	api->hang_requests = 1;
 	obj_put(api->obj,
 	    &(struct obj_put){
 		.key = "k", .op = "o", .value = "v", .deadline_ms = 5000 },
@@ -296,13 +297,13 @@
 {
 	const struct CMUnitTest tests[] = {
 		SERVED(test_write_read_list),
-		SERVED(test_applied_write_with_lost_answer),
-		SERVED(test_overwritten_write_with_lost_answer),
+		SERVED(test_applied_write_with_lost_response),
+		SERVED(test_overwritten_write_with_lost_response),
 		SERVED(test_write_through_faults),
 		SERVED(test_write_without_api),
 		SERVED(test_read_through_faults),
-		SERVED(test_refused_at_once),
-		SERVED(test_hostile_answers),
+		SERVED(test_invalid_arguments),
+		SERVED(test_hostile_responses),
 		SERVED(test_client_freed),
 	};
 
--- a/tests/platform/test_obj_retry.c
+++ b/tests/platform/test_obj_retry.c
@@ -1,4 +1,4 @@
-/* Decisions of the object API's client, without any input or output. */
+/* Retry decisions of the object API client, without I/O. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,10 +9,10 @@
 #include "platform/platform_internal.h"
 
 /*
- * One history of a write from version 7. `events`: b begin, l answer lost,
- * n not sent, w waited, r reading back failed; the last may be f found,
- * d differs or o written, with `version` and `op`. `steps`, one each: W
- * write, R read, P wait, E end.
+ * One history of a write at version 7. `events`: b begin, l no response, n not
+ * sent, w waited, r read-back failed, s read back unchanged; the last event may
+ * be f read back, d conflict or o written, with `version` and `op`. `steps`
+ * has one step for each event: W write, R read, P wait, E end.
  */
 struct history {
 	const char *events, *steps;
@@ -23,17 +23,17 @@
 };
 
 /*
- * The API applies a write and its answer is lost, or the write was lost on the
- * way there. What the object shows when read back decides, or a conflict when
- * it is sent again. Only where others' writes may hide ours does the caller
- * hear MAY_HAVE_RUN: version 8 is the only one that ours could have made.
+ * Either the response to a write is lost or the write itself. The outcome is
+ * determined by reading the object back, or by a conflict on the next attempt.
+ * The verdict is MAY_HAVE_RUN only if later writes can hide this one: version 8
+ * is the only version that this write can create.
  */
 static const struct history conditional[] = {
-	/* Answered at once; then with our own write, applied earlier. */
+	/* A response at once; the last is a conflict with the own write. */
 	{ "bo", "WE", 8, NULL, ERR_NONE, 0 },
 	{ "bd", "WE", 9, "other", ERR_CONFLICT, VERDICT_NOT_RUN },
 	{ "bd", "WE", 8, "mine", ERR_NONE, 0 },
-	/* Lost and read back. */
+	/* The response is lost, and the object is read back. */
 	{ "blwrwf", "WPRPRE", 8, "mine", ERR_NONE, 0 },
 	{ "blwf", "WPRE", 9, "mine", ERR_NONE, 0 },
 	{ "blwf", "WPRW", 7, "before", ERR_NONE, 0 },
@@ -41,24 +41,26 @@
 	{ "blwf", "WPRE", 9, "other", ERR_CONFLICT, VERDICT_MAY_HAVE_RUN },
 	{ "blwf", "WPRE", 6, "other", ERR_CONFLICT, VERDICT_MAY_HAVE_RUN },
 	{ "blwf", "WPRE", 0, NULL, ERR_CONFLICT, VERDICT_MAY_HAVE_RUN },
-	/* Lost, found untouched, sent again, and the first came late. */
+	/* As before, but the object is unchanged: the write is sent again, and
+	 * may conflict with the late first copy. */
 	{ "blwsd", "WPRWE", 8, "mine", ERR_NONE, 0 },
 	{ "blwsd", "WPRWE", 8, "other", ERR_CONFLICT, VERDICT_NOT_RUN },
 	{ "blwsd", "WPRWE", 9, "other", ERR_CONFLICT, VERDICT_MAY_HAVE_RUN },
-	/* What was not sent needs no reading back; what was lost before does.
-	 */
+	/* A write that was not sent needs no read-back, unless the response to
+	 * an earlier copy was lost. */
 	{ "bnwd", "WPWE", 9, "other", ERR_CONFLICT, VERDICT_NOT_RUN },
 	{ "blwsnwf", "WPRWPRE", 8, "mine", ERR_NONE, 0 },
 };
 
-/* An unconditional write is sent again whatever is there by now. */
+/* An unconditional write is sent again whatever the version, unless the object
+ * has its operation id. */
 static const struct history unconditional[] = {
 	{ "blwf", "WPRW", 30, "other", ERR_NONE, 0 },
 	{ "blwf", "WPRE", 30, "mine", ERR_NONE, 0 },
 };
 
 static struct obj_event
-event_of(char letter, const struct history *row)
+event_for(char letter, const struct history *row)
 {
 	static const enum obj_event_kind kinds[128] = {
 		['b'] = OBJ_BEGIN,
@@ -73,7 +75,7 @@
 	};
 	struct obj_event event = { .kind = kinds[(int)letter] };
 
-	if (letter == 's') /* found as it was */
+	if (letter == 's')
 		event.version = 7;
 	if (strchr("fdo", letter) != NULL) {
 		event.version = row->version;
@@ -83,7 +85,7 @@
 }
 
 static void
-play(const struct history *row, bool is_conditional)
+replay(const struct history *row, bool is_conditional)
 {
 	struct obj_write write = {
 		.op = "mine", .conditional = is_conditional, .if_version = 7
@@ -97,7 +99,7 @@
 	clk_fake_init(&clock, 1000000);
 	write.budget.deadline_ms = clk_now_ms(&clock.clock) + 10000;
 	for (i = 0; row->events[i] != '\0'; i++) {
-		struct obj_event event = event_of(row->events[i], row);
+		struct obj_event event = event_for(row->events[i], row);
 
 		action = obj_write_next(
 		    &write, &event, clk_now_ms(&clock.clock), &rng);
@@ -118,12 +120,12 @@
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(conditional); i++)
-		play(&conditional[i], true);
+		replay(&conditional[i], true);
 	for (i = 0; i < G_N_ELEMENTS(unconditional); i++)
-		play(&unconditional[i], false);
+		replay(&unconditional[i], false);
 }
-/* Every attempt and wait stays within the deadline, whatever fails, and the
- * end tells whether anything was sent. */
+/* Whatever fails, every attempt and delay stays within the deadline, and the
+ * verdict states whether a copy was sent. */
 static void
 test_deadline_bounds_all(void **state)
 {
@@ -165,7 +167,7 @@
 static void
 test_backoff_has_full_jitter(void **state)
 {
-	unsigned int failures, draw, least, most, limit;
+	unsigned int failures, draw, min, max, limit;
 	struct rng rng;
 
 	rng_seed(&rng, 3);
@@ -173,16 +175,16 @@
 		limit = failures < 8 ? OBJ_BACKOFF_FIRST_MS << (failures - 1)
 				     : OBJ_BACKOFF_MAX_MS;
 		limit = MIN(limit, OBJ_BACKOFF_MAX_MS);
-		least = UINT32_MAX;
-		most = 0;
+		min = UINT32_MAX;
+		max = 0;
 		for (draw = 0; draw < 500; draw++) {
 			unsigned int ms = obj_backoff_ms(&rng, failures);
 
-			least = MIN(least, ms);
-			most = MAX(most, ms);
+			min = MIN(min, ms);
+			max = MAX(max, ms);
 		}
-		assert_true(least <= limit / 10);
-		assert_in_range(most, limit * 9 / 10, limit);
+		assert_true(min <= limit / 10);
+		assert_in_range(max, limit * 9 / 10, limit);
 	}
 }
 
--- a/tests/platform/test_obj_watch.c
+++ b/tests/platform/test_obj_watch.c
@@ -1,4 +1,4 @@
-/* The watch of the object API. */
+/* Watch of the object API. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -57,9 +57,9 @@
 {
 	unsigned int i;
 
-	for (i = 0; i < 1000 && api->waiting == NULL; i++)
+	for (i = 0; i < 1000 && api->held_poll == NULL; i++)
 		run_for(10);
-	assert_non_null(api->waiting);
+	assert_non_null(api->held_poll);
 }
 
 static void
@@ -75,7 +75,7 @@
 	await_poll(api);
 	assert_non_null(strstr(api->last_poll, "prefix=teams%2F&since=1"));
 	store(api, "teams/b", "op", "1");
-	answer_changes(api->waiting, api, 1, true);
+	respond_changes(api->held_poll, api, 1, true);
 	await_change(api);
 	assert_string_equal(api->changes->str, "teams/a=1@1 teams/b=1@2 ");
 	obj_watch_stop(watch);
@@ -84,8 +84,8 @@
 }
 
 /*
- * The API is down for a while. The owner hears once that the watch is lost and
- * once that it is found, and then what changed meanwhile.
+ * The API is down for a while. The owner gets one `lost` and one `found` call,
+ * and then the changes made during the outage.
  */
 static void
 test_watch_through_an_outage(void **state)
@@ -94,8 +94,8 @@
 	struct obj_watch *watch;
 
 	store(api, "teams/a", "op", "1");
-	api->down = 2;
-	api->drop = 2;
+	api->unavailable = 2;
+	api->drop_requests = 2;
 	watch = obj_watch_start(api->obj, "teams/", 0, &watch_ops, api);
 	await_change(api);
 	assert_string_equal(api->changes->str, "teams/a=1@1 ");
@@ -105,10 +105,10 @@
 }
 
 /*
- * The API comes back with a revision below ours. Its new changes would lie
- * below the revision we ask from, and the owner would hear of them late or
- * never. The first poll after a failure, and the very first, do not wait; all
- * objects are reported anew, and the watch goes on from the new revision.
+ * The API restarts with a revision below that of the watch. New changes would
+ * be below the polled revision and would be reported late or never. So the
+ * first poll of a watch and the first poll after a failure are not held, all
+ * objects are reported again, and the watch continues from the new revision.
  */
 static void
 test_watch_after_a_restart_of_the_api(void **state)
@@ -126,8 +126,8 @@
 	g_ptr_array_set_size(api->objects, 0);
 	api->revision = 0;
 	store(api, "teams/c", "op", "1");
-	peer_close(api->waiting);
-	api->waiting = NULL;
+	peer_close(api->held_poll);
+	api->held_poll = NULL;
 	await_poll(api);
 	assert_string_equal(api->changes->str, "teams/c=1@1 ");
 	assert_non_null(strstr(api->last_poll, "since=1&"));
@@ -136,39 +136,39 @@
 	obj_watch_stop(watch);
 }
 
-/* An API that holds no poll, or a busy prefix, would be asked as fast as it
- * answers, and each poll counts as a call. */
+/* Without a minimum spacing, a busy prefix or an API that does not hold polls
+ * would be polled as fast as it responds, and each poll counts as a call. */
 static void
 test_polls_are_spaced(void **state)
 {
 	struct api *api = *state;
 	int64_t began_us = g_get_monotonic_time();
 	struct obj_watch *watch;
-	unsigned int most;
+	unsigned int max;
 
-	api->restless = true;
+	api->never_hold_polls = true;
 	watch = obj_watch_start(api->obj, "teams/", 0, &watch_ops, api);
 	run_for(350);
-	most = 2 + (unsigned int)(g_get_monotonic_time() - began_us) / 100000;
-	assert_in_range(api->polls, 2, most);
+	max = 2 + (unsigned int)(g_get_monotonic_time() - began_us) / 100000;
+	assert_in_range(api->polls, 2, max);
 	obj_watch_stop(watch);
 }
 
 /*
- * More changed than fits into one bounded answer: asking again would fail
- * for ever. The objects are read one by one, and the watch goes on.
+ * The changes exceed the size limit of one response, so repeating the poll
+ * would always fail. The objects are read one by one, and the watch continues.
  */
 static void
-test_watch_with_too_much_at_once(void **state)
+test_watch_with_oversized_changes(void **state)
 {
 	struct api *api = *state;
 	struct obj_watch *watch;
 
 	store(api, "teams/a", "op", "1");
-	api->huge = true;
+	api->oversized_polls = true;
 	watch = obj_watch_start(api->obj, "teams/", 0, &watch_ops, api);
 	await_change(api);
-	api->huge = false;
+	api->oversized_polls = false;
 	await_poll(api);
 	assert_non_null(strstr(api->last_poll, "since=1&"));
 	assert_int_equal(api->lost, 0);
@@ -193,7 +193,7 @@
 static void
 test_watch_stopped_in_callback(void **state)
 {
-	const struct obj_watch_ops stopping = {
+	const struct obj_watch_ops stopping_ops = {
 		.changed = stop_in_changed,
 		.lost = stop_in_lost,
 	};
@@ -204,9 +204,9 @@
 
 	store(api, "teams/a", "op", "1");
 	for (since = 0; since < 3; since++) {
-		api->down = since == 1;
+		api->unavailable = since == 1;
 		watch = obj_watch_start(
-		    api->obj, "teams/", since * 100, &stopping, &watch);
+		    api->obj, "teams/", since * 100, &stopping_ops, &watch);
 		for (i = 0; i < 1000 && watch != NULL; i++)
 			run_for(10);
 		assert_null(watch);
@@ -227,7 +227,7 @@
 		SERVED(test_watch_through_an_outage),
 		SERVED(test_watch_after_a_restart_of_the_api),
 		SERVED(test_polls_are_spaced),
-		SERVED(test_watch_with_too_much_at_once),
+		SERVED(test_watch_with_oversized_changes),
 		SERVED(test_watch_stopped_in_callback),
 	};
 
--- a/tests/platform/test_target.c
+++ b/tests/platform/test_target.c
@@ -1,5 +1,5 @@
-/* Exchanges with a target: pieces, pause, limits, and the verdict of each end.
- */
+/* Exchanges with a target: streaming, pause, time limits, and the verdict of
+ * each outcome. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -173,7 +173,7 @@
 }
 
 static void
-test_whole_answers(void **state)
+test_complete_responses(void **state)
 {
 	struct fixture *f = *state;
 
@@ -186,10 +186,10 @@
 	assert_string_equal(f->data->str, "onetwo");
 }
 
-/* An answer of whatever status is handed on as it is: an error is an answer
- * too. */
+/* A response of any status is passed on unchanged: redirects, authentication
+ * challenges, content encodings and errors are not acted on. */
 static void
-test_answers_are_not_acted_on(void **state)
+test_responses_are_passed_through(void **state)
 {
 	static const struct {
 		const char *path;
@@ -210,10 +210,10 @@
 	assert_null(strcasestr(f->data->str, "Accept-Encoding"));
 }
 
-/* With credentials in the address libsoup alone answers a 401 by sending the
- * request again. */
+/* With credentials in the URL, libsoup by default repeats the request after a
+ * 401. */
 static void
-test_login_is_not_answered(void **state)
+test_no_retry_with_credentials(void **state)
 {
 	struct fixture *f = *state;
 	char *base = g_strdup_printf("http://u:p@%s", f->server.base + 7);
@@ -226,8 +226,9 @@
 }
 
 /*
- * The caller is told NOT_RUN and repeats a booking elsewhere. Nobody listens
- * at the address, so that no byte of the request went anywhere.
+ * No process listens at the address, so no byte of the request was sent. With
+ * the verdict NOT_RUN, the caller can safely repeat even an unsafe request
+ * elsewhere.
  */
 static void
 test_connection_refused_is_not_run(void **state)
@@ -245,7 +246,7 @@
 }
 
 static void
-test_refusal_of_the_target_is_not_run(void **state)
+test_rejection_by_target_is_not_run(void **state)
 {
 	struct fixture *f = *state;
 
@@ -257,13 +258,14 @@
 }
 
 /*
- * The caller sees an error, never a short answer that passes for whole. The
- * target dies half way, or ends an answer in a way that does not tell a
- * whole one from a cut one. libsoup alone takes `/cut-chunks`, a stream whose
- * target dies between two tokens, and `/cut-close` for whole.
+ * The target terminates within a response, or ends it in a way that does not
+ * distinguish a complete response from a truncated one. The caller must get an
+ * error, never a truncated response that seems complete. libsoup by default
+ * treats as complete both `/cut-close` and `/cut-chunks`, a stream whose target
+ * terminates between two tokens.
  */
 static void
-test_cut_answers_may_have_run(void **state)
+test_truncated_responses_may_have_run(void **state)
 {
 	static const char *const paths[] = { "/cut", "/cut-close",
 		"/cut-chunks", "/cut-chunk", "/unframed" };
@@ -279,14 +281,13 @@
 }
 
 /*
- * A target that has answered before reads a request and dies before its
- * answer. Over the connection kept from before, libsoup alone would send a
- * GET, PUT or DELETE again by itself, and the target would run it twice on one
- * attempt. The caller is told MAY_HAVE_RUN, and the target saw the request
- * once.
+ * A target reads a request on a reused connection and terminates before its
+ * response. libsoup by default resends a GET, PUT or DELETE in this case, and
+ * the target would run it twice in one attempt. The verdict must be
+ * MAY_HAVE_RUN, and the target must receive the request once.
  */
 static void
-test_nothing_is_sent_twice(void **state)
+test_no_request_is_resent(void **state)
 {
 	static const char *const methods[] = { "GET", "PUT", "DELETE", "HEAD",
 		"OPTIONS", "POST", "PATCH" };
@@ -304,10 +305,10 @@
 	}
 }
 
-/* A connection a request would cost a round trip, and many at once
- * overflow a target's queue of new connections. */
+/* One connection per request would cost a round trip each, and many at once
+ * overflow the accept queue of a target. */
 static void
-test_connections_are_kept(void **state)
+test_connections_are_reused(void **state)
 {
 	struct fixture *f = *state;
 
@@ -325,12 +326,13 @@
 }
 
 /*
- * Some hundred streams are open to one target. In one session of libsoup the
- * work for each exchange grows with their number, and the loop falls
- * behind; they are spread, and a lane that is free again is used again.
+ * Some hundred streams are open to one target. In a single libsoup session, the
+ * work for each exchange grows with their number, and the main loop falls
+ * behind. The streams are distributed over pools, and a pool is used again once
+ * it has room.
  */
 static void
-test_streams_are_spread(void **state)
+test_streams_are_distributed(void **state)
 {
 	struct target_call *calls[3 * PLAT_POOL_FILL];
 	struct fixture *f = *state;
@@ -372,9 +374,9 @@
 }
 
 /*
- * All connections are taken, and the deadline passes before one is free. The
- * caller hears at once that nothing ran; and nothing runs later,
- * when a connection is free: neither this request nor one that was cancelled.
+ * All connections are in use, and the deadline passes before one is free. The
+ * call ends at once with NOT_RUN. Neither this request nor a cancelled one is
+ * sent later, when a connection becomes free.
  */
 static void
 test_deadline_before_a_connection(void **state)
@@ -398,9 +400,9 @@
 }
 
 /*
- * The link stalls without closing: the caller would wait for the whole
- * deadline. Before the head and between two pieces alike the exchange ends
- * soon, and the connection is closed.
+ * The connection stalls without closing, and the caller would wait for the full
+ * deadline. The exchange ends after the stall limit, both before the response
+ * headers and within the body, and the connection is closed.
  */
 static void
 test_stall(void **state)
@@ -423,11 +425,11 @@
 }
 
 /*
- * A slow caller holds back its stream by a pause. The silence is ours and
- * not the target's: no stall; the deadline counts on.
+ * A slow caller pauses its stream. The time without reads is not caused by the
+ * target and is no stall; the deadline still applies.
  */
 static void
-test_pause_holds_back_without_stall(void **state)
+test_pause_is_not_a_stall(void **state)
 {
 	struct fixture *f = *state;
 
@@ -449,8 +451,9 @@
 }
 
 /*
- * The caller hangs up. The target has to see the connection close, or its
- * slot goes on working for nobody; libsoup alone would read on to the end.
+ * The caller disconnects. The target has to see the connection close, or its
+ * slot keeps working on a response that no one reads. libsoup by default reads
+ * the response to its end.
  */
 static void
 test_cancel_closes_the_connection(void **state)
@@ -480,7 +483,7 @@
 	assert_false(f->ended);
 }
 
-/* Calls that run when the process stops end once, with a verdict. */
+/* Calls that are running when the process stops end once, with a verdict. */
 static void
 test_session_closed(void **state)
 {
@@ -497,11 +500,12 @@
 }
 
 /*
- * Headers of the caller's own connection would break the one to the target: an
- * `Expect` holds the body back, a foreign length cuts it.
+ * Headers that belong to the caller's connection would break the connection to
+ * the target: `Expect` delays the body, and an unrelated Content-Length
+ * truncates it.
  */
 static void
-test_hop_headers_stay_behind(void **state)
+test_hop_headers_are_removed(void **state)
 {
 	static const char *const headers[] = { "X-Request-Id", "r1",
 		"Content-Length", "999", "Transfer-Encoding", "chunked",
@@ -524,22 +528,22 @@
 main(void)
 {
 	const struct CMUnitTest tests[] = {
-		SERVED(test_whole_answers),
-		SERVED(test_answers_are_not_acted_on),
-		SERVED(test_login_is_not_answered),
+		SERVED(test_complete_responses),
+		SERVED(test_responses_are_passed_through),
+		SERVED(test_no_retry_with_credentials),
 		SERVED(test_connection_refused_is_not_run),
-		SERVED(test_refusal_of_the_target_is_not_run),
-		SERVED(test_cut_answers_may_have_run),
-		SERVED(test_nothing_is_sent_twice),
-		SERVED(test_connections_are_kept),
-		SERVED(test_streams_are_spread),
+		SERVED(test_rejection_by_target_is_not_run),
+		SERVED(test_truncated_responses_may_have_run),
+		SERVED(test_no_request_is_resent),
+		SERVED(test_connections_are_reused),
+		SERVED(test_streams_are_distributed),
 		SERVED(test_deadline),
 		SERVED(test_deadline_before_a_connection),
 		SERVED(test_stall),
-		SERVED(test_pause_holds_back_without_stall),
+		SERVED(test_pause_is_not_a_stall),
 		SERVED(test_cancel_closes_the_connection),
 		SERVED(test_session_closed),
-		SERVED(test_hop_headers_stay_behind),
+		SERVED(test_hop_headers_are_removed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
