--- a/lib/agree/agr_settings.c
+++ b/lib/agree/agr_settings.c
@@ -114,7 +114,7 @@
 static const struct obj_watch_ops watch_ops = {
 	.changed = on_watch_changed,
 	.lost = on_watch_lost,
-	.found = on_watch_restored,
+	.recovered = on_watch_restored,
 };
 
 static void
--- a/lib/platform/obj_watch.c
+++ b/lib/platform/obj_watch.c
@@ -35,7 +35,7 @@
 	struct fetch *poll;
 	guint timer;
 	unsigned int failures;
-	bool lost; /* `lost` was called, and `found` not since */
+	bool lost; /* `lost` was called, and `recovered` not since */
 	int64_t polled_ms; /* start of the last poll */
 	bool poll_at_once; /* ask the API not to hold the next poll */
 	/* State of a relist; `keys` is NULL when none is running. */
@@ -102,10 +102,10 @@
 		    watch->prefix, "at revision %" G_GUINT64_FORMAT,
 		    watch->since);
 	}
-	if (watch->ops->found == NULL)
+	if (watch->ops->recovered == NULL)
 		return true;
 	watch->in_callback = true;
-	watch->ops->found(watch->ctx);
+	watch->ops->recovered(watch->ctx);
 	watch->in_callback = false;
 	return !check_stopped(watch);
 }
--- a/lib/platform/platform.h
+++ b/lib/platform/platform.h
@@ -89,7 +89,7 @@
 /*
  * A long-poll watch that runs until stopped, with a backoff while the API is
  * down. `changed` gets the objects changed since its last call. `lost` is
- * called when the watch begins to fail and `found` when it works again; both
+ * called when the watch begins to fail and `recovered` when it works again; both
  * may be NULL. If the API restarted with a lower revision, or the changes do
  * not fit into one response, all objects under the prefix are read again and
  * passed to `changed` one by one with the revision of the list, and the owner
@@ -99,7 +99,7 @@
 	void (*changed)(uint64_t revision, const struct obj_object *objects,
 	    size_t n, void *ctx);
 	void (*lost)(const struct err *err, void *ctx);
-	void (*found)(void *ctx);
+	void (*recovered)(void *ctx);
 };
 struct obj_watch;
 struct obj_watch *obj_watch_start(struct obj *obj, const char *prefix,
@@ -164,7 +164,7 @@
 	/* Open a new connection. On a reused one that the target is closing, a
 	 * request ends as MAY_HAVE_RUN although the target never received it.
 	 * For requests that must not be repeated; costs a round trip. */
-	bool own_connection;
+	bool new_connection;
 };
 struct target_ops {
 	void (*head)(
--- a/lib/platform/target.c
+++ b/lib/platform/target.c
@@ -34,7 +34,7 @@
 	bool abandoned; /* no more callbacks; freed on completion */
 	bool sent; /* libsoup began to write the request */
 	bool not_run; /* the response has `X-Not-Run: 1` */
-	bool own_connection; /* close the connection after the exchange */
+	bool new_connection; /* close the connection after the exchange */
 	bool reusable; /* the response was read completely */
 	uint64_t received; /* bytes of the response body */
 	struct err why; /* why the call was aborted, if it was */
@@ -224,7 +224,7 @@
 
 	bool complete = is_complete(call);
 
-	call->reusable = complete && !call->own_connection;
+	call->reusable = complete && !call->new_connection;
 	if (!complete) {
 		err_set(&err, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN,
 		    "the response was truncated");
@@ -453,7 +453,7 @@
 {
 	char *uri = g_strconcat(request->base, request->path, NULL);
 	SoupMessageFlags flags = SOUP_MESSAGE_NO_REDIRECT |
-	    (request->own_connection ? SOUP_MESSAGE_NEW_CONNECTION
+	    (request->new_connection ? SOUP_MESSAGE_NEW_CONNECTION
 				     : SOUP_MESSAGE_IDEMPOTENT);
 	SoupMessage *message = soup_message_new(request->method, uri);
 
@@ -510,7 +510,7 @@
 	call->plat = plat;
 	call->ops = *ops;
 	call->ctx = ctx;
-	call->own_connection = request->own_connection;
+	call->new_connection = request->new_connection;
 	call->cancel = g_cancellable_new();
 	call->pool = plat_pool(plat, request->base);
 	call->pool->running++;
--- a/programs/side/door.c
+++ b/programs/side/door.c
@@ -217,7 +217,7 @@
 		.stall_ms = (unsigned int)MIN(request->stall_ms, UINT32_MAX),
 		/* A kept connection that the target is just closing would
 		 * make it MAY_HAVE_RUN, and nobody may try it again. */
-		.own_connection = !s->idempotent,
+		.new_connection = !s->idempotent,
 	};
 	size_t n = 0;
 
--- a/programs/side/keeper_origin.c
+++ b/programs/side/keeper_origin.c
@@ -68,7 +68,7 @@
     unsigned int stall_ms)
 {
 	struct keeper *k = r->k;
-	char *path = adapter_piece_path(k->model, version, index);
+	char *path = adapter_chunk_path(k->model, version, index);
 
 	r->fetch = hfetch_start(k->st.loop, k->st.pool,
 	    &(struct hfetch_conf){ .address = k->origin,
--- a/tests/platform/test_obj_watch.c
+++ b/tests/platform/test_obj_watch.c
@@ -42,7 +42,7 @@
 static const struct obj_watch_ops watch_ops = {
 	.changed = on_changed,
 	.lost = on_lost,
-	.found = on_recovered,
+	.recovered = on_recovered,
 };
 
 static void
@@ -84,7 +84,7 @@
 }
 
 /*
- * The API is down for a while. The owner gets one `lost` and one `found` call,
+ * The API is down for a while. The owner gets one `lost` and one `recovered` call,
  * and then the changes made during the outage.
  */
 static void
--- a/tests/platform/test_target.c
+++ b/tests/platform/test_target.c
@@ -317,7 +317,7 @@
 	exchange(f, "POST", "/chunks");
 	assert_int_equal(f->server.conns, 1);
 	start(f,
-	    (struct target_request){ .path = "/echo", .own_connection = true });
+	    (struct target_request){ .path = "/echo", .new_connection = true });
 	run_until(&f->ended);
 	assert_end(f, ERR_NONE, VERDICT_RAN);
 	run_for(20);
