--- a/lib/platform/platform.h
+++ b/lib/platform/platform.h
@@ -89,9 +89,9 @@
 /*
  * A long-poll watch that runs until stopped, with a backoff while the API is
  * down. `changed` gets the objects changed since its last call. `lost` is
- * called when the watch begins to fail and `recovered` when it works again; both
- * may be NULL. If the API restarted with a lower revision, or the changes do
- * not fit into one response, all objects under the prefix are read again and
+ * called when the watch begins to fail and `recovered` when it works again;
+ * both may be NULL. If the API restarted with a lower revision, or the changes
+ * do not fit into one response, all objects under the prefix are read again and
  * passed to `changed` one by one with the revision of the list, and the owner
  * of the watch ignores versions that it has already. `ops` outlives the watch.
  */
--- a/tests/platform/test_obj_watch.c
+++ b/tests/platform/test_obj_watch.c
@@ -84,8 +84,8 @@
 }
 
 /*
- * The API is down for a while. The owner gets one `lost` and one `recovered` call,
- * and then the changes made during the outage.
+ * The API is down for a while. The owner gets one call of `lost` and one of
+ * `recovered`, and then the changes made during the outage.
  */
 static void
 test_watch_through_an_outage(void **state)
