--- a/tests/platform/test_engine.c
+++ b/tests/platform/test_engine.c
@@ -84,7 +84,7 @@
 }
 
 static void
-note_end(struct fixture *f, const struct err *err)
+record_result(struct fixture *f, const struct err *err)
 {
 	assert_false(f->done);
 	f->done = true;
@@ -92,7 +92,7 @@
 }
 
 static void
-assert_end(const struct fixture *f, enum err_code code, enum verdict verdict)
+assert_result(const struct fixture *f, enum err_code code, enum verdict verdict)
 {
 	assert_string_equal(err_code_name(f->err.code), err_code_name(code));
 	if (code != ERR_NONE)
@@ -111,7 +111,7 @@
 
 	if (loaded != NULL)
 		f->digest = *loaded;
-	note_end(f, err);
+	record_result(f, err);
 }
 
 static void
@@ -139,7 +139,7 @@
 
 	set_response(f, 200, "{\"digest\":\"" HEX "\"}");
 	load(f, 5000);
-	assert_end(f, ERR_NONE, 0);
+	assert_result(f, ERR_NONE, 0);
 	digest_to_hex(&f->digest, hex);
 	assert_string_equal(hex, HEX);
 	assert_string_equal(f->requested, "POST /v1/load");
@@ -180,12 +180,12 @@
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		set_response(f, rows[i].status, rows[i].body);
 		load(f, rows[i].body == NULL ? 50 : 5000);
-		assert_end(f, rows[i].code, rows[i].verdict);
+		assert_result(f, rows[i].code, rows[i].verdict);
 	}
 	set_response(f, 503, "{}");
 	f->headers = "X-Not-Run: 1\r\n";
 	load(f, 5000);
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
 }
 
 static void
@@ -199,7 +199,7 @@
 		f->digest = *loaded;
 		f->number = fence;
 	}
-	note_end(f, err);
+	record_result(f, err);
 }
 
 static void
@@ -212,19 +212,19 @@
 	    "\",\"fence\":7}");
 	engine_loaded(f->plat, f->server.base, 5000, on_loaded, f);
 	run_until(&f->done);
-	assert_end(f, ERR_NONE, 0);
+	assert_result(f, ERR_NONE, 0);
 	assert_string_equal(f->text, "v1");
 	assert_int_equal(f->number, 7);
 	assert_false(digest_is_none(&f->digest));
 	set_response(f, 200, "{\"version\":\"\",\"digest\":\"\",\"fence\":0}");
 	engine_loaded(f->plat, f->server.base, 5000, on_loaded, f);
 	run_until(&f->done);
-	assert_end(f, ERR_NONE, 0);
+	assert_result(f, ERR_NONE, 0);
 	assert_true(digest_is_none(&f->digest));
 	set_response(f, 200, "{\"version\":1,\"digest\":\"\",\"fence\":0}");
 	engine_loaded(f->plat, f->server.base, 5000, on_loaded, f);
 	run_until(&f->done);
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 }
 
 static void
@@ -236,7 +236,7 @@
 		g_snprintf(f->text, sizeof(f->text), "%u %u %u %u %u",
 		    report->running, report->waiting, report->slots,
 		    report->step_ms, (unsigned int)report->cache_tokens);
-	note_end(f, err);
+	record_result(f, err);
 }
 
 static void
@@ -253,7 +253,7 @@
 	set_response(f, 200, "{\"running\":-1}");
 	engine_report(f->plat, f->server.base, 5000, on_report, f);
 	run_until(&f->done);
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	engine_cancel(f->plat, f->server.base, "r\"1");
 	run_until(&f->cancelled);
 	assert_string_equal(f->requested, "POST /v1/cancel");
@@ -272,7 +272,7 @@
 		g_snprintf(f->text, sizeof(f->text), "%u %" PRIx64 " %d",
 		    (unsigned int)events[0].seq, events[0].prefix,
 		    events[0].present);
-	note_end(f, err);
+	record_result(f, err);
 }
 
 static void
@@ -285,14 +285,14 @@
 	    "\"prefix\":\"fedcba9876543210\",\"present\":true}]}");
 	engine_cache_events(f->plat, f->server.base, 7, 5000, on_cache, f);
 	run_until(&f->done);
-	assert_end(f, ERR_NONE, 0);
+	assert_result(f, ERR_NONE, 0);
 	assert_string_equal(f->requested, "GET /v1/cache_events?since=7");
 	assert_string_equal(f->text, "8 fedcba9876543210 1");
 	assert_int_equal(f->number, 9);
 	set_response(f, 200, "{\"next\":9,\"events\":[3]}");
 	engine_cache_events(f->plat, f->server.base, 7, 5000, on_cache, f);
 	run_until(&f->done);
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 }
 
 /* ------------------------------------------------------------------ */
@@ -311,7 +311,7 @@
 		g_strlcat(
 		    f->text, hosts[i].leaving ? "- " : "+ ", sizeof(f->text));
 	}
-	note_end(f, err);
+	record_result(f, err);
 }
 
 static void
@@ -336,12 +336,12 @@
 	    "\"state\":\"leaving\"},"
 	    "{\"host\":\"h3\",\"address\":\"a\",\"domain\":\"d\","
 	    "\"state\":\"new\"}]}");
-	assert_end(f, ERR_NONE, 0);
+	assert_result(f, ERR_NONE, 0);
 	assert_string_equal(f->text, "h1+ h2- h3- ");
 	get_hosts(f, 200, "{\"hosts\":[{\"host\":\"h1\"}]}");
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	get_hosts(f, 500, "{}");
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_RAN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_RAN);
 }
 
 /* ------------------------------------------------------------------ */
@@ -359,7 +359,7 @@
 		data = g_bytes_get_data(bytes, &len);
 		g_strlcpy(f->text, data, MIN(len + 1, sizeof(f->text)));
 	}
-	note_end(f, err);
+	record_result(f, err);
 }
 
 static struct origin_read *
@@ -379,13 +379,13 @@
 
 	read_start(f, 8, "Content-Range: bytes 8-11/100\r\n", "abcd");
 	run_until(&f->done);
-	assert_end(f, ERR_NONE, 0);
+	assert_result(f, ERR_NONE, 0);
 	assert_string_equal(f->text, "abcd");
 	assert_string_equal(f->requested, "GET /v1/weights/team/m%20v1/chunks");
 	assert_string_equal(f->range, "bytes=8-11");
 	read_start(f, 0, NULL, "abcd");
 	run_until(&f->done);
-	assert_end(f, ERR_NONE, 0);
+	assert_result(f, ERR_NONE, 0);
 	assert_int_equal(ctr_read(f->counters, "origin_reads"), 2);
 	assert_int_equal(ctr_read(f->counters, "origin_bytes"), 8);
 }
@@ -402,16 +402,16 @@
 
 	read_start(f, 8, "Content-Range: bytes 0-3/100\r\n", "abcd");
 	run_until(&f->done);
-	assert_end(f, ERR_INVALID, VERDICT_RAN);
+	assert_result(f, ERR_INVALID, VERDICT_RAN);
 	read_start(f, 8, NULL, "abcd");
 	run_until(&f->done);
-	assert_end(f, ERR_INVALID, VERDICT_RAN);
+	assert_result(f, ERR_INVALID, VERDICT_RAN);
 	read_start(f, 8, "Content-Range: bytes 8-11/100\r\n", "abc");
 	run_until(&f->done);
-	assert_end(f, ERR_INVALID, VERDICT_RAN);
+	assert_result(f, ERR_INVALID, VERDICT_RAN);
 	read_start(f, 0, NULL, "abcde");
 	run_until(&f->done);
-	assert_end(f, ERR_TOO_LARGE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_TOO_LARGE, VERDICT_MAY_HAVE_RUN);
 	assert_int_equal(ctr_read(f->counters, "origin_errors"), 4);
 }
 
@@ -425,7 +425,7 @@
 
 	read_start(f, 0, NULL, NULL);
 	run_until(&f->done);
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	assert_int_equal(ctr_read(f->counters, "origin_stalls"), 1);
 	read = read_start(f, 0, NULL, NULL);
 	origin_read_cancel(read);
--- a/tests/platform/test_obj.c
+++ b/tests/platform/test_obj.c
@@ -8,7 +8,7 @@
 #include "api.h"
 
 static void
-note_end(
+record_result(
     struct api *api, const struct obj_object *object, const struct err *err)
 {
 	assert_false(api->done);
@@ -29,7 +29,7 @@
 	struct api *api = ctx;
 
 	api->version = version;
-	note_end(api, now, err);
+	record_result(api, now, err);
 }
 
 static void
@@ -38,7 +38,7 @@
 	struct api *api = ctx;
 
 	api->version = object != NULL ? object->version : 0;
-	note_end(api, object, err);
+	record_result(api, object, err);
 }
 
 static void
@@ -49,7 +49,7 @@
 
 	api->version = revision;
 	api->listed = n;
-	note_end(api, NULL, err);
+	record_result(api, NULL, err);
 }
 
 static void
@@ -78,7 +78,7 @@
 }
 
 static void
-assert_end(const struct api *api, enum err_code code, enum verdict verdict)
+assert_result(const struct api *api, enum err_code code, enum verdict verdict)
 {
 	assert_string_equal(err_code_name(api->err.code), err_code_name(code));
 	if (code != ERR_NONE)
@@ -91,9 +91,9 @@
 	struct api *api = *state;
 
 	get(api, "teams/a", 5000);
-	assert_end(api, ERR_NOT_FOUND, VERDICT_NOT_RUN);
+	assert_result(api, ERR_NOT_FOUND, VERDICT_NOT_RUN);
 	put(api, true, 0, 5000);
-	assert_end(api, ERR_NONE, 0);
+	assert_result(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 1);
 	get(api, "teams/a", 5000);
 	assert_string_equal(api->value, "v");
@@ -103,7 +103,7 @@
 	assert_int_equal(api->version, 2); /* same operation id */
 	store(api, "teams/a", "other", "theirs");
 	put(api, true, 1, 5000);
-	assert_end(api, ERR_CONFLICT, VERDICT_NOT_RUN);
+	assert_result(api, ERR_CONFLICT, VERDICT_NOT_RUN);
 	assert_string_equal(api->value, "theirs");
 	api->done = false;
 	obj_list(api->obj, "teams/", 5000, on_list, api);
@@ -126,7 +126,7 @@
 
 	api->lose_responses = 1;
 	put(api, true, 0, 8000);
-	assert_end(api, ERR_NONE, 0);
+	assert_result(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 1);
 	assert_int_equal(api->puts, 1);
 	assert_int_equal(ctr_read(api->counters, "obj_settled_writes"), 1);
@@ -145,7 +145,7 @@
 	api->lose_responses = 1;
 	api->other_writer = "other";
 	put(api, true, 0, 8000);
-	assert_end(api, ERR_CONFLICT, VERDICT_MAY_HAVE_RUN);
+	assert_result(api, ERR_CONFLICT, VERDICT_MAY_HAVE_RUN);
 	assert_string_equal(api->now_op, "other");
 	assert_int_equal(api->puts, 1);
 }
@@ -163,17 +163,17 @@
 	api->drop_requests = 1;
 	api->unavailable = 1;
 	put(api, true, 0, 8000);
-	assert_end(api, ERR_NONE, 0);
+	assert_result(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 1);
 	store(api, "teams/a", "other", "x");
 	api->malformed = 1;
 	put(api, true, 2, 8000);
-	assert_end(api, ERR_NONE, 0);
+	assert_result(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 3);
 	store(api, "teams/a", "other", "x");
 	api->hang_requests = 1;
 	put(api, true, 4, 1000);
-	assert_end(api, ERR_NONE, 0);
+	assert_result(api, ERR_NONE, 0);
 	assert_int_equal(api->version, 5);
 	assert_true(ctr_read(api->counters, "obj_retries") >= 4);
 }
@@ -188,14 +188,14 @@
 
 	api->unavailable = 1000;
 	put(api, true, 0, 100);
-	assert_end(api, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+	assert_result(api, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	closed_base(base);
 	obj_free(api->obj);
 	api->obj = obj_new(api->plat, base);
 	put(api, true, 0, 100);
-	assert_end(api, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
+	assert_result(api, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
 	get(api, "teams/a", 100);
-	assert_end(api, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
+	assert_result(api, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
 }
 
 static void
@@ -208,7 +208,7 @@
 	api->unavailable = 1;
 	api->malformed = 1;
 	get(api, "teams/a", 8000);
-	assert_end(api, ERR_NONE, 0);
+	assert_result(api, ERR_NONE, 0);
 	assert_string_equal(api->value, "v");
 }
 
@@ -225,13 +225,13 @@
 	request.value = big;
 	obj_put(api->obj, &request, on_put, api);
 	run_until(&api->done);
-	assert_end(api, ERR_TOO_LARGE, VERDICT_NOT_RUN);
+	assert_result(api, ERR_TOO_LARGE, VERDICT_NOT_RUN);
 	g_free(big);
 	request.value = "\xff";
 	api->done = false;
 	obj_put(api->obj, &request, on_put, api);
 	run_until(&api->done);
-	assert_end(api, ERR_INVALID, VERDICT_NOT_RUN);
+	assert_result(api, ERR_INVALID, VERDICT_NOT_RUN);
 	assert_int_equal(api->server.requests, 0);
 }
 
@@ -266,11 +266,11 @@
 
 	api->server.serve = serve_hostile;
 	get(api, "endless", 60000);
-	assert_end(api, ERR_TOO_LARGE, VERDICT_NOT_RUN);
+	assert_result(api, ERR_TOO_LARGE, VERDICT_NOT_RUN);
 	get(api, "announced", 60000);
-	assert_end(api, ERR_TOO_LARGE, VERDICT_NOT_RUN);
+	assert_result(api, ERR_TOO_LARGE, VERDICT_NOT_RUN);
 	get(api, "deep", 100);
-	assert_end(api, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
+	assert_result(api, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
 }
 
 static void
@@ -287,7 +287,7 @@
 	obj_free(api->obj);
 	api->obj = NULL;
 	assert_true(api->done);
-	assert_end(api, ERR_CANCELLED, VERDICT_MAY_HAVE_RUN);
+	assert_result(api, ERR_CANCELLED, VERDICT_MAY_HAVE_RUN);
 }
 
 #define SERVED(test) cmocka_unit_test_setup_teardown(test, setup, teardown)
--- a/tests/platform/test_target.c
+++ b/tests/platform/test_target.c
@@ -165,7 +165,7 @@
 }
 
 static void
-assert_end(const struct fixture *f, enum err_code code, enum verdict verdict)
+assert_result(const struct fixture *f, enum err_code code, enum verdict verdict)
 {
 	assert_string_equal(err_code_name(f->err.code), err_code_name(code));
 	assert_string_equal(
@@ -178,11 +178,11 @@
 	struct fixture *f = *state;
 
 	exchange(f, "POST", "/echo");
-	assert_end(f, ERR_NONE, VERDICT_RAN);
+	assert_result(f, ERR_NONE, VERDICT_RAN);
 	assert_int_equal(f->status, 200);
 	assert_string_equal(f->data->str, "hello");
 	exchange(f, "GET", "/chunks");
-	assert_end(f, ERR_NONE, VERDICT_RAN);
+	assert_result(f, ERR_NONE, VERDICT_RAN);
 	assert_string_equal(f->data->str, "onetwo");
 }
 
@@ -201,7 +201,7 @@
 
 	for (i = 0; i < G_N_ELEMENTS(rows); i++) {
 		exchange(f, "GET", rows[i].path);
-		assert_end(f, ERR_NONE, VERDICT_RAN);
+		assert_result(f, ERR_NONE, VERDICT_RAN);
 		assert_int_equal(f->status, rows[i].status);
 		assert_int_equal(f->server.requests, i + 1);
 	}
@@ -220,7 +220,7 @@
 
 	start(f, (struct target_request){ .base = base, .path = "/login" });
 	run_until(&f->ended);
-	assert_end(f, ERR_NONE, VERDICT_RAN);
+	assert_result(f, ERR_NONE, VERDICT_RAN);
 	assert_int_equal(f->server.requests, 1);
 	g_free(base);
 }
@@ -239,10 +239,10 @@
 	closed_base(base);
 	start(f, (struct target_request){ .base = base, .path = "/" });
 	run_until(&f->ended);
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
 	start(f, (struct target_request){ .base = "nonsense", .path = "/" });
 	run_until(&f->ended);
-	assert_end(f, ERR_INVALID, VERDICT_NOT_RUN);
+	assert_result(f, ERR_INVALID, VERDICT_NOT_RUN);
 }
 
 static void
@@ -251,7 +251,7 @@
 	struct fixture *f = *state;
 
 	exchange(f, "POST", "/refuse");
-	assert_end(f, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
+	assert_result(f, ERR_UNAVAILABLE, VERDICT_NOT_RUN);
 	assert_int_equal(f->err.retry_after_ms, 2000);
 	assert_int_equal(f->status, 503);
 	assert_string_equal(f->data->str, "full");
@@ -274,9 +274,9 @@
 
 	for (i = 0; i < G_N_ELEMENTS(paths); i++) {
 		exchange(f, "POST", paths[i]);
-		assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+		assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 		exchange(f, "GET", paths[i]);
-		assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+		assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	}
 }
 
@@ -299,7 +299,7 @@
 		exchange(f, "GET", "/warm");
 		before = f->server.requests;
 		exchange(f, methods[i], "/close");
-		assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+		assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 		run_for(20);
 		assert_int_equal(f->server.requests, before + 1);
 	}
@@ -319,7 +319,7 @@
 	start(f,
 	    (struct target_request){ .path = "/echo", .new_connection = true });
 	run_until(&f->ended);
-	assert_end(f, ERR_NONE, VERDICT_RAN);
+	assert_result(f, ERR_NONE, VERDICT_RAN);
 	run_for(20);
 	assert_int_equal(f->server.conns, 2);
 	assert_int_equal(f->server.hangups, 1);
@@ -363,11 +363,11 @@
 
 	start(f, (struct target_request){ .path = "/hang", .deadline_ms = 30 });
 	run_until(&f->ended);
-	assert_end(f, ERR_DEADLINE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_DEADLINE, VERDICT_MAY_HAVE_RUN);
 	start(
 	    f, (struct target_request){ .path = "/stream", .deadline_ms = 60 });
 	run_until(&f->ended);
-	assert_end(f, ERR_DEADLINE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_DEADLINE, VERDICT_MAY_HAVE_RUN);
 	assert_string_equal(f->data->str, "one");
 	run_for(20);
 	assert_int_equal(f->server.hangups, 2);
@@ -391,7 +391,7 @@
 	run_for(20);
 	start(f, (struct target_request){ .path = "/echo", .deadline_ms = 50 });
 	run_until(&f->ended);
-	assert_end(f, ERR_DEADLINE, VERDICT_NOT_RUN);
+	assert_result(f, ERR_DEADLINE, VERDICT_NOT_RUN);
 	start(f, (struct target_request){ .path = "/echo" });
 	target_call_cancel(f->call);
 	target_call_cancel(hanging);
@@ -417,7 +417,7 @@
 			.stall_ms = 40,
 			.deadline_ms = 60000 });
 		run_until(&f->ended);
-		assert_end(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
+		assert_result(f, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN);
 	}
 	assert_string_equal(f->data->str, "one");
 	run_for(20);
@@ -441,13 +441,13 @@
 	assert_int_equal(f->data->len, 0);
 	target_call_pause(f->call, false);
 	run_until(&f->ended);
-	assert_end(f, ERR_NONE, VERDICT_RAN);
+	assert_result(f, ERR_NONE, VERDICT_RAN);
 	assert_string_equal(f->data->str, "onetwo");
 	start(
 	    f, (struct target_request){ .path = "/chunks", .deadline_ms = 40 });
 	target_call_pause(f->call, true);
 	run_until(&f->ended);
-	assert_end(f, ERR_DEADLINE, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_DEADLINE, VERDICT_MAY_HAVE_RUN);
 }
 
 /*
@@ -494,7 +494,7 @@
 	plat_free(f->plat);
 	f->plat = NULL;
 	assert_true(f->ended);
-	assert_end(f, ERR_CANCELLED, VERDICT_MAY_HAVE_RUN);
+	assert_result(f, ERR_CANCELLED, VERDICT_MAY_HAVE_RUN);
 	run_for(50);
 	assert_int_equal(f->server.hangups, 1);
 }
@@ -515,7 +515,7 @@
 	start(
 	    f, (struct target_request){ .path = "/head", .headers = headers });
 	run_until(&f->ended);
-	assert_end(f, ERR_NONE, VERDICT_RAN);
+	assert_result(f, ERR_NONE, VERDICT_RAN);
 	assert_non_null(strstr(f->data->str, "X-Request-Id: r1\r\n"));
 	assert_non_null(strstr(f->data->str, "Content-Length: 5\r\n"));
 	assert_null(strstr(f->data->str, "websocket"));
