--- a/lib/platform/engine.c
+++ b/lib/platform/engine.c
@@ -59,7 +59,7 @@
 		return;
 	if (response->status == SOUP_STATUS_CONFLICT)
 		err_set(why, ERR_STALE_FENCE, VERDICT_NOT_RUN,
-		    "the engine has accepted a higher fencing number");
+		    "the engine has seen a higher fencing number");
 	else if (response->status == SOUP_STATUS_BAD_GATEWAY)
 		err_set(why, ERR_CORRUPT, VERDICT_RAN,
 		    "the digest of the bytes that the engine read does not "
--- a/lib/platform/target.c
+++ b/lib/platform/target.c
@@ -33,7 +33,7 @@
 	bool paused;
 	bool abandoned; /* no more callbacks; freed on completion */
 	bool sent; /* libsoup began to write the request */
-	bool not_run; /* the response has `X-Not-Run: 1` */
+	bool not_run; /* an error response with `X-Not-Run: 1` */
 	bool new_connection; /* close the connection after the exchange */
 	bool reusable; /* the response was read completely */
 	uint64_t received; /* bytes of the response body */
