--- a/lib/platform/hosts.c
+++ b/lib/platform/hosts.c
@@ -1,4 +1,5 @@
-/* The platform's list of hosts. It lags: a hint, not the truth. */
+/* The platform's list of hosts. The list lags behind the real state, so callers
+ * treat it as a hint. */
 
 #include <string.h>
 
@@ -19,7 +20,7 @@
 	    !reply_str(item, "domain", &entry->domain) ||
 	    !reply_str(item, "state", &state))
 		return false;
-	/* A state we do not know is no reason to send new work there. */
+	/* Treat an unknown state as leaving: the host gets no new work. */
 	entry->leaving = strcmp(state, "live") != 0;
 	return true;
 }
@@ -47,7 +48,8 @@
 }
 
 static void
-on_hosts(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_hosts(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct hosts_call call = *(struct hosts_call *)ctx;
 	struct hosts_entry *hosts = NULL;
@@ -56,7 +58,7 @@
 	guint n = 0;
 
 	g_free(ctx);
-	if (!reply_take(&reply, answer, err, &why)) {
+	if (!reply_from_fetch(&reply, response, err, &why)) {
 		call.done(NULL, 0, &why, call.ctx);
 		return;
 	}
--- a/lib/platform/obj_put.c
+++ b/lib/platform/obj_put.c
@@ -1,11 +1,11 @@
-/* Writes to the object API: carries out what obj_retry.c decides. */
+/* Writes to the object API. Performs the steps that obj_retry.c chooses. */
 
 #include <string.h>
 
 #include "platform/platform_internal.h"
 
-/* An object whose JSON is larger could not be read back. The margin is for
- * the other members of an answer. */
+/* An object with larger JSON could not be read back. The margin leaves room for
+ * the other members of the response. */
 #define PUT_JSON_MAX (FETCH_JSON_MAX - 4096)
 
 struct put_call {
@@ -16,7 +16,7 @@
 	GBytes *json;
 	obj_put_cb *done;
 	void *ctx;
-	struct err malformed; /* found before anything is sent */
+	struct err invalid; /* error of the arguments, reported unsent */
 };
 
 static void
@@ -30,9 +30,10 @@
 	g_free(put);
 }
 
-/* `now`, if there is one, borrows from an answer that outlives the call. */
+/* `now` may be NULL; otherwise it borrows from a response that outlives the
+ * call. */
 static void
-put_end(struct put_call *put, const struct obj_action *action,
+put_finish(struct put_call *put, const struct obj_action *action,
     const struct obj_object *now)
 {
 	struct obj *obj = put->call.obj;
@@ -60,14 +61,14 @@
 
 	if (!put->write.in_doubt && !sending)
 		action.err.verdict = VERDICT_NOT_RUN;
-	put_end(put, &action, NULL);
+	put_finish(put, &action, NULL);
 }
 
 static void put_step(struct put_call *put, const struct obj_event *event,
     const struct obj_object *now);
 
 static gboolean
-put_waited(gpointer data)
+on_retry_timer(gpointer data)
 {
 	struct put_call *put = data;
 
@@ -78,27 +79,27 @@
 }
 
 static bool
-is_transient(const struct fetch_answer *answer)
+is_transient(const struct fetch_response *response)
 {
-	return answer->status >= 500 ||
-	    answer->status == HTTP_TOO_MANY_REQUESTS;
+	return response->status >= 500 ||
+	    response->status == HTTP_TOO_MANY_REQUESTS;
 }
 
-/* An answer to the write that carries JSON. False: it does not as it should. */
+/* Parses the JSON of a 200 or 409 response to a write. False if malformed. */
 static bool
-parse_written(JsonObject *json, unsigned int status, const char *key,
+parse_write_response(JsonObject *json, unsigned int status, const char *key,
     struct obj_event *event, struct obj_object *now)
 {
 	if (status == SOUP_STATUS_OK) {
 		event->kind = OBJ_WRITTEN;
 		return reply_u64(json, "version", &event->version);
 	}
-	event->kind = OBJ_DIFFERS;
+	event->kind = OBJ_CONFLICT;
 	if (!reply_u64(json, "version", &event->version))
 		return false;
 	now->key = key;
 	now->version = event->version;
-	/* Nothing is there: neither an operation nor a value. */
+	/* The object is absent: it has no operation id and no value. */
 	if (event->version == 0)
 		return true;
 	if (!obj_parse(json, key, now))
@@ -108,16 +109,17 @@
 }
 
 static void
-take_written(struct put_call *put, const struct fetch_answer *answer)
+handle_write_response(
+    struct put_call *put, const struct fetch_response *response)
 {
-	struct obj_event event = { .kind = OBJ_LOST };
+	struct obj_event event = { .kind = OBJ_NO_RESPONSE };
 	struct obj_object now = { .key = NULL };
 	struct reply reply = { .json = NULL };
 
-	if (!reply_open(&reply, answer->body, NULL) ||
-	    !parse_written(
-		reply.json, answer->status, put->key, &event, &now)) {
-		event = (struct obj_event){ .kind = OBJ_LOST };
+	if (!reply_open(&reply, response->body, NULL) ||
+	    !parse_write_response(
+		reply.json, response->status, put->key, &event, &now)) {
+		event = (struct obj_event){ .kind = OBJ_NO_RESPONSE };
 		now.key = NULL;
 	}
 	put_step(put, &event, now.key != NULL ? &now : NULL);
@@ -125,37 +127,37 @@
 }
 
 static void
-on_write_answer(
-    const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_write_response(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct put_call *put = ctx;
-	struct obj_event event = { .kind = OBJ_LOST };
+	struct obj_event event = { .kind = OBJ_NO_RESPONSE };
 	struct err why;
 
 	put->call.fetch = NULL;
 	if (err == NULL &&
-	    (answer->status == SOUP_STATUS_OK ||
-		answer->status == SOUP_STATUS_CONFLICT)) {
-		take_written(put, answer);
+	    (response->status == SOUP_STATUS_OK ||
+		response->status == SOUP_STATUS_CONFLICT)) {
+		handle_write_response(put, response);
 		return;
 	}
 	if (err != NULL) {
 		if (err->verdict == VERDICT_NOT_RUN)
 			event.kind = OBJ_NOT_SENT;
-	} else if (answer->not_run ||
-	    answer->status == HTTP_TOO_MANY_REQUESTS) {
+	} else if (response->not_run ||
+	    response->status == HTTP_TOO_MANY_REQUESTS) {
 		event.kind = OBJ_NOT_SENT;
-	} else if (!is_transient(answer)) {
-		fetch_refused(answer, &why);
-		event.kind = OBJ_REFUSED;
+	} else if (!is_transient(response)) {
+		fetch_status_error(response, &why);
+		event.kind = OBJ_REJECTED;
 		event.err = &why;
 	}
 	put_step(put, &event, NULL);
 }
 
 static void
-on_back_answer(
-    const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_read_back(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct put_call *put = ctx;
 	struct obj_event event = { .kind = OBJ_READ_FAILED };
@@ -163,15 +165,15 @@
 	struct reply reply = { .json = NULL };
 
 	put->call.fetch = NULL;
-	if (err == NULL && answer->status == SOUP_STATUS_NOT_FOUND)
-		event.kind = OBJ_FOUND;
-	else if (reply_take(&reply, answer, err, NULL) &&
+	if (err == NULL && response->status == SOUP_STATUS_NOT_FOUND)
+		event.kind = OBJ_READ_BACK;
+	else if (reply_from_fetch(&reply, response, err, NULL) &&
 	    obj_parse(reply.json, put->key, &now)) {
-		event.kind = OBJ_FOUND;
+		event.kind = OBJ_READ_BACK;
 		event.version = now.version;
 		event.op = now.op;
 	}
-	put_step(put, &event, event.kind == OBJ_FOUND ? &now : NULL);
+	put_step(put, &event, event.kind == OBJ_READ_BACK ? &now : NULL);
 	reply_close(&reply);
 }
 
@@ -191,7 +193,7 @@
 		.deadline_ms = action->ms,
 		.max_bytes = FETCH_JSON_MAX,
 	    },
-	    write ? on_write_answer : on_back_answer, put);
+	    write ? on_write_response : on_read_back, put);
 }
 
 static void
@@ -208,22 +210,22 @@
 		put_send(put, &action);
 		break;
 	case OBJ_DO_WAIT:
-		obj_call_wait(&put->call, action.ms, put_waited);
+		obj_call_wait(&put->call, action.ms, on_retry_timer);
 		break;
 	case OBJ_DO_END:
-		put_end(put, &action, now);
+		put_finish(put, &action, now);
 		break;
 	}
 }
 
 static gboolean
-put_begin(gpointer data)
+on_start_timer(gpointer data)
 {
 	struct put_call *put = data;
 
 	put->call.timer = 0;
-	if (err_is(&put->malformed))
-		put_fail(&put->call, &put->malformed);
+	if (err_is(&put->invalid))
+		put_fail(&put->call, &put->invalid);
 	else
 		put_step(put, &(struct obj_event){ .kind = OBJ_BEGIN }, NULL);
 	return G_SOURCE_REMOVE;
@@ -255,16 +257,16 @@
 
 	if (key_len == 0 || key_len > OBJ_KEY_MAX)
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "the length of a key is out of bounds");
+		    "key length is out of bounds");
 	if (op_len == 0 || op_len >= OBJ_OP_MAX)
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
-		    "the length of an operation id is out of bounds");
+		    "operation id length is out of bounds");
 	if (!g_utf8_validate(put->value, -1, NULL))
 		return err_set(
-		    err, ERR_INVALID, VERDICT_NOT_RUN, "a value is not UTF-8");
+		    err, ERR_INVALID, VERDICT_NOT_RUN, "value is not UTF-8");
 	if (strlen(put->value) > OBJ_VALUE_MAX)
 		return err_set(err, ERR_TOO_LARGE, VERDICT_NOT_RUN,
-		    "a value is larger than %u bytes", OBJ_VALUE_MAX);
+		    "value is larger than %u bytes", OBJ_VALUE_MAX);
 	return true;
 }
 
@@ -273,7 +275,7 @@
 {
 	if (g_bytes_get_size(json) > PUT_JSON_MAX)
 		return err_set(err, ERR_TOO_LARGE, VERDICT_NOT_RUN,
-		    "a value is larger than %u bytes in JSON", PUT_JSON_MAX);
+		    "value is larger than %u bytes in JSON", PUT_JSON_MAX);
 	return true;
 }
 
@@ -291,9 +293,9 @@
 	call->write.conditional = put->conditional;
 	call->write.if_version = put->if_version;
 	call->write.budget.deadline_ms = obj_now_ms(obj) + put->deadline_ms;
-	if (check_put(put, &call->malformed)) {
+	if (check_put(put, &call->invalid)) {
 		call->json = put_json(put);
-		check_json(call->json, &call->malformed);
+		check_json(call->json, &call->invalid);
 	}
-	obj_call_wait(&call->call, 0, put_begin);
+	obj_call_wait(&call->call, 0, on_start_timer);
 }
--- a/lib/platform/obj_watch.c
+++ b/lib/platform/obj_watch.c
@@ -1,47 +1,49 @@
 /*
- * The watch of the object API: a long poll that goes on until stopped.
+ * Watch of the object API: long polls that continue until the watch is stopped.
  *
- * A poll answers with what changed after the revision it names, so nothing is
- * lost between two polls. Two things break that chain, and both are answered
- * by listing afresh and reading every object, which reports it all as changed:
- * an API that restarted with a lower revision, whose new writes would stay
- * below ours for long and never be reported; and a set of changes that is too
- * large for one bounded answer, which would fail at each try.
+ * Each poll returns the changes after the revision in its query, so no change
+ * is lost between two polls. In two cases the watch instead lists the prefix
+ * again, reads every object and reports all of them as changed:
+ *
+ *  - The API restarted with a lower revision. Its new writes would stay below
+ *    the watch's revision for a long time and would not be reported.
+ *  - The changes exceed the size limit of one response, so every further poll
+ *    would fail too.
  */
 
 #include <string.h>
 
 #include "platform/platform_internal.h"
 
-/* How long the API holds an idle poll. Each poll counts as a call, so it is
- * long; a restarted API is noticed by its closed connection. */
+/* How long the API holds an idle poll. The time is long because each poll
+ * counts as a call; a restart of the API shows as a closed connection. */
 #define POLL_WAIT_MS 20000
-/* An answer later than this after the poll's end is not coming. */
+/* Time allowed for the response after the hold time of a poll has ended. */
 #define POLL_GRACE_MS 5000
 #define RELIST_DEADLINE_MS 10000
-/* Polls begin at least this far apart: a busy prefix, or an API that does
- * not hold its answers, would otherwise be asked as fast as it answers. */
+/* Minimum time between the starts of two polls. Without it, a busy prefix or
+ * an API that does not hold polls would be polled as fast as it responds. */
 #define POLL_SPACING_MS 100
 
 struct obj_watch {
 	struct obj *obj;
-	char *prefix; /* escaped for a query */
-	char *plain_prefix;
+	char *escaped_prefix; /* for use in a query */
+	char *prefix;
 	uint64_t since;
 	const struct obj_watch_ops *ops;
 	void *ctx;
 	struct fetch *poll;
 	guint timer;
 	unsigned int failures;
-	bool lost; /* reported as failing */
-	int64_t polled_ms; /* when the last poll began */
-	bool prompt; /* the next poll is not to wait */
-	/* A listing afresh: what is still to be read. */
+	bool lost; /* `lost` was called, and `recovered` not since */
+	int64_t polled_ms; /* start of the last poll */
+	bool poll_at_once; /* ask the API not to hold the next poll */
+	/* State of a relist; `keys` is NULL when none is running. */
 	GPtrArray *keys;
 	guint next_key;
 	uint64_t listed_revision;
-	unsigned int pending; /* gets and lists that will call back */
-	bool busy; /* a callback of the owner is running */
+	unsigned int pending; /* running gets and lists */
+	bool in_callback; /* a callback to the owner is running */
 	bool stopped;
 };
 
@@ -53,75 +55,75 @@
 {
 	if (watch->keys != NULL)
 		g_ptr_array_unref(watch->keys);
+	g_free(watch->escaped_prefix);
 	g_free(watch->prefix);
-	g_free(watch->plain_prefix);
 	g_free(watch);
 }
 
-/* True when the watch was stopped meanwhile; it may then be gone. */
+/* True if the watch was stopped; it may then have been freed. */
 static bool
-leave_if_stopped(struct obj_watch *watch)
+check_stopped(struct obj_watch *watch)
 {
 	if (!watch->stopped)
 		return false;
-	if (watch->pending == 0 && !watch->busy)
+	if (watch->pending == 0 && !watch->in_callback)
 		watch_free(watch);
 	return true;
 }
 
 static bool
-tell_lost(struct obj_watch *watch, const struct err *err)
+notify_lost(struct obj_watch *watch, const struct err *err)
 {
 	if (watch->lost)
 		return true;
 	watch->lost = true;
 	if (watch->obj->plat->timeline != NULL) {
 		tl_add(watch->obj->plat->timeline, "obj_watch_lost",
-		    watch->plain_prefix, "%s", err->message);
+		    watch->prefix, "%s", err->message);
 	}
 	if (watch->ops->lost == NULL)
 		return true;
-	watch->busy = true;
+	watch->in_callback = true;
 	watch->ops->lost(err, watch->ctx);
-	watch->busy = false;
-	return !leave_if_stopped(watch);
+	watch->in_callback = false;
+	return !check_stopped(watch);
 }
 
 static bool
-tell_found(struct obj_watch *watch)
+notify_recovered(struct obj_watch *watch)
 {
 	watch->failures = 0;
-	watch->prompt = false;
+	watch->poll_at_once = false;
 	if (!watch->lost)
 		return true;
 	watch->lost = false;
 	if (watch->obj->plat->timeline != NULL) {
 		tl_add(watch->obj->plat->timeline, "obj_watch_found",
-		    watch->plain_prefix, "at revision %" G_GUINT64_FORMAT,
+		    watch->prefix, "at revision %" G_GUINT64_FORMAT,
 		    watch->since);
 	}
-	if (watch->ops->found == NULL)
+	if (watch->ops->recovered == NULL)
 		return true;
-	watch->busy = true;
-	watch->ops->found(watch->ctx);
-	watch->busy = false;
-	return !leave_if_stopped(watch);
+	watch->in_callback = true;
+	watch->ops->recovered(watch->ctx);
+	watch->in_callback = false;
+	return !check_stopped(watch);
 }
 
 static bool
-tell_changed(
+notify_changed(
     struct obj_watch *watch, const struct obj_object *objects, size_t n)
 {
 	if (n == 0)
 		return true;
-	watch->busy = true;
+	watch->in_callback = true;
 	watch->ops->changed(watch->since, objects, n, watch->ctx);
-	watch->busy = false;
-	return !leave_if_stopped(watch);
+	watch->in_callback = false;
+	return !check_stopped(watch);
 }
 
 static gboolean
-watch_again(gpointer data)
+on_poll_timer(gpointer data)
 {
 	struct obj_watch *watch = data;
 
@@ -134,18 +136,18 @@
 watch_failed(struct obj_watch *watch, const struct err *err)
 {
 	watch->failures++;
-	/* What answers next may have restarted: learn its revision at once. */
-	watch->prompt = true;
+	/* The API may have restarted: get its revision without a hold time. */
+	watch->poll_at_once = true;
 	ctr_add(watch->obj->retries, 1);
-	if (!tell_lost(watch, err))
+	if (!notify_lost(watch, err))
 		return;
 	watch->timer =
 	    g_timeout_add(obj_backoff_ms(&watch->obj->rng, watch->failures),
-		watch_again, watch);
+		on_poll_timer, watch);
 }
 
 /* ------------------------------------------------------------------ */
-/* Listing afresh                                                      */
+/* Relist                                                              */
 /* ------------------------------------------------------------------ */
 
 static void relist_next(struct obj_watch *watch);
@@ -155,7 +157,7 @@
 {
 	g_ptr_array_unref(watch->keys);
 	watch->keys = NULL;
-	if (tell_found(watch))
+	if (notify_recovered(watch))
 		watch_next(watch);
 }
 
@@ -166,13 +168,13 @@
 	struct obj_watch *watch = ctx;
 
 	watch->pending--;
-	if (leave_if_stopped(watch))
+	if (check_stopped(watch))
 		return;
 	if (err != NULL && err->code != ERR_NOT_FOUND) {
 		watch_failed(watch, err);
 		return;
 	}
-	if (err == NULL && !tell_changed(watch, object, 1))
+	if (err == NULL && !notify_changed(watch, object, 1))
 		return;
 	relist_next(watch);
 }
@@ -199,13 +201,13 @@
 	size_t i;
 
 	watch->pending--;
-	if (leave_if_stopped(watch))
+	if (check_stopped(watch))
 		return;
 	if (err != NULL) {
 		watch_failed(watch, err);
 		return;
 	}
-	/* What changes while the objects are read is polled for after. */
+	/* The next poll returns the changes made while objects are read. */
 	watch->since = revision;
 	for (i = 0; i < n; i++)
 		g_ptr_array_add(watch->keys, g_strdup(objects[i].key));
@@ -220,8 +222,8 @@
 	watch->keys = g_ptr_array_new_with_free_func(g_free);
 	watch->next_key = 0;
 	watch->pending++;
-	obj_list(watch->obj, watch->plain_prefix, RELIST_DEADLINE_MS,
-	    on_relisted, watch);
+	obj_list(
+	    watch->obj, watch->prefix, RELIST_DEADLINE_MS, on_relisted, watch);
 }
 
 /* ------------------------------------------------------------------ */
@@ -251,7 +253,7 @@
 }
 
 static void
-take_changes(struct obj_watch *watch, JsonObject *json)
+apply_changes(struct obj_watch *watch, JsonObject *json)
 {
 	struct obj_object *objects;
 	uint64_t revision;
@@ -268,14 +270,16 @@
 		relist(watch);
 	} else {
 		watch->since = revision;
-		if (tell_found(watch) && tell_changed(watch, objects, n))
+		if (notify_recovered(watch) &&
+		    notify_changed(watch, objects, n))
 			watch_next(watch);
 	}
 	g_free(objects);
 }
 
 static void
-on_polled(const struct fetch_answer *answer, const struct err *err, void *ctx)
+on_poll_response(
+    const struct fetch_response *response, const struct err *err, void *ctx)
 {
 	struct obj_watch *watch = ctx;
 	struct reply reply;
@@ -284,10 +288,10 @@
 	watch->poll = NULL;
 	if (err != NULL && err->code == ERR_TOO_LARGE) {
 		relist(watch);
-	} else if (!reply_take(&reply, answer, err, &why)) {
+	} else if (!reply_from_fetch(&reply, response, err, &why)) {
 		watch_failed(watch, &why);
 	} else {
-		take_changes(watch, reply.json);
+		apply_changes(watch, reply.json);
 		reply_close(&reply);
 	}
 }
@@ -295,27 +299,27 @@
 static void
 watch_next(struct obj_watch *watch)
 {
-	int64_t early_ms =
+	int64_t delay_ms =
 	    watch->polled_ms + POLL_SPACING_MS - obj_now_ms(watch->obj);
 
 	watch->timer =
-	    g_timeout_add((guint)MAX(0, early_ms), watch_again, watch);
+	    g_timeout_add((guint)MAX(0, delay_ms), on_poll_timer, watch);
 }
 
 static void
 watch_poll(struct obj_watch *watch)
 {
-	unsigned int wait_ms = watch->prompt ? 0 : POLL_WAIT_MS;
+	unsigned int wait_ms = watch->poll_at_once ? 0 : POLL_WAIT_MS;
 	char *path;
 
-	/* A listing that failed half way begins anew. */
+	/* Restart a relist that failed before its end. */
 	if (watch->keys != NULL) {
 		relist(watch);
 		return;
 	}
 	path = g_strdup_printf("/v1/watch?prefix=%s&since=%" G_GUINT64_FORMAT
 			       "&wait_ms=%u",
-	    watch->prefix, watch->since, wait_ms);
+	    watch->escaped_prefix, watch->since, wait_ms);
 	ctr_add(watch->obj->watch_calls, 1);
 	watch->polled_ms = obj_now_ms(watch->obj);
 	watch->poll = fetch_start(watch->obj->plat,
@@ -326,7 +330,7 @@
 		.deadline_ms = wait_ms + POLL_GRACE_MS,
 		.max_bytes = FETCH_JSON_MAX,
 	    },
-	    on_polled, watch);
+	    on_poll_response, watch);
 	g_free(path);
 }
 
@@ -337,14 +341,14 @@
 	struct obj_watch *watch = g_new0(struct obj_watch, 1);
 
 	watch->obj = obj;
-	watch->plain_prefix = g_strdup(prefix);
-	watch->prefix = g_uri_escape_string(prefix, NULL, FALSE);
+	watch->prefix = g_strdup(prefix);
+	watch->escaped_prefix = g_uri_escape_string(prefix, NULL, FALSE);
 	watch->since = since;
 	watch->ops = ops;
 	watch->ctx = ctx;
-	/* The first poll does not wait: `since` may be of an earlier life
-	 * of the API. */
-	watch->prompt = true;
+	/* The first poll is not held: the API may have restarted with a lower
+	 * revision since `since` was read. */
+	watch->poll_at_once = true;
 	obj->watches++;
 	watch_poll(watch);
 	return watch;
@@ -360,5 +364,5 @@
 	watch->timer = 0;
 	watch->obj->watches--;
 	watch->stopped = true;
-	leave_if_stopped(watch);
+	check_stopped(watch);
 }
--- a/lib/platform/target.c
+++ b/lib/platform/target.c
@@ -1,10 +1,10 @@
 /*
- * One HTTP exchange with a target, handed over piece by piece.
+ * One HTTP exchange with a target, with a streamed response.
  *
- * A call is in one of three conditions: an asynchronous operation of libsoup
- * is under way (`busy`), it rests because it is paused, or it is over. What
- * ends a call from outside (deadline, stall, cancel) cancels the operation
- * under way and leaves the rest to its completion.
+ * A call is in one of three states: an asynchronous libsoup operation is
+ * running (`busy`), the call is paused, or it has ended. A deadline, a stall or
+ * a cancellation cancels the running operation, whose completion then ends and
+ * frees the call.
  */
 
 #include <errno.h>
@@ -13,14 +13,14 @@
 
 #include "platform/platform_internal.h"
 
-/* Tokens come in pieces of some hundred bytes; weights in large ones. Held
- * by each of some thousand open streams. */
+/* Token events have some hundred bytes, chunks of weights are large. Each of
+ * some thousand open streams has a buffer of this size. */
 #define READ_BYTES (16u << 10)
 
 struct target_call {
 	TAILQ_ENTRY(target_call) link;
 	struct plat *plat; /* NULL once detached */
-	struct plat_lane *lane;
+	struct plat_pool *pool;
 	struct target_ops ops;
 	void *ctx;
 	SoupMessage *message;
@@ -29,19 +29,19 @@
 	guint deadline_timer, stall_timer, idle;
 	unsigned int stall_ms;
 	int64_t last_byte_us;
-	bool busy; /* an operation or a callback is under way */
+	bool busy; /* an operation or a callback is running */
 	bool paused;
-	bool dropped; /* the owner cancelled; no more callbacks */
+	bool abandoned; /* no more callbacks; freed on completion */
 	bool sent; /* libsoup began to write the request */
-	bool not_run; /* the target said so */
-	bool own_connection; /* not to be kept after the exchange */
-	bool reusable; /* the answer was read to its end */
-	uint64_t received; /* bytes of the answer's body */
-	struct err why; /* why the call was given up, if it was */
+	bool not_run; /* an error response with `X-Not-Run: 1` */
+	bool new_connection; /* close the connection after the exchange */
+	bool reusable; /* the response was read completely */
+	uint64_t received; /* bytes of the response body */
+	struct err why; /* why the call was aborted, if it was */
 	uint8_t buffer[READ_BYTES];
 };
 
-/* Headers that belong to one connection, not to the request. */
+/* Hop-by-hop headers, and others that belong to one connection. */
 static const char *const hop_headers[] = { "Connection", "Keep-Alive",
 	"Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Host", "Expect", NULL };
@@ -66,7 +66,7 @@
 	*timer = 0;
 }
 
-/* Takes the call out of its owner's sight: no timers, not in the list. */
+/* Stops the timers and removes the call from the list of running calls. */
 static void
 detach(struct target_call *call)
 {
@@ -76,14 +76,14 @@
 	stop_timer(&call->stall_timer);
 	stop_timer(&call->idle);
 	TAILQ_REMOVE(&call->plat->calls, call, link);
-	call->lane->running--;
+	call->pool->running--;
 	call->plat = NULL;
 }
 
 /*
  * A body stream that is closed or freed before its end first reads the rest of
- * the answer, blocking the loop for as long as the target likes to send. With a
- * cancelled cancellable it closes the connection instead.
+ * the response and blocks the loop for as long as the target sends. With a
+ * cancelled cancellable, it closes the connection instead.
  */
 static void
 close_body(struct target_call *call)
@@ -111,17 +111,17 @@
 }
 
 static void
-end(struct target_call *call, const struct err *err)
+finish(struct target_call *call, const struct err *err)
 {
 	struct target_ops ops = call->ops;
-	struct err copy = *err;
+	struct err final = *err;
 	void *ctx = call->ctx;
 
 	call_free(call);
-	ops.ended(&copy, ctx);
+	ops.ended(&final, ctx);
 }
 
-/* Before the first byte of the request is written nothing can have run. */
+/* Nothing can have run before the first byte of the request was written. */
 static enum verdict
 verdict_now(const struct target_call *call)
 {
@@ -131,14 +131,14 @@
 }
 
 static void
-end_failed(struct target_call *call, const GError *error)
+finish_failed(struct target_call *call, const GError *error)
 {
 	if (!err_is(&call->why)) {
 		err_set(&call->why, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN, "%s",
-		    error != NULL ? error->message : "no answer");
+		    error != NULL ? error->message : "no response");
 	}
 	call->why.verdict = verdict_now(call);
-	end(call, &call->why);
+	finish(call, &call->why);
 }
 
 static enum err_code
@@ -167,15 +167,16 @@
 }
 
 /*
- * libsoup takes a chunked answer that was cut between two chunks for whole: a
- * stream whose target dies between two tokens would end as if it were
- * complete. What libsoup took for the end was then the end of the connection,
- * which shows on the socket for good; after a whole answer the connection is
- * still open, as we never ask for its end. A target that closes it all the
- * same right after its last chunk cannot be told from one that died.
+ * libsoup treats a chunked response that was truncated between two chunks as
+ * complete, so a stream whose target terminates between two tokens would seem
+ * to end normally. In that case libsoup has read the end of the connection, and
+ * the socket stays at end of file. After a complete response the connection is
+ * still open, because the requests never ask for it to be closed. A target that
+ * nevertheless closes it right after the last chunk cannot be distinguished
+ * from one that terminated.
  */
 static bool
-is_open(GSocket *socket)
+is_connection_open(GSocket *socket)
 {
 	char byte;
 	ssize_t n;
@@ -187,13 +188,13 @@
 }
 
 /*
- * An answer that neither has a length nor comes in chunks looks the same when
- * the target died half way; and libsoup takes one that is shorter than its
- * Content-Length for whole when the target had announced that it
- * closes the connection.
+ * A response with neither a length nor chunked encoding looks the same whether
+ * or not the target terminated before its end. In addition, libsoup treats a
+ * response shorter than its Content-Length as complete if the target announced
+ * that it closes the connection.
  */
 static bool
-is_whole(const struct target_call *call)
+is_complete(const struct target_call *call)
 {
 	SoupMessageHeaders *headers =
 	    soup_message_get_response_headers(call->message);
@@ -205,7 +206,8 @@
 		return true;
 	switch (soup_message_headers_get_encoding(headers)) {
 	case SOUP_ENCODING_CHUNKED:
-		return is_open(plat_socket(call->lane, call->message));
+		return is_connection_open(
+		    plat_socket(call->pool, call->message));
 	case SOUP_ENCODING_CONTENT_LENGTH:
 		return call->received ==
 		    (uint64_t)soup_message_headers_get_content_length(headers);
@@ -215,17 +217,17 @@
 }
 
 static void
-end_body(struct target_call *call)
+finish_body(struct target_call *call)
 {
 	struct err err = { .code = ERR_NONE, .verdict = VERDICT_RAN };
 	unsigned int status = soup_message_get_status(call->message);
 
-	bool whole = is_whole(call);
+	bool complete = is_complete(call);
 
-	call->reusable = whole && !call->own_connection;
-	if (!whole) {
+	call->reusable = complete && !call->new_connection;
+	if (!complete) {
 		err_set(&err, ERR_UNAVAILABLE, VERDICT_MAY_HAVE_RUN,
-		    "an answer was cut");
+		    "the response was truncated");
 	}
 	if (call->not_run) {
 		err_set(&err, refusal_code(status), VERDICT_NOT_RUN,
@@ -233,20 +235,21 @@
 		err.retry_after_ms = retry_after_ms(
 		    soup_message_get_response_headers(call->message));
 	}
-	end(call, &err);
+	finish(call, &err);
 }
 
-/* No callbacks from now on; the operation under way frees the call. */
+/* Suppresses further callbacks; completion of the running operation frees the
+ * call. */
 static void
-drop(struct target_call *call)
+abandon(struct target_call *call)
 {
 	detach(call);
-	call->dropped = true;
+	call->abandoned = true;
 	g_cancellable_cancel(call->cancel);
 }
 
 static void
-give_up(struct target_call *call, enum err_code code, const char *message)
+abort_call(struct target_call *call, enum err_code code, const char *message)
 {
 	struct target_ops ops = call->ops;
 	void *ctx = call->ctx;
@@ -256,15 +259,15 @@
 		return;
 	err_set(&call->why, code, verdict_now(call), "%s", message);
 	if (!call->busy) {
-		end_failed(call, NULL);
+		finish_failed(call, NULL);
 	} else if (call->sent) {
 		g_cancellable_cancel(call->cancel);
 	} else {
-		/* libsoup does not look at the cancellable of a message that
-		 * waits for a connection: it would end long after its
-		 * deadline. It does before it writes. */
+		/* libsoup ignores the cancellable while a message waits for
+		 * a connection, so the call would end long after its
+		 * deadline. libsoup checks it before it writes. */
 		why = call->why;
-		drop(call);
+		abandon(call);
 		ops.ended(&why, ctx);
 	}
 }
@@ -275,15 +278,16 @@
 	struct target_call *call = data;
 
 	call->deadline_timer = 0;
-	give_up(call, ERR_DEADLINE, "the exchange's deadline passed");
+	abort_call(call, ERR_DEADLINE, "the deadline of the exchange passed");
 	return G_SOURCE_REMOVE;
 }
 
 static gboolean on_stall(gpointer data);
 
-/* The timer is set anew only when it fires, not at each byte. */
+/* Starts the timer for the stall limit. It is restarted only when it fires, not
+ * at each read. */
 static void
-watch_stall(struct target_call *call)
+start_stall_timer(struct target_call *call)
 {
 	int64_t left_us = call->last_byte_us + call->stall_ms * (int64_t)1000 -
 	    clk_now_us(call->plat->clock);
@@ -302,12 +306,12 @@
 	if (call->paused)
 		call->last_byte_us = now_us;
 	if (now_us - call->last_byte_us < call->stall_ms * (int64_t)1000) {
-		watch_stall(call);
+		start_stall_timer(call);
 		return G_SOURCE_REMOVE;
 	}
 	if (call->ops.stalled != NULL)
 		call->ops.stalled(call->ctx);
-	give_up(call, ERR_UNAVAILABLE, "the target stalled");
+	abort_call(call, ERR_UNAVAILABLE, "the target stalled");
 	return G_SOURCE_REMOVE;
 }
 
@@ -332,18 +336,18 @@
 	gssize n =
 	    g_input_stream_read_finish(G_INPUT_STREAM(source), result, &error);
 
-	if (call->dropped) {
+	if (call->abandoned) {
 		call_free(call);
 	} else if (n < 0) {
-		end_failed(call, error);
+		finish_failed(call, error);
 	} else if (n == 0) {
-		end_body(call);
+		finish_body(call);
 	} else {
 		call->last_byte_us = clk_now_us(call->plat->clock);
 		call->received += (uint64_t)n;
 		call->ops.data(call->buffer, (size_t)n, call->ctx);
 		call->busy = false;
-		if (call->dropped)
+		if (call->abandoned)
 			call_free(call);
 		else
 			read_next(call);
@@ -352,7 +356,7 @@
 }
 
 static void
-take_head(struct target_call *call)
+handle_head(struct target_call *call)
 {
 	SoupMessageHeaders *headers =
 	    soup_message_get_response_headers(call->message);
@@ -364,26 +368,26 @@
 	call->not_run = status >= 400 && g_strcmp0(not_run, "1") == 0;
 	call->ops.head(status, headers, call->ctx);
 	call->busy = false;
-	if (call->dropped)
+	if (call->abandoned)
 		call_free(call);
 	else
 		read_next(call);
 }
 
 static void
-on_answered(GObject *source, GAsyncResult *result, gpointer data)
+on_response(GObject *source, GAsyncResult *result, gpointer data)
 {
 	struct target_call *call = data;
 	GError *error = NULL;
 
 	call->body =
 	    soup_session_send_finish(SOUP_SESSION(source), result, &error);
-	if (call->dropped)
+	if (call->abandoned)
 		call_free(call);
 	else if (call->body == NULL)
-		end_failed(call, error);
+		finish_failed(call, error);
 	else
-		take_head(call);
+		handle_head(call);
 	g_clear_error(&error);
 }
 
@@ -396,20 +400,20 @@
 }
 
 /*
- * libsoup by itself sends a GET, PUT, DELETE and the like a second time when a
- * kept connection closes before any byte of the answer. The target may have
- * run the first: it would run twice on one attempt, and nobody would count it.
- * libsoup emits `restarted` before it asks for another connection, and a
- * message that is cancelled by then is not sent again.
+ * libsoup resends an idempotent request (GET, PUT, DELETE and the like) when a
+ * reused connection closes before the first byte of the response. The target
+ * may have run the request already and would run it twice in one attempt,
+ * uncounted. libsoup emits `restarted` before it requests another connection,
+ * and does not resend a message that is cancelled by then.
  */
 static void
 on_restarted(SoupMessage *message, gpointer data)
 {
 	struct target_call *call = data;
 
-	if (!call->dropped)
-		give_up(call, ERR_UNAVAILABLE,
-		    "the connection was closed before an answer");
+	if (!call->abandoned)
+		abort_call(call, ERR_UNAVAILABLE,
+		    "the connection was closed before a response");
 }
 
 static void
@@ -441,16 +445,15 @@
 }
 
 /*
- * Connections are kept and used again, by a POST too, which libsoup does only
- * when told that it is idempotent; it still does not send a POST a second
- * time.
+ * Connections are reused, also for POST. libsoup does this only for messages
+ * that are marked idempotent; the mark does not make it resend a POST.
  */
 static SoupMessage *
 new_message(const struct target_request *request)
 {
 	char *uri = g_strconcat(request->base, request->path, NULL);
 	SoupMessageFlags flags = SOUP_MESSAGE_NO_REDIRECT |
-	    (request->own_connection ? SOUP_MESSAGE_NEW_CONNECTION
+	    (request->new_connection ? SOUP_MESSAGE_NEW_CONNECTION
 				     : SOUP_MESSAGE_IDEMPOTENT);
 	SoupMessage *message = soup_message_new(request->method, uri);
 
@@ -461,12 +464,12 @@
 }
 
 static gboolean
-on_malformed(gpointer data)
+on_invalid_url(gpointer data)
 {
 	struct target_call *call = data;
 
 	call->idle = 0;
-	give_up(call, ERR_INVALID, "malformed address of a target");
+	abort_call(call, ERR_INVALID, "malformed target address");
 	return G_SOURCE_REMOVE;
 }
 
@@ -480,7 +483,7 @@
 	call->stall_ms = request->stall_ms;
 	call->last_byte_us = clk_now_us(call->plat->clock);
 	if (call->stall_ms != 0)
-		watch_stall(call);
+		start_stall_timer(call);
 }
 
 static void
@@ -494,8 +497,8 @@
 	    call->message, "restarted", G_CALLBACK(on_restarted), call);
 	start_timers(call, request);
 	call->busy = true;
-	soup_session_send_async(call->lane->session, call->message,
-	    G_PRIORITY_DEFAULT, call->cancel, on_answered, call);
+	soup_session_send_async(call->pool->session, call->message,
+	    G_PRIORITY_DEFAULT, call->cancel, on_response, call);
 }
 
 struct target_call *
@@ -507,14 +510,14 @@
 	call->plat = plat;
 	call->ops = *ops;
 	call->ctx = ctx;
-	call->own_connection = request->own_connection;
+	call->new_connection = request->new_connection;
 	call->cancel = g_cancellable_new();
-	call->lane = plat_lane(plat, request->base);
-	call->lane->running++;
+	call->pool = plat_pool(plat, request->base);
+	call->pool->running++;
 	TAILQ_INSERT_TAIL(&plat->calls, call, link);
 	call->message = new_message(request);
 	if (call->message == NULL)
-		call->idle = g_idle_add(on_malformed, call);
+		call->idle = g_idle_add(on_invalid_url, call);
 	else
 		send_message(call, request);
 	return call;
@@ -536,7 +539,7 @@
 target_call_cancel(struct target_call *call)
 {
 	if (call->busy) {
-		drop(call);
+		abandon(call);
 		return;
 	}
 	call_free(call);
--- a/programs/side/door.c
+++ b/programs/side/door.c
@@ -219,7 +219,7 @@
 		/* If the target closes a reused connection just as the
 		 * request is sent, the verdict is MAY_HAVE_RUN, and a request
 		 * that is not idempotent must not be retried. */
-		.own_connection = !s->idempotent,
+		.new_connection = !s->idempotent,
 	};
 	size_t n = 0;
 
