--- a/tests/standin/engine.c
+++ b/tests/standin/engine.c
@@ -1,4 +1,4 @@
-/* The model engine: its calls, faults and truth log, and its command line. */
+/* The model engine: HTTP handlers, injected faults, log and command line. */
 
 #include <string.h>
 
@@ -64,7 +64,7 @@
 	g_free(e);
 }
 
-/* "MODEL:VERSION:DIGEST"; false when it is not that. */
+/* Parses "MODEL:VERSION:DIGEST"; false if `text` is malformed. */
 static bool
 preload(struct weights *loaded, const char *text, struct err *err)
 {
@@ -142,27 +142,27 @@
 	const struct poptOption table[] = {
 		{ "port", 0, POPT_ARG_INT, &port, 0, "port, 0 picks one", "P" },
 		{ "slots", 0, POPT_ARG_INT, &o.slots, 0,
-		    "requests that run at a time (32)", "N" },
+		    "requests that run concurrently (32)", "N" },
 		{ "step-ms", 0, POPT_ARG_INT, &o.step_ms, 0,
-		    "time of a step (7)", "MS" },
+		    "duration of a step (7)", "MS" },
 		{ "max-queue", 0, POPT_ARG_INT, &o.max_queue, 0,
 		    "waiting requests before a refusal (64)", "N" },
 		{ "prefill-tokens-per-step", 0, POPT_ARG_LONGLONG, &prefill, 0,
-		    "uncached prompt tokens of a step (2048)", "N" },
+		    "uncached prompt tokens processed per step (2048)", "N" },
 		{ "cache-tokens", 0, POPT_ARG_LONGLONG, &cache, 0,
 		    "prompt tokens the prefix cache holds (262144)", "N" },
 		{ "report-lag-ms", 0, POPT_ARG_LONGLONG, &report_lag, 0,
-		    "how old a report is", "MS" },
+		    "age of the reported state", "MS" },
 		{ "event-lag-ms", 0, POPT_ARG_LONGLONG, &event_lag, 0,
-		    "how late a cache event is", "MS" },
+		    "delay of a cache event", "MS" },
 		{ "event-gap", 0, POPT_ARG_INT, &o.event_gap, 0,
 		    "one in N cache events is missing, 0 for none", "N" },
 		{ "keep-ms", 0, POPT_ARG_LONGLONG, &keep, 0,
-		    "how long a run goes on without connection (3000)", "MS" },
+		    "how long a run continues without a connection (3000)", "MS" },
 		{ "check-fence", 0, POPT_ARG_NONE, &check_fence, 0,
 		    "refuse load orders with an old fencing number", NULL },
 		{ "loaded", 0, POPT_ARG_STRING, &loaded, 0,
-		    "what is loaded at the start", "MODEL:VERSION:DIGEST" },
+		    "weights loaded at startup", "MODEL:VERSION:DIGEST" },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 
--- a/tests/standin/engine.h
+++ b/tests/standin/engine.h
@@ -1,13 +1,13 @@
 #ifndef STANDIN_ENGINE_H
 #define STANDIN_ENGINE_H
 
-/* The parts of the model engine's stand-in, for its own files only. */
+/* Internal interfaces of the model engine's stand-in. */
 
 #include "standin/standin.h"
 
 #define DIGEST_SHORT 8 /* hex digits of the digest in a token's text */
-#define PREFIX_BYTES 256 /* of the contents, what a prefix is known by */
-#define TOKEN_BYTES 4 /* of content that count as one token */
+#define PREFIX_BYTES 256 /* leading content bytes that identify a prefix */
+#define TOKEN_BYTES 4 /* content bytes counted as one token */
 
 /* ------------------------------------------------------------------ */
 /* Prefix cache                                                        */
@@ -16,25 +16,27 @@
 struct cache;
 struct cache *cache_new(const struct engine_options *options);
 void cache_free(struct cache *c);
-/* FNV-1a 64 over the first PREFIX_BYTES. */
+/* 64-bit FNV-1a hash of the first PREFIX_BYTES. */
 uint64_t cache_prefix(const char *text, size_t len);
-/* True for a hit, which also makes the prefix the youngest. Counted. */
+/* Looks up a prefix and counts a hit or a miss. A hit returns true and makes
+ * the prefix the most recently used. */
 bool cache_use(struct cache *c, uint64_t prefix);
 void cache_add(struct cache *c, uint64_t prefix, int64_t tokens);
 int64_t cache_tokens(const struct cache *c);
 int64_t cache_hits(const struct cache *c);
 int64_t cache_misses(const struct cache *c);
-/* Puts `next` and `events` with seq > since: late, and with gaps. */
+/* Adds `next` and the `events` with seq > since, subject to the configured
+ * delay and gaps. */
 void cache_put_events(const struct cache *c, uint64_t since, JsonBuilder *b);
 
 /* ------------------------------------------------------------------ */
-/* What is loaded                                                      */
+/* Loaded weights                                                      */
 /* ------------------------------------------------------------------ */
 
 struct weights {
 	char *model;
 	char *version;
-	char digest[DIGEST_HEX]; /* "": nothing */
+	char digest[DIGEST_HEX]; /* "": nothing is loaded */
 	int64_t fence;
 };
 
--- a/tests/standin/engine_answer.c
+++ b/tests/standin/engine_answer.c
@@ -1,4 +1,4 @@
-/* What a run at the engine reads from its request and writes as its answer. */
+/* Parsing of chat requests and writing of their answers. */
 
 #include <string.h>
 
@@ -6,7 +6,7 @@
 
 #define MAX_TOKENS_DEFAULT 16
 #define PRIORITY_DEFAULT 5
-/* In JSON and in the text of a token an id stands as it is. */
+/* Request ids are copied unescaped into JSON and into the text of tokens. */
 #define ID_CHARS                                                         \
 	"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789" \
 	"-_.@/"
@@ -157,8 +157,8 @@
 	append_text(body, event);
 }
 
-/* A cancelled stream ends without `[DONE]`, so that it is not taken for a
- * whole one. */
+/* A cancelled stream ends without `[DONE]`, so that the client does not treat
+ * it as complete. */
 static void
 send_events(struct run *run)
 {
--- a/tests/standin/engine_cache.c
+++ b/tests/standin/engine_cache.c
@@ -1,4 +1,4 @@
-/* The engine's prefix cache and what it tells about it, late and with gaps. */
+/* The engine's prefix cache and its cache events, delayed and with gaps. */
 
 #include <stdio.h>
 
@@ -28,7 +28,7 @@
 	int64_t tokens;
 	int64_t hits, misses;
 	GHashTable *by_hash; /* &prefix->hash -> struct prefix * */
-	struct prefix_list prefixes; /* the longest unused first */
+	struct prefix_list prefixes; /* least recently used first */
 	int64_t event_lag_ms;
 	int event_gap;
 	uint64_t seq;
@@ -61,7 +61,8 @@
 	c->nevents--;
 }
 
-/* A missing event uses up its number, so that the gap can be seen. */
+/* An omitted event consumes its sequence number, so that the client can detect
+ * the gap. */
 static void
 add_event(struct cache *c, uint64_t hash, bool present)
 {
--- a/tests/standin/engine_load.c
+++ b/tests/standin/engine_load.c
@@ -1,7 +1,7 @@
 /*
- * The engine's load orders, one at a time: fetches the list of chunk digests
- * and the bytes from the side process, hashes them as they come, and swaps
- * what is loaded once the root digest is right.
+ * The engine's load orders, executed one at a time: fetches the list of chunk
+ * digests and the bytes from the sidecar, hashes the bytes as they arrive, and
+ * replaces the loaded weights once the root digest matches.
  */
 
 #include <string.h>
@@ -9,9 +9,9 @@
 #include "standin/engine.h"
 
 #define READ_BYTES (256u << 10)
-#define STALL_S 30 /* of the source, in seconds, before a load fails */
+#define STALL_S 30 /* a load fails after the source stalls for this long */
 
-struct load_entry { /* of the log */
+struct load_entry { /* one order in the log */
 	STAILQ_ENTRY(load_entry) entry;
 	char *order_id;
 	char *digest;
@@ -23,18 +23,18 @@
 struct order {
 	STAILQ_ENTRY(order) entry;
 	struct loader *loader;
-	struct held *held; /* NULL: who ordered went away */
+	struct held *held; /* NULL: the client disconnected */
 	struct load_entry *logged;
 	struct weights weights;
 	int64_t bytes;
 	int64_t chunk_bytes;
 	char *chunks_url;
 	char *source;
-	GBytes *chunks; /* the list, 32 bytes each */
+	GBytes *chunks; /* chunk digests, 32 bytes each */
 	GInputStream *stream;
 	struct digest_stream *root;
 	struct digest_stream *chunk;
-	int64_t chunk_left; /* bytes until the chunk's end */
+	int64_t chunk_left; /* bytes left in the current chunk */
 	int64_t done; /* bytes read */
 	bool hung;
 };
@@ -46,7 +46,7 @@
 	int64_t fence_seen;
 	SoupSession *session;
 	GCancellable *cancel;
-	struct order_list orders; /* the first is being carried out */
+	struct order_list orders; /* the first is being executed */
 	struct load_log log;
 	int64_t load_fail, load_hang;
 };
@@ -127,7 +127,8 @@
 	loaded->version = g_strdup(fresh->version);
 }
 
-/* The fence is checked again: a newer order may have come during the load. */
+/* Checks the fencing number again: an order with a higher one may have arrived
+ * during the load. */
 static void
 order_done(struct order *o)
 {
@@ -169,7 +170,8 @@
 		   DIGEST_BYTES) == 0;
 }
 
-/* False when the bytes are too many or a chunk is not what the list says. */
+/* False if the source sends too many bytes or a chunk does not match its digest
+ * in the list. */
 static bool
 take_bytes(struct order *o, const uint8_t *data, size_t len)
 {
@@ -197,7 +199,7 @@
 	struct digest root;
 
 	if (o->done != o->bytes) {
-		order_fail(o, "the source is too short");
+		order_fail(o, "the source sent too few bytes");
 		return;
 	}
 	digest_stream_end(o->root, &root);
@@ -227,14 +229,14 @@
 	}
 	if (bytes == NULL) {
 		g_error_free(error);
-		order_fail(o, "the source broke off");
+		order_fail(o, "reading from the source failed");
 		return;
 	}
 	data = g_bytes_get_data(bytes, &len);
 	good = take_bytes(o, data, len);
 	g_bytes_unref(bytes);
 	if (!good)
-		order_fail(o, "the bytes do not match");
+		order_fail(o, "a chunk digest or the length does not match");
 	else if (len == 0)
 		source_ended(o);
 	else
@@ -281,14 +283,14 @@
 	g_clear_error(&error);
 	o->stream = stream;
 	if (stream == NULL || !found) {
-		order_fail(o, "no source");
+		order_fail(o, "the source did not answer 200");
 		return;
 	}
 	begin_hashing(o);
 	read_more(o);
 }
 
-/* Starts a GET; false when the URL is no good. */
+/* Starts a GET; false if the URL is invalid. */
 static bool
 fetch(struct order *o, const char *url, bool whole, GAsyncReadyCallback done)
 {
@@ -332,9 +334,9 @@
 	g_clear_error(&error);
 	o->chunks = list;
 	if (list == NULL || !list_fits(o))
-		order_fail(o, "no list of chunks, or one of another size");
+		order_fail(o, "the list of chunk digests is missing or has the wrong size");
 	else if (!fetch(o, o->source, false, on_source))
-		order_fail(o, "a bad source URL");
+		order_fail(o, "invalid source URL");
 }
 
 static void
@@ -347,14 +349,14 @@
 		order_done(o);
 	} else if (l->load_fail > 0) {
 		l->load_fail--;
-		order_fail(o, "told to fail");
+		order_fail(o, "injected fault: load_fail");
 	} else if (l->load_hang > 0) {
 		l->load_hang--;
-		o->hung = true; /* until who ordered goes away */
+		o->hung = true; /* until the client disconnects */
 		if (o->held == NULL)
 			next_order(l);
 	} else if (!fetch(o, o->chunks_url, true, on_chunks)) {
-		order_fail(o, "a bad chunks URL");
+		order_fail(o, "invalid chunks URL");
 	}
 }
 
@@ -369,7 +371,9 @@
 /* Calls                                                               */
 /* ------------------------------------------------------------------ */
 
-/* A load goes on without who ordered it, as in an engine of its own mind. */
+/* A load continues after its client has disconnected: an engine may complete an
+ * order that its sender has given up. A load that hangs by an injected fault
+ * ends here. */
 static void
 on_orderer_gone(void *ctx)
 {
--- a/tests/standin/engine_run.c
+++ b/tests/standin/engine_run.c
@@ -1,4 +1,4 @@
-/* The engine's continuous batching: slots, steps, waiting, cancel, resume. */
+/* The engine's continuous batching: slots, steps, queue, cancel, resume. */
 
 #include <string.h>
 
@@ -17,7 +17,8 @@
 	g_free(s);
 }
 
-/* The newest snapshot that is old enough; older ones are let go. */
+/* Returns the newest snapshot that is at least `report_lag_ms` old, or the
+ * oldest if none is; frees the snapshots before it. */
 static const struct snapshot *
 shown_snapshot(struct batch *b)
 {
@@ -78,7 +79,7 @@
 	run_free(run);
 }
 
-/* A waiting run leaves no trace in the log: it did not run. */
+/* A waiting run is not logged, because it did not run. */
 static void
 drop_waiting(struct run *run)
 {
@@ -96,7 +97,7 @@
 	b->nrunning--;
 	run->state = state;
 	run->end_ms = clk_wall_us(b->clock) / 1000;
-	/* From here on the run can be resumed for a while. */
+	/* The stream can be resumed for `keep_ms` from now. */
 	run->lost_ms = clk_now_ms(b->clock);
 	run_send(run);
 }
@@ -108,7 +109,8 @@
 	    strcmp(run->expect, b->loaded->digest) == 0;
 }
 
-/* What is loaded may have changed while the run waited. */
+/* Checks the digest again: the loaded weights may have changed while the run
+ * was waiting. */
 static void
 run_begin(struct run *run)
 {
@@ -184,8 +186,8 @@
 	return TAILQ_EMPTY(&b->running) && TAILQ_EMPTY(&b->waiting);
 }
 
-/* The next step counts from the last one's due time, so that the pace holds;
- * steps missed by a late loop are not made up for. */
+/* The next step is scheduled relative to the due time of the last one, so that
+ * the rate does not drift; steps missed by a late main loop are skipped. */
 static void
 schedule(struct batch *b)
 {
@@ -251,14 +253,14 @@
 		schedule(b);
 }
 
-/* False after a refusal that had no effect. */
+/* False after refusing the request as not run. */
 static bool
 admit(struct batch *b, SoupServerMessage *msg, const struct run *run)
 {
 	bool full = b->nwaiting >= b->max_queue + b->slots - b->nrunning;
 
 	if (b->refuse)
-		reply_not_run(msg, 503, "told to refuse");
+		reply_not_run(msg, 503, "injected fault: refuse");
 	else if (b->loaded->digest[0] == '\0')
 		reply_not_run(msg, 503, "no model is loaded");
 	else if (!digest_fits(b, run))
@@ -303,8 +305,8 @@
 	return 1;
 }
 
-/* With an `attempt`, only that one is cancelled: the cancel of an earlier
- * attempt may come after the next one began. */
+/* If the body has an `attempt`, only that attempt is cancelled: the cancel of an
+ * earlier attempt may arrive after the next one has started. */
 void
 batch_on_cancel(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, void *ctx)
@@ -326,7 +328,7 @@
 	reply_json(msg, 200, json);
 }
 
-/* The engine still has a run that goes on, or that ended a moment ago. */
+/* True for a run that is running, or that was done less than `keep_ms` ago. */
 static bool
 can_resume(const struct batch *b, const struct run *run)
 {
@@ -353,7 +355,7 @@
 		reply_error(msg, 404, "no such stream");
 		return;
 	}
-	/* The old connection may hang without having broken. */
+	/* The old connection may be stalled without having been closed. */
 	if (run->held != NULL)
 		held_hang_up(run->held);
 	run->held = held_new(msg, on_run_gone, run);
@@ -430,7 +432,7 @@
 		json_builder_end_object(json);
 	}
 	json_builder_end_array(json);
-	/* A run keeps the digest it began with to its end. */
+	/* Always 0: a run keeps the digest it started with until it ends. */
 	put_int(json, "mixed", 0);
 }
 
--- a/tests/standin/engine_run.h
+++ b/tests/standin/engine_run.h
@@ -1,33 +1,33 @@
 #ifndef STANDIN_ENGINE_RUN_H
 #define STANDIN_ENGINE_RUN_H
 
-/* One request at the engine, and the batch it runs in. */
+/* A request at the engine, and the batch that it runs in. */
 
 #include "standin/engine.h"
 
 enum run_state {
-	RUN_WAITING, /* not begun: nobody can say that it ran */
+	RUN_WAITING, /* not started, so it counts as not run */
 	RUN_RUNNING,
 	RUN_DONE,
 	RUN_CANCELLED,
 };
 
 struct run {
-	TAILQ_ENTRY(run) entry; /* of `waiting` or `running` */
-	STAILQ_ENTRY(run) logged; /* once begun */
+	TAILQ_ENTRY(run) entry; /* in `waiting` or `running` */
+	STAILQ_ENTRY(run) logged; /* in `log`, once started */
 	struct batch *batch;
-	struct held *held; /* NULL: nobody is connected */
+	struct held *held; /* NULL: no client is connected */
 	enum run_state state;
 	char *id;
 	int64_t attempt;
 	int64_t priority; /* 0 is most urgent */
 	bool stream;
-	char expect[DIGEST_HEX]; /* refuse another digest; "": any */
-	char digest[DIGEST_HEX]; /* what it began with */
+	char expect[DIGEST_HEX]; /* digest required by the request; "": any */
+	char digest[DIGEST_HEX]; /* loaded when the run started */
 	uint64_t prefix;
 	int64_t prompt_tokens;
 	int64_t prefill_left;
-	int64_t tokens; /* made so far */
+	int64_t tokens; /* generated so far */
 	int64_t sent; /* on this connection, counted from token 0 */
 	int64_t max_tokens;
 	int64_t lost_ms; /* when the connection broke */
@@ -36,7 +36,7 @@
 TAILQ_HEAD(run_list, run);
 STAILQ_HEAD(run_log, run);
 
-struct snapshot { /* a report, shown once it is old enough */
+struct snapshot { /* state reported once it is `report_lag_ms` old */
 	STAILQ_ENTRY(snapshot) entry;
 	int64_t at_ms;
 	int64_t running, waiting, cache_tokens, step_ms;
@@ -59,21 +59,23 @@
 	struct snapshot_list snapshots; /* oldest first */
 	GSource *stepper;
 	int64_t next_step_us; /* 0: the batch is idle */
-	uint64_t names; /* given to requests that came without */
+	uint64_t names; /* ids generated for requests without one */
 	int64_t frozen_until_ms;
 	bool refuse;
 };
 
-/* Parses and checks a chat request; NULL after answering it. */
+/* Parses and validates a chat request; if it is invalid, answers it and returns
+ * NULL. */
 struct run *run_parse(struct batch *b, SoupServerMessage *msg);
 void run_free(struct run *run);
 
-/* Sends the head of an answer: from here on the request has begun. */
+/* Sends the headers of the answer, which tell the client that the run has
+ * started. */
 void run_send_head(struct run *run);
-/* Sends what there is and was not sent yet; ends the answer of a run that
- * is over. */
+/* Sends the tokens that were not sent yet; completes the answer of a run that
+ * has ended. */
 void run_send(struct run *run);
-/* Answers a run that did not begin. */
+/* Refuses a run that did not start. */
 void run_refuse(struct run *run, unsigned int status, const char *why);
 
 #endif
