--- a/tests/standin/caller.c
+++ b/tests/standin/caller.c
@@ -1,6 +1,6 @@
 /*
- * The load generator: sends requests by a schedule that does not wait for
- * answers, checks every answer, and writes one summary.
+ * Open-loop load generator: sends requests on a schedule that does not wait
+ * for answers, checks every answer, and writes one summary.
  */
 
 #include <glib-unix.h>
@@ -10,13 +10,13 @@
 
 #include "standin/caller.h"
 
-#define GIVE_UP_S 10 /* for requests still open when sending is over */
+#define GIVE_UP_S 10 /* wait for open requests after the last is sent */
 #define READ_BYTES 16384
 #define PERMILLE 1000
 
 struct caller_options {
 	char *entries, *model, *token, *out;
-	double rate, seconds; /* 0 seconds: until SIGTERM */
+	double rate, seconds; /* seconds == 0: until SIGTERM */
 	int streams_permille, max_tokens;
 	int prompts, prompt_bytes;
 	int key_permille, deadline_ms, priority;
@@ -25,12 +25,12 @@
 };
 
 /*
- * A session of its own for each open request: libsoup walks over all requests
- * of a session for each that starts or ends, and with a thousand open ones
- * the caller would do nothing else. An idle one keeps its connection.
+ * Each open request has its own session: libsoup iterates over all requests of
+ * a session whenever one starts or ends, which takes all of the CPU time with
+ * a thousand open requests. An idle session keeps its connection open.
  */
 struct channel {
-	SLIST_ENTRY(channel) entry; /* of `idle` */
+	SLIST_ENTRY(channel) entry; /* in `idle` */
 	SLIST_ENTRY(channel) all;
 	SoupSession *session;
 };
@@ -49,12 +49,12 @@
 	size_t nentries;
 	size_t turn;
 	struct rng rng;
-	uint32_t name; /* of this caller, in its idempotency keys */
+	uint32_t name; /* random, makes the idempotency keys unique */
 	struct stats stats;
 	GSource *sender;
 	int64_t start_us;
-	int64_t due_us; /* of the next request */
-	int64_t end_us; /* of sending; INT64_MAX: on a signal only */
+	int64_t due_us; /* due time of the next request */
+	int64_t end_us; /* when to stop sending; INT64_MAX: on a signal */
 	int64_t stopped_us;
 	int64_t open;
 	bool stopping;
@@ -68,7 +68,7 @@
 	struct channel *channel;
 	SoupMessage *msg;
 	GInputStream *body;
-	GString *text; /* of an answer that is no stream */
+	GString *text; /* body of an answer that is not a stream */
 	bool stream;
 	bool refused;
 	struct check check;
@@ -121,7 +121,8 @@
 	call_free(call);
 }
 
-/* `STATUS CODE VERDICT`, from the error object where there is one. */
+/* Counts the refusal as `STATUS CODE VERDICT`; the code is taken from the
+ * error object in the body, if there is one. */
 static void
 count_refusal(struct call *call)
 {
@@ -204,7 +205,8 @@
 	if (bytes == NULL) {
 		stats_error(&call->caller->stats, error->message);
 		g_error_free(error);
-		/* What came may show worse than that it broke off. */
+		/* The part received may show a worse fault than
+		 * OUTCOME_CUT. */
 		body_ended(call);
 		return;
 	}
@@ -270,7 +272,8 @@
 	    "{\"model\":\"%s\",\"stream\":%s,\"max_tokens\":%d,"
 	    "\"messages\":[{\"role\":\"user\",\"content\":\"",
 	    o->model, stream ? "true" : "false", o->max_tokens);
-	/* The number comes first, where a prefix is told apart. */
+	/* The prompt number comes first, so that each prompt has its own
+	 * prefix in the prefix cache. */
 	start = text->len;
 	g_string_append_printf(text,
 	    "Prompt %" G_GUINT64_FORMAT " of caller seed %lld. ",
@@ -328,8 +331,8 @@
 	return ch;
 }
 
-/* Latency counts from when the request was due, so that a caller that falls
- * behind does not hide what its requests waited. */
+/* Latency is measured from the due time of the request, so that it includes
+ * the delay of a load generator that falls behind its schedule. */
 static void
 send_one(struct caller *c)
 {
@@ -342,8 +345,9 @@
 	call->channel = channel_take(entry);
 	call->due_us = c->due_us;
 	call->msg = soup_message_new_from_uri("POST", entry->uri);
-	/* libsoup opens a connection for each POST, unless told that it may
-	 * send the request again should a kept connection turn out closed. */
+	/* libsoup opens a new connection for each POST unless the message is
+	 * flagged as idempotent, which lets libsoup send it again if a reused
+	 * connection turns out to be closed. */
 	if (c->options->reuse)
 		soup_message_add_flags(call->msg, SOUP_MESSAGE_IDEMPOTENT);
 	add_headers(c, call->msg);
@@ -380,7 +384,7 @@
 		g_timeout_add_seconds(GIVE_UP_S, on_give_up, c);
 }
 
-/* Exponential gaps: callers that do not know of one another. */
+/* Exponentially distributed gaps, as between independent callers. */
 static int64_t
 next_gap_us(struct caller *c)
 {
@@ -552,37 +556,37 @@
 	int status = 2;
 	const struct poptOption table[] = {
 		{ "entries", 0, POPT_ARG_STRING, &o.entries, 0,
-		    "entries, asked in turn", "URL[,URL...]" },
-		{ "model", 0, POPT_ARG_STRING, &o.model, 0, "model asked for",
+		    "gateways, used in rotation", "URL[,URL...]" },
+		{ "model", 0, POPT_ARG_STRING, &o.model, 0, "requested model",
 		    "TEAM/MODEL" },
 		{ "token", 0, POPT_ARG_STRING, &o.token, 0, "caller's token",
 		    "T" },
 		{ "rate", 0, POPT_ARG_DOUBLE, &o.rate, 0,
-		    "requests a second (10)", "R" },
+		    "requests per second (10)", "R" },
 		{ "seconds", 0, POPT_ARG_DOUBLE, &o.seconds, 0,
-		    "how long to send; 0 until SIGTERM", "S" },
+		    "duration of sending; 0 until SIGTERM", "S" },
 		{ "streams-permille", 0, POPT_ARG_INT, &o.streams_permille, 0,
-		    "how many of 1000 are streams (0)", "N" },
+		    "streams per 1000 requests (0)", "N" },
 		{ "max-tokens", 0, POPT_ARG_INT, &o.max_tokens, 0,
-		    "tokens of an answer (16)", "N" },
+		    "tokens per answer (16)", "N" },
 		{ "prompts", 0, POPT_ARG_INT, &o.prompts, 0,
 		    "distinct prompts (1)", "N" },
 		{ "prompt-bytes", 0, POPT_ARG_INT, &o.prompt_bytes, 0,
-		    "least length of a prompt (64)", "B" },
+		    "minimum length of a prompt (64)", "B" },
 		{ "idempotency-key-permille", 0, POPT_ARG_INT, &o.key_permille,
-		    0, "how many of 1000 carry a key of their own (0)", "N" },
+		    0, "requests with a unique key per 1000 (0)", "N" },
 		{ "deadline-ms", 0, POPT_ARG_INT, &o.deadline_ms, 0,
 		    "X-Deadline-Ms; 0 sends none", "MS" },
 		{ "priority", 0, POPT_ARG_INT, &o.priority, 0,
 		    "X-Priority; -1 sends none", "N" },
 		{ "seed", 0, POPT_ARG_LONGLONG, &o.seed, 0,
-		    "of the schedule and the choices (1)", "N" },
+		    "seed of the schedule and the random choices (1)", "N" },
 		{ "out", 0, POPT_ARG_STRING, &o.out, 0,
-		    "file of the summary; standard output without", "FILE" },
+		    "file for the summary (default: standard output)", "FILE" },
 		{ "list", 0, POPT_ARG_NONE, &o.list, 0,
 		    "list every request in the summary", NULL },
 		{ "reuse-connections", 0, POPT_ARG_NONE, &o.reuse, 0,
-		    "keep connections; libsoup may then resend a request",
+		    "reuse connections; libsoup may then resend a request",
 		    NULL },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
--- a/tests/standin/caller_check.c
+++ b/tests/standin/caller_check.c
@@ -1,4 +1,5 @@
-/* Checks an answer token by token: whole, from one version, the caller's own. */
+/* Checks that an answer is complete, comes from one version and belongs to the
+ * request, token by token. */
 
 #include <string.h>
 
@@ -73,7 +74,7 @@
 	c->next = MAX(c->next, index + 1);
 }
 
-/* A token is `DIGEST:ID:INDEX`; anything else is a gap. */
+/* A token has the form `DIGEST:ID:INDEX`; other text counts as a gap. */
 static void
 check_token(struct check *c, const char *text, size_t len)
 {
@@ -96,7 +97,8 @@
 	check_index(c, index);
 }
 
-/* Checks all tokens of a text; each ends with a space. Returns how many. */
+/* Checks all tokens of a text, each terminated by a space; returns their
+ * number. */
 static size_t
 check_text(struct check *c, const char *text)
 {
@@ -109,11 +111,11 @@
 		n++;
 	}
 	if (*text != '\0')
-		c->gap = true; /* the last token is not whole */
+		c->gap = true; /* the last token is incomplete */
 	return n;
 }
 
-/* The text of the first choice, under `inner`; NULL when there is none. */
+/* Returns the content of the first choice's member `inner`, or NULL. */
 static const char *
 choice_text(JsonObject *object, const char *inner)
 {
@@ -160,7 +162,7 @@
 	object = parse_object(c, data, len);
 	text = object == NULL ? NULL : choice_text(object, "delta");
 	if (text == NULL)
-		return 0; /* a chunk without text, such as the role */
+		return 0; /* no text, as in a chunk with only the role */
 	id = member_str(object, "id", NULL);
 	if (id != NULL)
 		check_id(c, id, strlen(id));
@@ -214,7 +216,7 @@
 	c->done = true;
 }
 
-/* The worst that was seen names the outcome. */
+/* Returns the most severe fault found, or OUTCOME_ANSWERED. */
 enum outcome
 check_outcome(const struct check *c)
 {
--- a/tests/standin/caller_stats.c
+++ b/tests/standin/caller_stats.c
@@ -1,10 +1,10 @@
-/* What the load generator counts and measures, and its summary. */
+/* Counters, latency histograms and summary of the load generator. */
 
 #include <string.h>
 
 #include "standin/caller.h"
 
-#define ERRORS_KEPT 50 /* distinct texts; more would swell the summary */
+#define ERRORS_MAX 50 /* distinct texts; limits the size of the summary */
 
 /* ------------------------------------------------------------------ */
 /* Histogram                                                           */
@@ -24,7 +24,7 @@
 	return MIN(bucket, HIST_BUCKETS - 1);
 }
 
-/* The largest value of a bucket. */
+/* Returns the largest value that falls into a bucket. */
 static uint64_t
 bucket_top(size_t bucket)
 {
@@ -101,7 +101,7 @@
 void
 stats_error(struct stats *s, const char *text)
 {
-	if (g_hash_table_size(s->errors) >= ERRORS_KEPT &&
+	if (g_hash_table_size(s->errors) >= ERRORS_MAX &&
 	    !g_hash_table_contains(s->errors, text))
 		text = "others";
 	count_text(s->errors, text);
@@ -248,7 +248,8 @@
 	head = json_end(b, &len);
 	if (s->list == NULL)
 		return head;
-	/* The list is text already; it goes before the closing brace. */
+	/* The list is already JSON text; insert it before the closing
+	 * brace. */
 	text = g_string_new_len(head, (gssize)len - 1);
 	g_free(head);
 	g_string_append_printf(text, ",\"list\":[%s]}", s->list->str);
--- a/tests/standin/engine_load.c
+++ b/tests/standin/engine_load.c
@@ -170,8 +170,8 @@
 		   DIGEST_BYTES) == 0;
 }
 
-/* False if the source sends too many bytes or a chunk does not match its digest
- * in the list. */
+/* False if the source sends too many bytes or a chunk does not match its
+ * digest in the list. */
 static bool
 take_bytes(struct order *o, const uint8_t *data, size_t len)
 {
@@ -334,7 +334,8 @@
 	g_clear_error(&error);
 	o->chunks = list;
 	if (list == NULL || !list_fits(o))
-		order_fail(o, "the list of chunk digests is missing or has the wrong size");
+		order_fail(o,
+		    "the list of chunk digests is missing or has the wrong size");
 	else if (!fetch(o, o->source, false, on_source))
 		order_fail(o, "invalid source URL");
 }
@@ -371,9 +372,9 @@
 /* Calls                                                               */
 /* ------------------------------------------------------------------ */
 
-/* A load continues after its client has disconnected: an engine may complete an
- * order that its sender has given up. A load that hangs by an injected fault
- * ends here. */
+/* A load continues after its client has disconnected: an engine may complete
+ * an order that its sender has given up. A load that hangs by an injected
+ * fault ends here. */
 static void
 on_orderer_gone(void *ctx)
 {
--- a/tests/standin/engine_run.c
+++ b/tests/standin/engine_run.c
@@ -305,8 +305,8 @@
 	return 1;
 }
 
-/* If the body has an `attempt`, only that attempt is cancelled: the cancel of an
- * earlier attempt may arrive after the next one has started. */
+/* If the body has an `attempt`, only that attempt is cancelled: the cancel of
+ * an earlier attempt may arrive after the next one has started. */
 void
 batch_on_cancel(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, void *ctx)
--- a/tests/standin/engine_run.h
+++ b/tests/standin/engine_run.h
@@ -64,8 +64,8 @@
 	bool refuse;
 };
 
-/* Parses and validates a chat request; if it is invalid, answers it and returns
- * NULL. */
+/* Parses and validates a chat request; if it is invalid, answers it and
+ * returns NULL. */
 struct run *run_parse(struct batch *b, SoupServerMessage *msg);
 void run_free(struct run *run);
 
