--- a/tests/standin/tally.c
+++ b/tests/standin/tally.c
@@ -1,6 +1,6 @@
 /*
- * tally: one line of a bench case. What the callers were told is compared with
- * what the engines and services say that they ran.
+ * tally: prints one line for a bench case, from a comparison of the answers
+ * that callers received with the runs that the engines and services logged.
  */
 
 #include <stdio.h>
@@ -11,16 +11,16 @@
 #define TIMEOUT_S 10
 #define US_PER_MS 1000.0
 
-/* What the targets say of one request. */
+/* Runs of one request, from the logs of the targets. */
 struct ran {
-	int64_t done, begun; /* runs */
-	GHashTable *attempts; /* that finished */
-	bool attempt_twice;
+	int64_t done, begun; /* numbers of runs */
+	GHashTable *attempts; /* attempt numbers with a finished run */
+	bool attempt_twice; /* an attempt number finished twice */
 };
 
 struct tally {
 	GHashTable *ran; /* request id -> struct ran */
-	GHashTable *posts; /* path -> number of runs, at the services */
+	GHashTable *posts; /* path -> number of runs at the services */
 	int64_t engines_mixed;
 	int64_t offered, goodput, refused, cut, cut_told, lost;
 	int64_t wrong_verdict, twice, mixed;
@@ -59,7 +59,8 @@
 	struct ran *ran = ran_of(t, member_str(run, "request_id", ""));
 	const char *state = member_str(run, "state", "");
 
-	/* Cancelled while it waited for a slot: nothing was run. */
+	/* Cancelled without a token: counts as cancelled while waiting for a
+	 * slot, hence as not run. */
 	if (strcmp(state, "cancelled") == 0 &&
 	    member_int(run, "tokens", 0) == 0)
 		return;
@@ -83,8 +84,8 @@
 		    t->posts, g_strdup(path), GSIZE_TO_POINTER(n + 1));
 }
 
-/* The log of a stand-in at its URL, or as it was saved in a file before its
- * end. */
+/* Reads the log of a running stand-in from its URL, or of one that has exited
+ * from the file where it was saved. */
 static JsonNode *
 read_log(SoupSession *session, const char *from)
 {
@@ -147,8 +148,8 @@
 		return;
 	if (not_run && ran->begun > 0)
 		t->wrong_verdict++;
-	/* X-Attempts comes with the head, so it counts what led to the
-	 * answer: as many runs as that may have finished. */
+	/* X-Attempts is sent with the headers, so it counts the attempts up to
+	 * the answered one, and each of these may have finished a run. */
 	if (ran->attempt_twice || ran->done > MAX(attempts, 1))
 		t->twice++;
 }
@@ -170,7 +171,7 @@
 	guint i;
 
 	if (!json_parser_load_from_file(parser, file, NULL)) {
-		fprintf(stderr, "tally: no summary in %s\n", file);
+		fprintf(stderr, "tally: cannot read a summary from %s\n", file);
 		g_object_unref(parser);
 		return false;
 	}
@@ -195,8 +196,8 @@
 	return list != NULL;
 }
 
-/* A line `PATH STATUS VERDICT` for each keyed request to a service: what its
- * last try was told. */
+/* Reads a line `PATH STATUS VERDICT` for each request with an idempotency key
+ * to a service: the answer to the last attempt. */
 static bool
 add_posts(struct tally *t, const char *file)
 {
@@ -268,7 +269,8 @@
 	char *posts = NULL, *more = NULL;
 	long long retries = 0;
 	const struct poptOption options[] = {
-		{ "case", 0, POPT_ARG_STRING, &name, 0, "its name", "NAME" },
+		{ "case", 0, POPT_ARG_STRING, &name, 0, "name of the case",
+		    "NAME" },
 		{ "engines", 0, POPT_ARG_STRING, &engines, 0,
 		    "engines, or files of their logs", "URL[,URL...]" },
 		{ "services", 0, POPT_ARG_STRING, &services, 0,
@@ -276,12 +278,12 @@
 		{ "callers", 0, POPT_ARG_STRING, &callers, 0,
 		    "summaries written with --list", "FILE[,FILE...]" },
 		{ "posts", 0, POPT_ARG_STRING, &posts, 0,
-		    "a line PATH STATUS VERDICT for each keyed request",
+		    "a line PATH STATUS VERDICT for each request with a key",
 		    "FILE" },
 		{ "retries", 0, POPT_ARG_LONGLONG, &retries, 0,
-		    "counted by the entries during the case", "N" },
+		    "retries counted by the gateways during the case", "N" },
 		{ "more", 0, POPT_ARG_STRING, &more, 0,
-		    "printed at the end of the line", "TEXT" },
+		    "text appended to the line", "TEXT" },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 	struct tally t = {
--- a/tests/standin/truth.c
+++ b/tests/standin/truth.c
@@ -1,7 +1,8 @@
 /*
- * truth: what truly happened, from the stand-ins' own logs against what the
- * callers received. Prints one line for the demo; exits 1 when a promise was
- * broken.
+ * truth: compares the logs of the stand-ins with the answers that the callers
+ * received. Prints one line for the demo; exits 1 if an answer is missing,
+ * truncated, mixed or in no engine's log, if a request finished twice, if a
+ * replica has not loaded the version, or if the data cannot be read.
  */
 
 #include <stdio.h>
@@ -101,7 +102,7 @@
 /* Callers against engines                                             */
 /* ------------------------------------------------------------------ */
 
-/* Whole answers that no engine says it finished: made up on the way. */
+/* Counts complete answers to requests that no engine logged as finished. */
 static int64_t
 count_unfounded(const struct truth *t, JsonObject *caller)
 {
@@ -150,13 +151,14 @@
 		{ "caller", 0, POPT_ARG_STRING, &caller, 0,
 		    "summary written by the caller with --list", "FILE" },
 		{ "digest", 0, POPT_ARG_STRING, &digest, 0,
-		    "root that all engines should have loaded", "HEX" },
+		    "root digest that all engines should have loaded", "HEX" },
 		{ "name", 0, POPT_ARG_STRING, &name, 0,
-		    "name of the version's bytes at the origin", "NAME" },
+		    "name of the version's file at the origin", "NAME" },
 		{ "bytes", 0, POPT_ARG_LONGLONG, &bytes, 0,
 		    "size of the version", "N" },
 		{ "seconds", 0, POPT_ARG_STRING, &seconds, 0,
-		    "measured time of the rollout, to be printed", "S" },
+		    "measured duration of the rollout, copied to the output",
+		    "S" },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 	struct truth t = { .done_runs = g_hash_table_new_full(
