--- a/tests/standin/hosts.c
+++ b/tests/standin/hosts.c
@@ -1,10 +1,10 @@
-/* The host list: what is told now is the truth of a while ago. */
+/* The host list, served with a configurable lag. */
 
 #include <string.h>
 
 #include "standin/standin.h"
 
-/* The list as it was set at a time. */
+/* The list as set at `set_ms`. */
 struct truth {
 	STAILQ_ENTRY(truth) entry;
 	int64_t set_ms;
@@ -28,7 +28,8 @@
 	g_free(t);
 }
 
-/* The list that shows now; NULL before the first does. */
+/* Returns the newest list that is at least `lag_ms` old, or NULL; frees the
+ * lists before it. */
 static struct truth *
 shown(struct hosts *h)
 {
@@ -111,7 +112,7 @@
 		return;
 	if (!list_is_good(body)) {
 		json_object_unref(body);
-		reply_error(msg, 400, "not a list of hosts");
+		reply_error(msg, 400, "invalid list of hosts");
 		return;
 	}
 	t = g_new0(struct truth, 1);
@@ -155,7 +156,7 @@
 	const struct poptOption table[] = {
 		{ "port", 0, POPT_ARG_INT, &port, 0, "port, 0 picks one", "P" },
 		{ "lag-ms", 0, POPT_ARG_LONGLONG, &lag_ms, 0,
-		    "how far the answer lags behind the truth", "MS" },
+		    "lag of the served list behind the current one", "MS" },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 
--- a/tests/standin/objects.c
+++ b/tests/standin/objects.c
@@ -6,8 +6,8 @@
 
 #define VALUE_MAX (1u << 20)
 
-/* In the order of their last change, newest last, so that a watch walks over
- * what it has to report only. */
+/* Objects are listed in the order of their last change, newest last, so that a
+ * watch visits only the objects that it has to report. */
 struct object {
 	TAILQ_ENTRY(object) entry;
 	char *key;
@@ -28,7 +28,7 @@
 };
 TAILQ_HEAD(watch_list, watch);
 
-/* An answer held back by the fault `delay_ms`. */
+/* An answer delayed by the injected fault `delay_ms`. */
 struct delayed {
 	TAILQ_ENTRY(delayed) entry;
 	struct objects *api;
@@ -44,7 +44,7 @@
 	struct delayed_list delayed;
 	uint64_t revision;
 	int64_t reads, writes, refused, watched, lists;
-	/* Faults. */
+	/* Injected faults. */
 	bool down;
 	int64_t delay_ms;
 	int64_t lose_answers;
@@ -94,7 +94,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* The call has had its effect by now; only its answer comes late. */
+/* Delays the answer only: the request has already taken effect. */
 static void
 delay_answer(struct objects *api, SoupServerMessage *msg)
 {
@@ -124,7 +124,7 @@
 	json_builder_end_object(b);
 }
 
-/* The oldest object changed after `since`; NULL when there is none. */
+/* Returns the first object changed after revision `since`, or NULL. */
 static struct object *
 first_after(struct objects *api, uint64_t since)
 {
@@ -215,7 +215,7 @@
 	}
 }
 
-/* An outage ends waiting watches too. */
+/* Answers all waiting watches with 503 when an outage starts. */
 static void
 refuse_watches(struct objects *api)
 {
--- a/tests/standin/origin.c
+++ b/tests/standin/origin.c
@@ -1,12 +1,13 @@
-/* The origin of weights: files below a folder, paced over all connections. */
+/* The origin of weights: serves the files below a directory, with one rate
+ * limit for all connections. */
 
 #include <string.h>
 
 #include "standin/standin.h"
 
-/* Small slices often, so that pacing is even at the scale of a chunk. */
+/* A short period makes the rate even at the scale of a chunk. */
 #define TICK_MS 10
-/* A late tick is caught up for so long; more would come as a burst. */
+/* Limit on the time credited for a late tick; more would cause a burst. */
 #define CATCH_UP_US 50000
 #define SLICE_MAX (256u << 10)
 #define PERMILLE 1000
@@ -15,12 +16,12 @@
 	TAILQ_ENTRY(transfer) entry;
 	struct origin *origin;
 	struct held *held;
-	GBytes *bytes; /* the range asked for, mapped */
+	GBytes *bytes; /* requested range, memory-mapped */
 	size_t sent;
-	size_t flip; /* offset of the byte to spoil; the length: none */
-	size_t stall; /* where to stop for good; the length: nowhere */
-	int64_t *counted; /* bytes by name, in `origin->by_name` */
-	bool writing; /* the last slice is not out yet */
+	size_t flip; /* offset of the byte to corrupt; the size: none */
+	size_t stall; /* offset to stop sending at; the size: never */
+	int64_t *counted; /* byte counter in `origin->by_name` */
+	bool writing; /* the last slice is not written yet */
 };
 TAILQ_HEAD(transfer_list, transfer);
 
@@ -28,15 +29,15 @@
 	char *dir;
 	const struct clk *clock;
 	int64_t bytes_s;
-	int64_t filled_us; /* when `tokens` was last brought up to date */
-	double tokens; /* bytes that may go out now */
-	guint ticker; /* runs while there are transfers */
+	int64_t filled_us; /* time of the last refill of `tokens` */
+	double tokens; /* token bucket: bytes that may be sent now */
+	guint ticker; /* active while there are transfers */
 	struct transfer_list transfers;
 	GHashTable *by_name; /* char * -> int64_t * */
 	int64_t requests;
 	int64_t bytes_sent;
 	struct rng rng;
-	/* Faults. */
+	/* Injected faults. */
 	int64_t corrupt_next, corrupt_permille, stall_next;
 	bool down;
 };
@@ -120,7 +121,7 @@
 	o->tokens = MIN(o->tokens, (double)o->bytes_s * CATCH_UP_US / 1e6);
 }
 
-/* Shares what may go out now among the transfers that can take it. */
+/* Divides the available tokens evenly among the transfers that can send. */
 static gboolean
 on_tick(void *ctx)
 {
@@ -212,7 +213,8 @@
 	return bytes;
 }
 
-/* Cuts `whole` to the range asked for and sets the head; NULL after 416. */
+/* Returns the requested range of `whole` and sets status and headers; answers
+ * 416 and returns NULL if the range is invalid. */
 static GBytes *
 cut_range(SoupServerMessage *msg, GBytes *whole)
 {
@@ -295,7 +297,7 @@
 	} else if (o->bytes_s == 0) {
 		send_slice(t, SLICE_MAX);
 	} else if (o->ticker == 0) {
-		o->tokens = 0; /* what an idle link did not send is gone */
+		o->tokens = 0; /* idle time earns no tokens */
 		o->filled_us = clk_now_us(o->clock);
 		o->ticker = g_timeout_add(TICK_MS, on_tick, o);
 	}
@@ -417,7 +419,7 @@
 		{ "port", 0, POPT_ARG_INT, &port, 0, "port, 0 picks one", "P" },
 		{ "dir", 0, POPT_ARG_STRING, &dir, 0, "folder served", "DIR" },
 		{ "bytes-s", 0, POPT_ARG_LONGLONG, &bytes_s, 0,
-		    "bytes a second over all connections, 0 for no limit",
+		    "bytes per second over all connections, 0 for no limit",
 		    "N" },
 		{ "seed", 0, POPT_ARG_LONGLONG, &seed, 0,
 		    "seed of the choice of corrupted answers", "N" },
--- a/tests/standin/service.c
+++ b/tests/standin/service.c
@@ -1,4 +1,4 @@
-/* A plain service: runs whatever it is asked to and remembers having run. */
+/* A plain service: runs every request and logs each run. */
 
 #include <string.h>
 
@@ -14,7 +14,7 @@
 };
 STAILQ_HEAD(run_list, run);
 
-/* An answer held back by the fault `delay_ms`. */
+/* An answer delayed by the injected fault `delay_ms`. */
 struct late {
 	TAILQ_ENTRY(late) entry;
 	struct service *service;
@@ -28,9 +28,9 @@
 	struct run_list runs;
 	struct late_list late;
 	int64_t nruns;
-	/* Faults. */
+	/* Injected faults. */
 	int64_t delay_ms, drop_before_run, drop_after_run, refuse;
-	int64_t answer_bytes; /* added to each answer */
+	int64_t answer_bytes; /* padding added to each answer */
 };
 
 /* ------------------------------------------------------------------ */
@@ -64,7 +64,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* The run is over by now; only its answer comes late. */
+/* Delays the answer only: the run has already finished. */
 static void
 answer_late(struct service *s, SoupServerMessage *msg)
 {
@@ -122,7 +122,7 @@
 	reply_json(msg, 200, b);
 }
 
-/* Uses up one of an ordered number of faults. */
+/* Decrements the remaining count of an injected fault; false if it is zero. */
 static bool
 take(int64_t *count)
 {
