--- a/tests/standin/standin.c
+++ b/tests/standin/standin.c
@@ -1,4 +1,4 @@
-/* What the stand-ins share: listening, options, JSON, held answers. */
+/* Shared code of the stand-ins: listening, options, JSON, deferred answers. */
 
 #include <gio/gio.h>
 #include <glib-unix.h>
@@ -10,8 +10,9 @@
 
 #include "standin/standin.h"
 
-/* Bursts of callers open their connections at once; GIO's 10 would make the
- * kernel drop some and the callers wait a second for the next try. */
+/* Many callers may connect at the same time; with GIO's default of 10 the
+ * kernel drops some of the connections and the callers retry after one
+ * second. */
 #define LISTEN_BACKLOG 1024
 
 /* ------------------------------------------------------------------ */
@@ -31,7 +32,8 @@
 	address = g_inet_socket_address_new_from_string("127.0.0.1", port);
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_listen_backlog(socket, LISTEN_BACKLOG);
-	/* Accepted connections inherit it; tokens must not wait for acks. */
+	/* Accepted connections inherit the option. Without it, Nagle's
+	 * algorithm would delay tokens until earlier data is acknowledged. */
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	ok = g_socket_bind(socket, address, TRUE, error) &&
 	    g_socket_listen(socket, error);
@@ -325,12 +327,12 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Held answers                                                        */
+/* Deferred answers                                                    */
 /* ------------------------------------------------------------------ */
 
 struct held {
 	SoupServerMessage *msg;
-	GSource *look; /* NULL once the connection is done with */
+	GSource *look; /* NULL once the connection is not watched */
 	gulong on_finished;
 	held_gone *gone;
 	void *ctx;
@@ -363,7 +365,7 @@
 	connection_ended(ctx);
 }
 
-/* Readable with nothing to read: the other end closed. */
+/* A socket that is readable without data was closed by the peer. */
 static gboolean
 on_readable(GSocket *socket, GIOCondition condition, void *ctx)
 {
@@ -372,7 +374,7 @@
 	ssize_t n;
 
 	n = recv(g_socket_get_fd(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-	if (n > 0) { /* a next request is there already: stop looking */
+	if (n > 0) { /* a pipelined request arrived: stop watching */
 		stop_looking(h);
 		return G_SOURCE_REMOVE;
 	}
@@ -391,8 +393,8 @@
 	struct held *h = g_new0(struct held, 1);
 	GSocket *socket = soup_server_message_get_socket(msg);
 
-	/* libsoup asks for it when a connection is stolen and warns when the
-	 * other end is gone by then; asked now, it remembers. */
+	/* libsoup reads the remote address when a connection is stolen and
+	 * logs a warning if the peer has disconnected; this call caches it. */
 	soup_server_message_get_remote_address(msg);
 	h->msg = g_object_ref(msg);
 	h->gone = gone;
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -2,10 +2,10 @@
 #define STANDIN_H
 
 /*
- * Stand-ins for the systems outside: small HTTP servers that speak section 1
- * of docs/INTERFACES.md, with faults to order, and counts and logs that say
- * what truly happened. Each runs on the default main loop, so a test can hold
- * several in its own process. Nothing is kept beyond the process.
+ * Stand-ins for the external systems: small HTTP servers that implement
+ * section 1 of docs/INTERFACES.md, with fault injection, and with counters and
+ * logs of what was actually run. Each runs on the default main loop, so a test
+ * can run several in its own process. All state is in memory.
  */
 
 #include <json-glib/json-glib.h>
@@ -25,19 +25,19 @@
 	void (*ctx_free)(void *ctx);
 };
 
-/* Listens on 127.0.0.1; port 0 picks one. Takes over `ctx`, also on failure,
- * when it returns NULL. */
+/* Listens on 127.0.0.1; port 0 picks a free port. Takes ownership of `server`
+ * and `ctx`, also on failure, when it returns NULL. */
 struct standin *standin_new(SoupServer *server, unsigned int port, void *ctx,
     void (*ctx_free)(void *ctx), struct err *err);
-/* Closes all connections, open ones too. */
+/* Closes all connections, including those with requests in progress. */
 void standin_free(struct standin *s);
 
-/* Prints `ready PORT` and runs until SIGTERM or SIGINT; frees `s`. Returns
- * the exit status; a NULL `s` prints `err` and fails. */
+/* Prints `ready PORT`, runs until SIGTERM or SIGINT and frees `s`. Returns the
+ * exit status. If `s` is NULL, prints `err` and fails. */
 int standin_serve(struct standin *s, const struct err *err);
 
-/* Parses all of the command line by `table`. False after printing what is
- * wrong. */
+/* Parses the command line according to `table`. Prints an error and returns
+ * false if it is invalid. */
 bool standin_options(
     int argc, const char **argv, const struct poptOption *table);
 
@@ -47,7 +47,7 @@
 
 struct objects_options {
 	unsigned int port;
-	const struct clk *clock; /* NULL: the system's, here and below */
+	const struct clk *clock; /* NULL: system clock, here and below */
 };
 struct standin *objects_start(
     const struct objects_options *options, struct err *err);
@@ -56,8 +56,8 @@
 struct origin_options {
 	unsigned int port;
 	const char *dir;
-	int64_t bytes_s; /* over all connections together; 0: not paced */
-	uint64_t seed; /* of the choice of corrupted answers */
+	int64_t bytes_s; /* rate limit of all connections; 0: unlimited */
+	uint64_t seed; /* for the choice of corrupted answers */
 	const struct clk *clock;
 };
 struct standin *origin_start(
@@ -78,14 +78,14 @@
 	int slots;
 	int step_ms;
 	int max_queue; /* waiting requests before a refusal */
-	int64_t prefill_tokens_per_step; /* shared by all prompts of a step */
+	int64_t prefill_tokens_per_step; /* shared by all prompts in a step */
 	int64_t cache_tokens;
 	int64_t report_lag_ms;
 	int64_t event_lag_ms;
-	int event_gap; /* one in so many cache events is missing; 0: none */
-	int64_t keep_ms; /* how long a run lives on without a connection */
+	int event_gap; /* every n-th cache event is omitted; 0: none */
+	int64_t keep_ms; /* how long a disconnected run continues */
 	bool check_fence;
-	const char *loaded; /* "MODEL:VERSION:DIGEST" loaded at the start */
+	const char *loaded; /* "MODEL:VERSION:DIGEST" loaded at startup */
 	const struct clk *clock;
 };
 #define ENGINE_OPTIONS_DEFAULT                                            \
@@ -108,12 +108,13 @@
 int service_main(int argc, const char **argv);
 
 int caller_main(int argc, const char **argv);
-/* Compares the logs of the stand-ins with what a caller received. */
+/* Compares the logs of the stand-ins with the answers that a caller
+ * received. */
 int truth_main(int argc, const char **argv);
-/* One line of a bench case, from the same two sources. */
+/* Prints one line for a bench case, from the same logs and summaries. */
 int tally_main(int argc, const char **argv);
-/* The JSON object at a stand-in's path; NULL after printing why. Free with
- * json_node_unref. */
+/* Fetches the JSON object at a stand-in's path; prints an error and returns
+ * NULL on failure. Free with json_node_unref. */
 JsonNode *standin_fetch(
     SoupSession *session, const char *base, const char *path);
 
@@ -121,29 +122,30 @@
 /* JSON and HTTP helpers                                               */
 /* ------------------------------------------------------------------ */
 
-/* The body as a JSON object; NULL after answering 400 when it is none. Free
- * with json_object_unref. */
+/* Parses the body as a JSON object; answers 400 and returns NULL if it is
+ * none. Free with json_object_unref. */
 JsonObject *body_object(SoupServerMessage *msg);
-/* Members with a fallback for an absent one or one of another type. */
+/* Return a member's value, or `fallback` if the member is absent or has
+ * another type. */
 int64_t member_int(JsonObject *object, const char *name, int64_t fallback);
 bool member_bool(JsonObject *object, const char *name, bool fallback);
 const char *member_str(
     JsonObject *object, const char *name, const char *fallback);
-/* Overwrites *value when the member is there. */
+/* Overwrites *value if the member is present. */
 void member_int_into(JsonObject *object, const char *name, int64_t *value);
 
-/* A builder with an object begun. */
+/* Returns a builder with an open object. */
 JsonBuilder *json_begin(void);
 void put_int(JsonBuilder *b, const char *name, int64_t value);
 void put_bool(JsonBuilder *b, const char *name, bool value);
 void put_str(JsonBuilder *b, const char *name, const char *value);
-/* Ends the object; frees the builder. */
+/* Closes the object, frees the builder and returns the text. */
 char *json_end(JsonBuilder *b, size_t *len);
-/* Ends the object and makes it the answer. */
+/* Closes the object and sends it as the answer; frees the builder. */
 void reply_json(SoupServerMessage *msg, unsigned int status, JsonBuilder *b);
-/* `{"error":TEXT}`. */
+/* Answers `{"error":TEXT}`. */
 void reply_error(SoupServerMessage *msg, unsigned int status, const char *text);
-/* 503 with `X-Not-Run: 1`: a refusal that had no effect. */
+/* Like reply_error, with `X-Not-Run: 1`: the request had no effect. */
 void reply_not_run(
     SoupServerMessage *msg, unsigned int status, const char *text);
 
@@ -153,26 +155,26 @@
 int64_t header_int(SoupServerMessage *msg, const char *name, int64_t fallback);
 bool is_method(SoupServerMessage *msg, const char *method);
 
-/* Closes the connection as it stands, without (the rest of) an answer. */
+/* Closes the connection at once, without completing the answer. */
 void hang_up(SoupServerMessage *msg);
 
 /*
- * A message whose answer comes later. libsoup does not look at the
- * connection of a paused message, so a caller that went away would be
- * noticed only by the next write; this looks.
+ * A paused message, answered later. libsoup does not poll the connection of a
+ * paused message, so it would notice a disconnected caller only at the next
+ * write; a held message polls the connection itself.
  */
 struct held;
 typedef void held_gone(void *ctx);
-/* Pauses the message. `gone` (may be NULL) is called once at most, when the
- * connection is done with: it broke, or the answer is out. It may free the
- * held message. */
+/* Pauses the message. `gone` (may be NULL) is called at most once, when the
+ * connection has failed or the answer is complete. It may free the held
+ * message. */
 struct held *held_new(SoupServerMessage *msg, held_gone *gone, void *ctx);
 SoupServerMessage *held_msg(const struct held *h);
-/* Lets libsoup write what the answer has by now. */
+/* Lets libsoup write the part of the answer that is available. */
 void held_write(struct held *h);
-/* Lets go of the message; what is in its body is still sent. */
+/* Releases the message; data already in its body is still sent. */
 void held_free(struct held *h);
-/* Breaks the connection and frees; `gone` is not called. */
+/* Closes the connection and frees `h`; `gone` is not called. */
 void held_hang_up(struct held *h);
 
 #endif
