--- a/tests/standin/test_client.c
+++ b/tests/standin/test_client.c
@@ -1,4 +1,4 @@
-/* A caller of the stand-ins, for their tests: starts calls and waits. */
+/* HTTP client for the tests of the stand-ins. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -66,7 +66,7 @@
 
 	*a = (struct answer){ .msg = soup_message_new(method, url),
 		.cancel = g_cancellable_new() };
-	/* On a kept connection libsoup would send a PUT again by itself. */
+	/* On a reused connection libsoup could resend a PUT by itself. */
 	soup_message_add_flags(a->msg, SOUP_MESSAGE_NEW_CONNECTION);
 	for (i = 0; headers != NULL && headers[i] != NULL; i += 2) {
 		soup_message_headers_append(
@@ -152,7 +152,7 @@
 int
 client_setup(void **state)
 {
-	/* libsoup's own limit is two connections to a host. */
+	/* libsoup's default limit is two connections per host. */
 	session = soup_session_new_with_options(
 	    "max-conns", 100, "max-conns-per-host", 100, NULL);
 	soup_session_set_proxy_resolver(session, NULL);
--- a/tests/standin/test_protocol.c
+++ b/tests/standin/test_protocol.c
@@ -1,4 +1,5 @@
-/* The stand-ins speak docs/INTERFACES.md section 1; all in one process. */
+/* Tests the stand-ins' implementation of docs/INTERFACES.md section 1, with
+ * all of them in one process. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -42,9 +43,9 @@
 }
 
 /*
- * The writer sees its connection end without an answer. The write took effect
- * before that: the object carries its operation id. A writer that takes the
- * silence for a failure would write twice, or give up what it holds.
+ * A write takes effect, but its connection ends without an answer. The object
+ * has the operation id of the write, so the writer can find out. A writer that
+ * assumes a failure would write twice or give up a lease that it has.
  */
 static void
 test_objects_lost_answer(void **state)
@@ -65,7 +66,7 @@
 	standin_free(s);
 }
 
-/* A slow write: its effect is there while its writer still waits. */
+/* A delayed write takes effect while the writer still waits for the answer. */
 static void
 test_objects_delay(void **state)
 {
@@ -113,8 +114,8 @@
 	standin_free(s);
 }
 
-/* An outage begins while a watch waits: it ends at once, as everything does
- * until the outage is over; what was written before is there after. */
+/* An outage that starts while a watch waits ends the watch at once with 503;
+ * all calls get 503 until the outage ends. Earlier writes survive it. */
 static void
 test_objects_down(void **state)
 {
@@ -160,7 +161,8 @@
 	g_free(path);
 }
 
-/* Weights and their list of chunks, with the root digest by the page's rule. */
+/* Weights with their list of chunk digests and the root digest, computed as
+ * docs/INTERFACES.md defines it. */
 static struct folder *
 folder_new(void)
 {
@@ -269,8 +271,8 @@
 	return n;
 }
 
-/* Two readers share one pace: by its clock the origin has sent no more than
- * its rate allows, and all of that, however often its timer fires. */
+/* Two readers share one rate limit: by the origin's clock, the bytes sent are
+ * exactly what the rate allows, however often the timer fires. */
 static void
 test_origin_pace(void **state)
 {
@@ -304,7 +306,8 @@
 	folder_free(f);
 }
 
-/* The link stalls without closing: half of the answer comes, then nothing. */
+/* A stalled transfer: half of the answer arrives, then nothing, and the
+ * connection stays open. */
 static void
 test_origin_stall(void **state)
 {
@@ -400,9 +403,9 @@
 }
 
 /*
- * The bytes handed to the engine have one byte wrong, or the order names
- * another root than theirs. The engine answers 502 and goes on with what it
- * had; it says a digest is loaded only after hashing all bytes itself.
+ * One byte of the weights is corrupted, or the order has another root digest.
+ * The engine answers 502 and retains the loaded weights; it reports a digest
+ * as loaded only after hashing all bytes itself.
  */
 static void
 test_engine_root_digest(void **state)
@@ -423,16 +426,17 @@
 	loaded_is(engine, "", 0);
 	order(engine, origin, "v1", f->root_hex, 4, 200);
 	loaded_is(engine, f->root_hex, 4);
-	order(engine, origin, "bad", f->root_hex, 5, 200); /* loaded already */
+	order(engine, origin, "bad", f->root_hex, 5, 200); /* already loaded */
 	standin_free(engine);
 	standin_free(origin);
 	folder_free(f);
 }
 
 /*
- * A holder that was paused sends an order after its successor did. An engine
- * that checks refuses the old number and keeps the successor's; one that
- * ignores it takes the order, which is why the side's gate must hold it back.
+ * A lease holder that was paused sends an order after its successor did. An
+ * engine that checks fencing numbers refuses the lower number and retains the
+ * successor's version; one that does not check executes the order, which is why
+ * the sidecar's fencing check must block it.
  */
 static void
 test_engine_fence(void **state)
@@ -460,9 +464,10 @@
 }
 
 /*
- * The old holder's load is under way when the successor's order arrives. The
- * old one was fine when it came; were it put in force when its bytes are in,
- * the engine would end on it after refusing nothing. It is refused then.
+ * The order of a lease's successor arrives while the engine loads the order of
+ * the previous holder. The previous order had a valid fencing number when it
+ * arrived; if the engine did not check again at the end of the load, it would
+ * activate the outdated order. It refuses it instead.
  */
 static void
 test_engine_fence_during_load(void **state)
@@ -501,8 +506,8 @@
 	folder_free(f);
 }
 
-/* A load that hangs answers nobody; when who ordered it gives up, the next
- * order is carried out. */
+/* A load that hangs gets no answer; when its client disconnects, the engine
+ * executes the next order. */
 static void
 test_engine_load_faults(void **state)
 {
--- a/tests/standin/test_runs.c
+++ b/tests/standin/test_runs.c
@@ -1,4 +1,5 @@
-/* Runs at the model engine and the plain service, and the caller's checks. */
+/* Tests runs at the model engine and the plain service, and the load
+ * generator's validation of answers. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,7 +14,7 @@
 #define HEX16 "0123456789abcdef"
 #define DIGEST HEX16 HEX16 HEX16 HEX16
 #define OTHER "fedcba9876543210" HEX16 HEX16 HEX16
-#define LONG_RUN 100000 /* tokens; does not end within a test */
+#define LONG_RUN 100000 /* tokens; does not end during a test */
 
 static struct standin *
 engine_with(struct engine_options options)
@@ -28,7 +29,7 @@
 	struct engine_options options = ENGINE_OPTIONS_DEFAULT;
 
 	options.step_ms = 1;
-	options.keep_ms = 60000; /* beyond any test, also on a busy machine */
+	options.keep_ms = 60000; /* exceeds any test on a busy machine */
 	return engine_with(options);
 }
 
@@ -46,7 +47,7 @@
 	g_free(body);
 }
 
-/* How the caller judges an answer. */
+/* Returns the load generator's verdict on an answer. */
 static enum outcome
 judge(const struct answer *a, const char *id, int max_tokens, bool stream)
 {
@@ -113,7 +114,7 @@
 	standin_free(s);
 }
 
-/* What the engine refuses, it says it did not run, and its log agrees. */
+/* A refused request is answered as not run and is absent from the log. */
 static void
 test_refusals_did_not_run(void **state)
 {
@@ -146,9 +147,9 @@
 }
 
 /*
- * The connection of a stream breaks half way. The engine goes on for a while;
- * who asks for the rest by the token it has not got receives every token
- * once, in order, to the end.
+ * The connection of a stream fails midway. The engine continues the run for
+ * keep_ms; a client that resumes from the first missing token receives each
+ * remaining token once, in order, to the end.
  */
 static void
 test_stream_resumes(void **state)
@@ -161,10 +162,10 @@
 	expect(
 	    s, "POST", "/admin/faults", "{\"drop_streams\":true}", 200, NULL);
 	wait_for(&broken.done);
-	/* libsoup takes a chunked body that breaks off for one that ends. */
+	/* libsoup treats a truncated chunked body as complete. */
 	assert_int_equal(judge(&broken, "r1", 300, true), OUTCOME_CUT);
 	end(&broken);
-	run_for_ms(30); /* many steps, and none of them ends the run */
+	run_for_ms(30); /* many steps, none of which ends the run */
 	call(&rest, s, "GET", "/v1/streams/r1?from=0", NULL, NULL);
 	assert_int_equal(judge(&rest, "r1", 300, true), OUTCOME_ANSWERED);
 	end(&rest);
@@ -177,8 +178,8 @@
 	standin_free(s);
 }
 
-/* The old connection hangs without having broken; the one that resumes takes
- * over, and only it gets the rest. */
+/* The old connection is stalled but not closed; the connection that resumes
+ * takes over and is the only one to receive the rest. */
 static void
 test_resume_takes_over(void **state)
 {
@@ -197,8 +198,9 @@
 }
 
 /*
- * A request waits for a slot and its caller goes away. Were it begun all the
- * same, it would have run for nobody, and a retry elsewhere would make two.
+ * The caller of a request that waits for a slot disconnects. If the request
+ * were started anyway, it would run for no caller, and a retry at another
+ * engine would make it run twice.
  */
 static void
 test_waiting_run_is_dropped_with_its_caller(void **state)
@@ -233,9 +235,9 @@
 }
 
 /*
- * A request for one version waits while the engine loads another. It was
- * fine when it came; begun after the change it would be answered by the
- * wrong version. It is refused as not run.
+ * A request that requires one version waits while the engine loads another.
+ * The digest matched when the request arrived; if it were not checked again,
+ * the wrong version would answer. The request is refused as not run.
  */
 static void
 test_waiting_run_checks_the_version_again(void **state)
@@ -268,7 +270,7 @@
 	assert_int_equal(second.status, 409);
 	assert_string_equal(header(&second, "X-Not-Run"), "1");
 	wait_for(&first.done);
-	/* What began before the change ends as it began. */
+	/* A run that started before the change ends with its first version. */
 	assert_int_equal(judge(&first, "r1", 200, true), OUTCOME_ANSWERED);
 	end(&first);
 	end(&second);
@@ -276,7 +278,8 @@
 	cache_free(cache);
 }
 
-/* A cancelled stream ends without `[DONE]`, so it does not pass for whole. */
+/* A cancelled stream ends without `[DONE]`, so that it does not look
+ * complete. */
 static void
 test_cancel_frees_the_slot(void **state)
 {
@@ -306,7 +309,8 @@
 	standin_free(s);
 }
 
-/* A run whose caller is gone holds its slot for keep_ms, then no longer. */
+/* A run whose caller disconnected occupies its slot for keep_ms, and is then
+ * cancelled. */
 static void
 test_lost_run_is_kept_then_cancelled(void **state)
 {
@@ -340,15 +344,15 @@
 {
 	char longer[PREFIX_BYTES + 1];
 
-	/* The published test value of FNV-1a 64. */
+	/* Published test vector of 64-bit FNV-1a. */
 	assert_true(cache_prefix("foobar", 6) == 0x85944171f73967e8ULL);
 	memset(longer, 'a', sizeof(longer));
 	assert_true(cache_prefix(longer, PREFIX_BYTES) ==
 	    cache_prefix(longer, PREFIX_BYTES + 1));
 }
 
-/* Cache events come late and one in three is missing; the gap shows in the
- * numbers, and the one that is missing may be the one that matters. */
+/* Cache events are delayed and every third is omitted. The sequence numbers
+ * show the gap; the omitted event may be the one that a client needs. */
 static void
 test_cache_events_are_late_with_gaps(void **state)
 {
@@ -367,7 +371,7 @@
 	assert_false(cache_use(c, 1));
 	cache_add(c, 1, 6); /* event 1 */
 	assert_true(cache_use(c, 1));
-	cache_add(c, 2, 6); /* drops 1 (event 2), event 3 is missing */
+	cache_add(c, 2, 6); /* evicts 1 (event 2); event 3 is omitted */
 	assert_false(cache_use(c, 1));
 	clk_fake_advance_ms(&fake, 99);
 	b = json_begin();
@@ -391,9 +395,9 @@
 /* ------------------------------------------------------------------ */
 
 /*
- * Two calls end without an answer. One was dropped before it ran and one
- * after: from outside they look the same, and only the log tells that the
- * second has had its effect.
+ * Two calls end without an answer: one connection is dropped before the run,
+ * one after it. The client cannot tell them apart; only the log shows that the
+ * second call took effect.
  */
 static void
 test_service_drops(void **state)
@@ -429,10 +433,11 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* The caller's checks                                                 */
+/* Validation of answers                                               */
 /* ------------------------------------------------------------------ */
 
-/* Feeds tokens (space-separated, `D` and `E` for two digests) as a stream. */
+/* Checks a stream of space-separated tokens, where `D` and `E` stand for two
+ * digests, and returns the outcome. */
 static enum outcome
 judge_tokens(const char *tokens, const char *last)
 {
@@ -447,7 +452,7 @@
 					"\"delta\":{\"content\":\"%s%s \"}}]}"
 					"\n\n",
 		    items[i][0] == 'D' ? "01234567" : "fedcba98", items[i] + 1);
-		check_stream(&check, event, 10); /* in two pieces */
+		check_stream(&check, event, 10); /* split into two reads */
 		check_stream(&check, event + 10, strlen(event) - 10);
 		g_free(event);
 	}
