--- a/tests/standin/engine_answer.c
+++ b/tests/standin/engine_answer.c
@@ -89,7 +89,7 @@
 void
 run_free(struct run *run)
 {
-	held_free(run->held);
+	deferred_free(run->deferred);
 	g_free(run->id);
 	g_free(run);
 }
@@ -101,18 +101,18 @@
 void
 run_refuse(struct run *run, unsigned int status, const char *why)
 {
-	if (run->held == NULL)
+	if (run->deferred == NULL)
 		return;
-	reply_not_run(held_msg(run->held), status, why);
-	held_write(run->held);
-	held_free(run->held);
-	run->held = NULL;
+	reply_not_run(deferred_msg(run->deferred), status, why);
+	deferred_write(run->deferred);
+	deferred_free(run->deferred);
+	run->deferred = NULL;
 }
 
 void
 run_send_head(struct run *run)
 {
-	SoupServerMessage *msg = held_msg(run->held);
+	SoupServerMessage *msg = deferred_msg(run->deferred);
 	SoupMessageHeaders *out = soup_server_message_get_response_headers(msg);
 
 	soup_message_headers_replace(out, "X-Model-Digest", run->digest);
@@ -123,7 +123,7 @@
 	soup_message_headers_set_encoding(out, SOUP_ENCODING_CHUNKED);
 	soup_message_body_set_accumulate(
 	    soup_server_message_get_response_body(msg), FALSE);
-	held_write(run->held);
+	deferred_write(run->deferred);
 }
 
 static void
@@ -163,7 +163,7 @@
 send_events(struct run *run)
 {
 	SoupMessageBody *body =
-	    soup_server_message_get_response_body(held_msg(run->held));
+	    soup_server_message_get_response_body(deferred_msg(run->deferred));
 
 	for (; run->sent < run->tokens; run->sent++)
 		send_event(body, run, run->sent);
@@ -171,20 +171,20 @@
 		append_text(body, g_string_new("data: [DONE]\n\n"));
 	if (run->state != RUN_RUNNING)
 		soup_message_body_complete(body);
-	held_write(run->held);
+	deferred_write(run->deferred);
 }
 
 static void
 send_whole(struct run *run)
 {
-	SoupServerMessage *msg = held_msg(run->held);
+	SoupServerMessage *msg = deferred_msg(run->deferred);
 	GString *text = g_string_new(NULL);
 	int64_t i;
 
 	if (run->state == RUN_CANCELLED) {
 		reply_error(msg, 503, "cancelled");
 		g_string_free(text, TRUE);
-		held_write(run->held);
+		deferred_write(run->deferred);
 		return;
 	}
 	g_string_append_printf(text,
@@ -203,20 +203,20 @@
 	    soup_server_message_get_response_headers(msg), "application/json",
 	    NULL);
 	append_text(soup_server_message_get_response_body(msg), text);
-	held_write(run->held);
+	deferred_write(run->deferred);
 }
 
 void
 run_send(struct run *run)
 {
-	if (run->held == NULL)
+	if (run->deferred == NULL)
 		return;
 	if (run->stream)
 		send_events(run);
 	else if (run->state != RUN_RUNNING)
 		send_whole(run);
 	if (run->state != RUN_RUNNING) {
-		held_free(run->held);
-		run->held = NULL;
+		deferred_free(run->deferred);
+		run->deferred = NULL;
 	}
 }
--- a/tests/standin/engine_load.c
+++ b/tests/standin/engine_load.c
@@ -23,7 +23,7 @@
 struct order {
 	STAILQ_ENTRY(order) entry;
 	struct loader *loader;
-	struct held *held; /* NULL: the client disconnected */
+	struct deferred *deferred; /* NULL: the client disconnected */
 	struct load_entry *logged;
 	struct weights weights;
 	int64_t bytes;
@@ -60,7 +60,7 @@
 static void
 order_free(struct order *o)
 {
-	held_free(o->held);
+	deferred_free(o->deferred);
 	if (o->chunks != NULL)
 		g_bytes_unref(o->chunks);
 	g_clear_object(&o->stream);
@@ -110,9 +110,9 @@
 static void
 order_fail(struct order *o, const char *why)
 {
-	if (o->held != NULL) {
-		reply_error(held_msg(o->held), 502, why);
-		held_write(o->held);
+	if (o->deferred != NULL) {
+		reply_error(deferred_msg(o->deferred), 502, why);
+		deferred_write(o->deferred);
 	}
 	next_order(o->loader);
 }
@@ -139,12 +139,13 @@
 		put_in_force(l->loaded, &o->weights);
 		o->logged->accepted = true;
 	}
-	if (o->held != NULL) {
+	if (o->deferred != NULL) {
 		if (stale)
-			answer_stale(l, held_msg(o->held));
+			answer_stale(l, deferred_msg(o->deferred));
 		else
-			answer_digest(held_msg(o->held), o->weights.digest);
-		held_write(o->held);
+			answer_digest(
+			    deferred_msg(o->deferred), o->weights.digest);
+		deferred_write(o->deferred);
 	}
 	next_order(l);
 }
@@ -354,7 +355,7 @@
 	} else if (l->load_hang > 0) {
 		l->load_hang--;
 		o->hung = true; /* until the client disconnects */
-		if (o->held == NULL)
+		if (o->deferred == NULL)
 			next_order(l);
 	} else if (!fetch(o, o->chunks_url, true, on_chunks)) {
 		order_fail(o, "invalid chunks URL");
@@ -376,12 +377,12 @@
  * an order that its sender has given up. A load that hangs by an injected
  * fault ends here. */
 static void
-on_orderer_gone(void *ctx)
+on_order_closed(void *ctx)
 {
 	struct order *o = ctx;
 
-	held_free(o->held);
-	o->held = NULL;
+	deferred_free(o->deferred);
+	o->deferred = NULL;
 	if (o->hung)
 		next_order(o->loader);
 }
@@ -439,7 +440,7 @@
 	l->fence_seen = MAX(l->fence_seen, logged->fence);
 	o->loader = l;
 	o->logged = logged;
-	o->held = held_new(msg, on_orderer_gone, o);
+	o->deferred = deferred_new(msg, on_order_closed, o);
 	STAILQ_INSERT_TAIL(&l->orders, o, entry);
 	if (STAILQ_FIRST(&l->orders) == o)
 		start_order(o);
--- a/tests/standin/engine_run.c
+++ b/tests/standin/engine_run.c
@@ -152,7 +152,8 @@
 static void
 run_step(struct run *run, int64_t *budget, int64_t now_ms)
 {
-	if (run->held == NULL && now_ms - run->lost_ms >= run->batch->keep_ms) {
+	if (run->deferred == NULL &&
+	    now_ms - run->lost_ms >= run->batch->keep_ms) {
 		run_end(run, RUN_CANCELLED);
 	} else if (run->prefill_left > 0) {
 		prefill(run, budget);
@@ -222,12 +223,12 @@
 /* ------------------------------------------------------------------ */
 
 static void
-on_run_gone(void *ctx)
+on_run_closed(void *ctx)
 {
 	struct run *run = ctx;
 
-	held_free(run->held);
-	run->held = NULL;
+	deferred_free(run->deferred);
+	run->deferred = NULL;
 	run->lost_ms = clk_now_ms(run->batch->clock);
 	if (run->state == RUN_WAITING)
 		drop_waiting(run);
@@ -285,7 +286,7 @@
 		run_free(run);
 		return;
 	}
-	run->held = held_new(msg, on_run_gone, run);
+	run->deferred = deferred_new(msg, on_run_closed, run);
 	enqueue(b, run);
 }
 
@@ -356,9 +357,9 @@
 		return;
 	}
 	/* The old connection may be stalled without having been closed. */
-	if (run->held != NULL)
-		held_hang_up(run->held);
-	run->held = held_new(msg, on_run_gone, run);
+	if (run->deferred != NULL)
+		deferred_hang_up(run->deferred);
+	run->deferred = deferred_new(msg, on_run_closed, run);
 	run->stream = true;
 	run->sent = MAX(query_int(query, "from", 0), 0);
 	run_send_head(run);
@@ -375,10 +376,10 @@
 	struct run *run;
 
 	TAILQ_FOREACH (run, &b->running, entry) {
-		if (!run->stream || run->held == NULL)
+		if (!run->stream || run->deferred == NULL)
 			continue;
-		held_hang_up(run->held);
-		run->held = NULL;
+		deferred_hang_up(run->deferred);
+		run->deferred = NULL;
 		run->lost_ms = clk_now_ms(b->clock);
 	}
 }
--- a/tests/standin/engine_run.h
+++ b/tests/standin/engine_run.h
@@ -16,7 +16,7 @@
 	TAILQ_ENTRY(run) entry; /* in `waiting` or `running` */
 	STAILQ_ENTRY(run) logged; /* in `log`, once started */
 	struct batch *batch;
-	struct held *held; /* NULL: no client is connected */
+	struct deferred *deferred; /* NULL: no client is connected */
 	enum run_state state;
 	char *id;
 	int64_t attempt;
--- a/tests/standin/objects.c
+++ b/tests/standin/objects.c
@@ -21,7 +21,7 @@
 struct watch {
 	TAILQ_ENTRY(watch) entry;
 	struct objects *api;
-	struct held *held;
+	struct deferred *deferred;
 	char *prefix;
 	uint64_t since;
 	guint timer;
@@ -32,7 +32,7 @@
 struct delayed {
 	TAILQ_ENTRY(delayed) entry;
 	struct objects *api;
-	struct held *held;
+	struct deferred *deferred;
 	guint timer;
 };
 TAILQ_HEAD(delayed_list, delayed);
@@ -79,7 +79,7 @@
 	TAILQ_REMOVE(&d->api->delayed, d, entry);
 	if (d->timer != 0)
 		g_source_remove(d->timer);
-	held_free(d->held);
+	deferred_free(d->deferred);
 	g_free(d);
 }
 
@@ -89,7 +89,7 @@
 	struct delayed *d = ctx;
 
 	d->timer = 0;
-	held_write(d->held);
+	deferred_write(d->deferred);
 	delayed_free(d);
 	return G_SOURCE_REMOVE;
 }
@@ -104,7 +104,7 @@
 		return;
 	d = g_new0(struct delayed, 1);
 	d->api = api;
-	d->held = held_new(msg, NULL, NULL);
+	d->deferred = deferred_new(msg, NULL, NULL);
 	d->timer = g_timeout_add((guint)api->delay_ms, on_delay_over, d);
 	TAILQ_INSERT_TAIL(&api->delayed, d, entry);
 }
@@ -162,7 +162,7 @@
 	TAILQ_REMOVE(&w->api->watches, w, entry);
 	if (w->timer != 0)
 		g_source_remove(w->timer);
-	held_free(w->held);
+	deferred_free(w->deferred);
 	g_free(w->prefix);
 	g_free(w);
 }
@@ -170,8 +170,8 @@
 static void
 watch_answer(struct watch *w)
 {
-	answer_changes(w->api, held_msg(w->held), w->prefix, w->since);
-	held_write(w->held);
+	answer_changes(w->api, deferred_msg(w->deferred), w->prefix, w->since);
+	deferred_write(w->deferred);
 	watch_free(w);
 }
 
@@ -186,7 +186,7 @@
 }
 
 static void
-on_watcher_gone(void *ctx)
+on_watch_closed(void *ctx)
 {
 	watch_free(ctx);
 }
@@ -222,8 +222,8 @@
 	struct watch *w;
 
 	while ((w = TAILQ_FIRST(&api->watches)) != NULL) {
-		refuse(api, held_msg(w->held), 503, "down");
-		held_write(w->held);
+		refuse(api, deferred_msg(w->deferred), 503, "down");
+		deferred_write(w->deferred);
 		watch_free(w);
 	}
 }
@@ -253,7 +253,7 @@
 	w->api = api;
 	w->prefix = g_strdup(prefix);
 	w->since = since;
-	w->held = held_new(msg, on_watcher_gone, w);
+	w->deferred = deferred_new(msg, on_watch_closed, w);
 	w->timer = g_timeout_add((guint)wait_ms, on_watch_over, w);
 	TAILQ_INSERT_TAIL(&api->watches, w, entry);
 }
--- a/tests/standin/origin.c
+++ b/tests/standin/origin.c
@@ -15,7 +15,7 @@
 struct transfer {
 	TAILQ_ENTRY(transfer) entry;
 	struct origin *origin;
-	struct held *held;
+	struct deferred *deferred;
 	GBytes *bytes; /* requested range, memory-mapped */
 	size_t sent;
 	size_t flip; /* offset of the byte to corrupt; the size: none */
@@ -50,14 +50,14 @@
 transfer_free(struct transfer *t)
 {
 	TAILQ_REMOVE(&t->origin->transfers, t, entry);
-	g_signal_handlers_disconnect_by_data(held_msg(t->held), t);
-	held_free(t->held);
+	g_signal_handlers_disconnect_by_data(deferred_msg(t->deferred), t);
+	deferred_free(t->deferred);
 	g_bytes_unref(t->bytes);
 	g_free(t);
 }
 
 static void
-on_transfer_gone(void *ctx)
+on_transfer_closed(void *ctx)
 {
 	transfer_free(ctx);
 }
@@ -92,7 +92,7 @@
 send_slice(struct transfer *t, size_t max)
 {
 	size_t len = MIN(transfer_end(t) - t->sent, MIN(max, SLICE_MAX));
-	SoupServerMessage *msg = held_msg(t->held);
+	SoupServerMessage *msg = deferred_msg(t->deferred);
 	GBytes *slice;
 
 	if (len == 0)
@@ -107,7 +107,7 @@
 		soup_message_body_complete(
 		    soup_server_message_get_response_body(msg));
 	}
-	held_write(t->held);
+	deferred_write(t->deferred);
 }
 
 static void
@@ -289,11 +289,11 @@
 	soup_message_body_set_accumulate(body, FALSE);
 	g_signal_connect(msg, "wrote-body-data", G_CALLBACK(on_wrote_data), t);
 	g_signal_connect(msg, "wrote-chunk", G_CALLBACK(on_wrote_chunk), t);
-	t->held = held_new(msg, on_transfer_gone, t);
+	t->deferred = deferred_new(msg, on_transfer_closed, t);
 	TAILQ_INSERT_TAIL(&o->transfers, t, entry);
 	if (g_bytes_get_size(bytes) == 0) {
 		soup_message_body_complete(body);
-		held_write(t->held);
+		deferred_write(t->deferred);
 	} else if (o->bytes_s == 0) {
 		send_slice(t, SLICE_MAX);
 	} else if (o->ticker == 0) {
--- a/tests/standin/service.c
+++ b/tests/standin/service.c
@@ -18,7 +18,7 @@
 struct late {
 	TAILQ_ENTRY(late) entry;
 	struct service *service;
-	struct held *held;
+	struct deferred *deferred;
 	guint timer;
 };
 TAILQ_HEAD(late_list, late);
@@ -43,7 +43,7 @@
 	TAILQ_REMOVE(&l->service->late, l, entry);
 	if (l->timer != 0)
 		g_source_remove(l->timer);
-	held_free(l->held);
+	deferred_free(l->deferred);
 	g_free(l);
 }
 
@@ -59,7 +59,7 @@
 	struct late *l = ctx;
 
 	l->timer = 0;
-	held_write(l->held);
+	deferred_write(l->deferred);
 	late_free(l);
 	return G_SOURCE_REMOVE;
 }
@@ -71,7 +71,7 @@
 	struct late *l = g_new0(struct late, 1);
 
 	l->service = s;
-	l->held = held_new(msg, on_late_gone, l);
+	l->deferred = deferred_new(msg, on_late_gone, l);
 	l->timer = g_timeout_add((guint)s->delay_ms, on_late_due, l);
 	TAILQ_INSERT_TAIL(&s->late, l, entry);
 }
--- a/tests/standin/standin.c
+++ b/tests/standin/standin.c
@@ -330,52 +330,52 @@
 /* Deferred answers                                                    */
 /* ------------------------------------------------------------------ */
 
-struct held {
+struct deferred {
 	SoupServerMessage *msg;
-	GSource *look; /* NULL once the connection is not watched */
+	GSource *watch; /* NULL once the connection is not watched */
 	gulong on_finished;
-	held_gone *gone;
+	deferred_closed *on_closed;
 	void *ctx;
 };
 
 static void
-stop_looking(struct held *h)
+stop_watching(struct deferred *h)
 {
-	if (h->look == NULL)
+	if (h->watch == NULL)
 		return;
-	g_source_destroy(h->look);
-	g_source_unref(h->look);
-	h->look = NULL;
+	g_source_destroy(h->watch);
+	g_source_unref(h->watch);
+	h->watch = NULL;
 }
 
 static void
-connection_ended(struct held *h)
+connection_closed(struct deferred *h)
 {
-	held_gone *gone = h->gone;
+	deferred_closed *on_closed = h->on_closed;
 
-	stop_looking(h);
-	h->gone = NULL;
-	if (gone != NULL)
-		gone(h->ctx);
+	stop_watching(h);
+	h->on_closed = NULL;
+	if (on_closed != NULL)
+		on_closed(h->ctx);
 }
 
 static void
 on_finished(SoupServerMessage *msg, void *ctx)
 {
-	connection_ended(ctx);
+	connection_closed(ctx);
 }
 
 /* A socket that is readable without data was closed by the peer. */
 static gboolean
 on_readable(GSocket *socket, GIOCondition condition, void *ctx)
 {
-	struct held *h = ctx;
+	struct deferred *h = ctx;
 	char byte;
 	ssize_t n;
 
 	n = recv(g_socket_get_fd(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 	if (n > 0) { /* a pipelined request arrived: stop watching */
-		stop_looking(h);
+		stop_watching(h);
 		return G_SOURCE_REMOVE;
 	}
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -383,52 +383,52 @@
 	g_signal_handler_disconnect(h->msg, h->on_finished);
 	h->on_finished = 0;
 	hang_up(h->msg);
-	connection_ended(h);
+	connection_closed(h);
 	return G_SOURCE_REMOVE;
 }
 
-struct held *
-held_new(SoupServerMessage *msg, held_gone *gone, void *ctx)
+struct deferred *
+deferred_new(SoupServerMessage *msg, deferred_closed *on_closed, void *ctx)
 {
-	struct held *h = g_new0(struct held, 1);
+	struct deferred *h = g_new0(struct deferred, 1);
 	GSocket *socket = soup_server_message_get_socket(msg);
 
 	/* libsoup reads the remote address when a connection is stolen and
 	 * logs a warning if the peer has disconnected; this call caches it. */
 	soup_server_message_get_remote_address(msg);
 	h->msg = g_object_ref(msg);
-	h->gone = gone;
+	h->on_closed = on_closed;
 	h->ctx = ctx;
 	h->on_finished =
 	    g_signal_connect(msg, "finished", G_CALLBACK(on_finished), h);
 	if (socket != NULL) {
-		h->look = g_socket_create_source(socket, G_IO_IN, NULL);
+		h->watch = g_socket_create_source(socket, G_IO_IN, NULL);
 		g_source_set_callback(
-		    h->look, G_SOURCE_FUNC(on_readable), h, NULL);
-		g_source_attach(h->look, NULL);
+		    h->watch, G_SOURCE_FUNC(on_readable), h, NULL);
+		g_source_attach(h->watch, NULL);
 	}
 	soup_server_message_pause(msg);
 	return h;
 }
 
 SoupServerMessage *
-held_msg(const struct held *h)
+deferred_msg(const struct deferred *h)
 {
 	return h->msg;
 }
 
 void
-held_write(struct held *h)
+deferred_write(struct deferred *h)
 {
 	soup_server_message_unpause(h->msg);
 }
 
 void
-held_free(struct held *h)
+deferred_free(struct deferred *h)
 {
 	if (h == NULL)
 		return;
-	stop_looking(h);
+	stop_watching(h);
 	if (h->on_finished != 0)
 		g_signal_handler_disconnect(h->msg, h->on_finished);
 	g_object_unref(h->msg);
@@ -436,11 +436,11 @@
 }
 
 void
-held_hang_up(struct held *h)
+deferred_hang_up(struct deferred *h)
 {
 	SoupServerMessage *msg = g_object_ref(h->msg);
 
-	held_free(h);
+	deferred_free(h);
 	hang_up(msg);
 	g_object_unref(msg);
 }
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -161,20 +161,21 @@
 /*
  * A paused message, answered later. libsoup does not poll the connection of a
  * paused message, so it would notice a disconnected caller only at the next
- * write; a held message polls the connection itself.
+ * write; a deferred message polls the connection itself.
  */
-struct held;
-typedef void held_gone(void *ctx);
-/* Pauses the message. `gone` (may be NULL) is called at most once, when the
+struct deferred;
+typedef void deferred_closed(void *ctx);
+/* Pauses the message. `on_closed` (may be NULL) is called at most once, when the
  * connection has failed or the answer is complete. It may free the held
  * message. */
-struct held *held_new(SoupServerMessage *msg, held_gone *gone, void *ctx);
-SoupServerMessage *held_msg(const struct held *h);
+struct deferred *deferred_new(
+    SoupServerMessage *msg, deferred_closed *on_closed, void *ctx);
+SoupServerMessage *deferred_msg(const struct deferred *h);
 /* Lets libsoup write the part of the answer that is available. */
-void held_write(struct held *h);
+void deferred_write(struct deferred *h);
 /* Releases the message; data already in its body is still sent. */
-void held_free(struct held *h);
-/* Closes the connection and frees `h`; `gone` is not called. */
-void held_hang_up(struct held *h);
+void deferred_free(struct deferred *h);
+/* Closes the connection and frees `h`; `on_closed` is not called. */
+void deferred_hang_up(struct deferred *h);
 
 #endif
