--- a/tests/standin/engine_answer.c
+++ b/tests/standin/engine_answer.c
@@ -50,7 +50,7 @@
 
 	if (id == NULL) {
 		return g_strdup_printf(
-		    "unnamed-%" G_GUINT64_FORMAT, (guint64)++b->names);
+		    "unnamed-%" G_GUINT64_FORMAT, (guint64)++b->generated_ids);
 	}
 	if (*id == '\0' || id[strspn(id, ID_CHARS)] != '\0')
 		return NULL;
@@ -61,7 +61,7 @@
 run_parse(struct batch *b, SoupServerMessage *msg)
 {
 	JsonObject *body = body_object(msg);
-	const char *expect = soup_message_headers_get_one(
+	const char *expected_digest = soup_message_headers_get_one(
 	    soup_server_message_get_request_headers(msg), "X-Expect-Digest");
 	struct run *run;
 
@@ -74,8 +74,9 @@
 	run->priority = header_int(msg, "X-Priority", PRIORITY_DEFAULT);
 	run->stream = member_bool(body, "stream", false);
 	run->max_tokens = member_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
-	if (expect != NULL)
-		g_strlcpy(run->expect, expect, sizeof(run->expect));
+	if (expected_digest != NULL)
+		g_strlcpy(run->expected_digest, expected_digest,
+		    sizeof(run->expected_digest));
 	read_prompt(run, body);
 	json_object_unref(body);
 	if (run->id == NULL || run->max_tokens < 1) {
@@ -175,7 +176,7 @@
 }
 
 static void
-send_whole(struct run *run)
+send_complete(struct run *run)
 {
 	SoupServerMessage *msg = deferred_msg(run->deferred);
 	GString *text = g_string_new(NULL);
@@ -214,7 +215,7 @@
 	if (run->stream)
 		send_events(run);
 	else if (run->state != RUN_RUNNING)
-		send_whole(run);
+		send_complete(run);
 	if (run->state != RUN_RUNNING) {
 		deferred_free(run->deferred);
 		run->deferred = NULL;
--- a/tests/standin/engine_cache.c
+++ b/tests/standin/engine_cache.c
@@ -4,7 +4,7 @@
 
 #include "standin/engine.h"
 
-#define EVENTS_KEPT 4096
+#define EVENTS_MAX 4096
 
 struct prefix {
 	TAILQ_ENTRY(prefix) entry;
@@ -77,7 +77,7 @@
 	e->at_ms = clk_now_ms(c->clock);
 	e->present = present;
 	STAILQ_INSERT_TAIL(&c->events, e, entry);
-	if (++c->nevents > EVENTS_KEPT)
+	if (++c->nevents > EVENTS_MAX)
 		drop_event(c);
 }
 
@@ -113,7 +113,7 @@
 }
 
 bool
-cache_use(struct cache *c, uint64_t hash)
+cache_lookup(struct cache *c, uint64_t hash)
 {
 	struct prefix *p = g_hash_table_lookup(c->by_hash, &hash);
 
--- a/tests/standin/engine_load.c
+++ b/tests/standin/engine_load.c
@@ -9,7 +9,8 @@
 #include "standin/engine.h"
 
 #define READ_BYTES (256u << 10)
-#define STALL_S 30 /* a load fails after the source stalls for this long */
+#define STALL_TIMEOUT_S \
+	30 /* a load fails after the source stalls for this long */
 
 struct load_entry { /* one order in the log */
 	STAILQ_ENTRY(load_entry) entry;
@@ -43,7 +44,7 @@
 struct loader {
 	bool check_fence;
 	struct weights *loaded;
-	int64_t fence_seen;
+	int64_t highest_fence;
 	SoupSession *session;
 	GCancellable *cancel;
 	struct order_list orders; /* the first is being executed */
@@ -87,14 +88,14 @@
 {
 	JsonBuilder *b = json_begin();
 
-	put_int(b, "fence", l->fence_seen);
+	put_int(b, "fence", l->highest_fence);
 	reply_json(msg, 409, b);
 }
 
 static bool
 is_stale(struct loader *l, int64_t fence)
 {
-	return l->check_fence && fence < l->fence_seen;
+	return l->check_fence && fence < l->highest_fence;
 }
 
 static void
@@ -118,7 +119,7 @@
 }
 
 static void
-put_in_force(struct weights *loaded, const struct weights *fresh)
+replace_weights(struct weights *loaded, const struct weights *fresh)
 {
 	g_free(loaded->model);
 	g_free(loaded->version);
@@ -136,7 +137,7 @@
 	bool stale = is_stale(l, o->weights.fence);
 
 	if (!stale) {
-		put_in_force(l->loaded, &o->weights);
+		replace_weights(l->loaded, &o->weights);
 		o->logged->accepted = true;
 	}
 	if (o->deferred != NULL) {
@@ -157,7 +158,7 @@
 static void read_more(struct order *o);
 
 static bool
-chunk_ended(struct order *o)
+verify_chunk(struct order *o)
 {
 	const uint8_t *list = g_bytes_get_data(o->chunks, NULL);
 	int64_t index = (o->done - 1) / o->chunk_bytes;
@@ -174,7 +175,7 @@
 /* False if the source sends too many bytes or a chunk does not match its
  * digest in the list. */
 static bool
-take_bytes(struct order *o, const uint8_t *data, size_t len)
+hash_bytes(struct order *o, const uint8_t *data, size_t len)
 {
 	size_t n;
 
@@ -187,7 +188,7 @@
 		len -= n;
 		o->done += (int64_t)n;
 		o->chunk_left -= (int64_t)n;
-		if (o->chunk_left == 0 && !chunk_ended(o))
+		if (o->chunk_left == 0 && !verify_chunk(o))
 			return false;
 	}
 	return true;
@@ -234,7 +235,7 @@
 		return;
 	}
 	data = g_bytes_get_data(bytes, &len);
-	good = take_bytes(o, data, len);
+	good = hash_bytes(o, data, len);
 	g_bytes_unref(bytes);
 	if (!good)
 		order_fail(o, "a chunk digest or the length does not match");
@@ -293,14 +294,14 @@
 
 /* Starts a GET; false if the URL is invalid. */
 static bool
-fetch(struct order *o, const char *url, bool whole, GAsyncReadyCallback done)
+fetch(struct order *o, const char *url, bool read_all, GAsyncReadyCallback done)
 {
 	SoupMessage *msg = soup_message_new("GET", url);
 	struct loader *l = o->loader;
 
 	if (msg == NULL)
 		return false;
-	if (whole) {
+	if (read_all) {
 		soup_session_send_and_read_async(
 		    l->session, msg, G_PRIORITY_DEFAULT, l->cancel, done, o);
 	} else {
@@ -312,7 +313,7 @@
 }
 
 static bool
-list_fits(const struct order *o)
+chunk_list_size_ok(const struct order *o)
 {
 	int64_t n = (o->bytes + o->chunk_bytes - 1) / o->chunk_bytes;
 
@@ -334,7 +335,7 @@
 	}
 	g_clear_error(&error);
 	o->chunks = list;
-	if (list == NULL || !list_fits(o))
+	if (list == NULL || !chunk_list_size_ok(o))
 		order_fail(o,
 		    "the list of chunk digests is missing or has the wrong size");
 	else if (!fetch(o, o->source, false, on_source))
@@ -423,7 +424,7 @@
 }
 
 static void
-take_order(struct loader *l, SoupServerMessage *msg, JsonObject *body)
+accept_order(struct loader *l, SoupServerMessage *msg, JsonObject *body)
 {
 	struct load_entry *logged = log_order(l, body);
 	struct order *o;
@@ -437,7 +438,7 @@
 		reply_error(msg, 400, "digest, bytes or chunk_bytes is wrong");
 		return;
 	}
-	l->fence_seen = MAX(l->fence_seen, logged->fence);
+	l->highest_fence = MAX(l->highest_fence, logged->fence);
 	o->loader = l;
 	o->logged = logged;
 	o->deferred = deferred_new(msg, on_order_closed, o);
@@ -472,7 +473,7 @@
 	body = body_object(msg);
 	if (body == NULL)
 		return;
-	take_order(l, msg, body);
+	accept_order(l, msg, body);
 	json_object_unref(body);
 }
 
@@ -512,7 +513,8 @@
 
 	l->check_fence = options->check_fence;
 	l->loaded = loaded;
-	l->session = soup_session_new_with_options("timeout", STALL_S, NULL);
+	l->session =
+	    soup_session_new_with_options("timeout", STALL_TIMEOUT_S, NULL);
 	soup_session_set_proxy_resolver(l->session, NULL);
 	l->cancel = g_cancellable_new();
 	STAILQ_INIT(&l->orders);
--- a/tests/standin/engine_run.c
+++ b/tests/standin/engine_run.c
@@ -20,7 +20,7 @@
 /* Returns the newest snapshot that is at least `report_lag_ms` old, or the
  * oldest if none is; frees the snapshots before it. */
 static const struct snapshot *
-shown_snapshot(struct batch *b)
+reported_snapshot(struct batch *b)
 {
 	int64_t horizon = clk_now_ms(b->clock) - b->report_lag_ms;
 	struct snapshot *first = STAILQ_FIRST(&b->snapshots), *second;
@@ -46,7 +46,7 @@
 	s->cache_tokens = cache_tokens(b->cache);
 	s->step_ms = b->step_ms;
 	STAILQ_INSERT_TAIL(&b->snapshots, s, entry);
-	shown_snapshot(b);
+	reported_snapshot(b);
 }
 
 void
@@ -54,7 +54,7 @@
     GHashTable *query, void *ctx)
 {
 	struct batch *b = ctx;
-	const struct snapshot *s = shown_snapshot(b);
+	const struct snapshot *s = reported_snapshot(b);
 	JsonBuilder *json = json_begin();
 
 	put_int(json, "running", s->running);
@@ -98,15 +98,15 @@
 	run->state = state;
 	run->end_ms = clk_wall_us(b->clock) / 1000;
 	/* The stream can be resumed for `keep_ms` from now. */
-	run->lost_ms = clk_now_ms(b->clock);
+	run->detached_ms = clk_now_ms(b->clock);
 	run_send(run);
 }
 
 static bool
-digest_fits(const struct batch *b, const struct run *run)
+digest_matches(const struct batch *b, const struct run *run)
 {
-	return run->expect[0] == '\0' ||
-	    strcmp(run->expect, b->loaded->digest) == 0;
+	return run->expected_digest[0] == '\0' ||
+	    strcmp(run->expected_digest, b->loaded->digest) == 0;
 }
 
 /* Checks the digest again: the loaded weights may have changed while the run
@@ -116,7 +116,7 @@
 {
 	struct batch *b = run->batch;
 
-	if (!digest_fits(b, run)) {
+	if (!digest_matches(b, run)) {
 		run_refuse(run, 409, "another digest is loaded");
 		drop_waiting(run);
 		return;
@@ -129,7 +129,7 @@
 	run->state = RUN_RUNNING;
 	run->start_ms = clk_wall_us(b->clock) / 1000;
 	memcpy(run->digest, b->loaded->digest, sizeof(run->digest));
-	if (!cache_use(b->cache, run->prefix))
+	if (!cache_lookup(b->cache, run->prefix))
 		run->prefill_left = run->prompt_tokens;
 	run_send_head(run);
 }
@@ -153,7 +153,7 @@
 run_step(struct run *run, int64_t *budget, int64_t now_ms)
 {
 	if (run->deferred == NULL &&
-	    now_ms - run->lost_ms >= run->batch->keep_ms) {
+	    now_ms - run->detached_ms >= run->batch->keep_ms) {
 		run_end(run, RUN_CANCELLED);
 	} else if (run->prefill_left > 0) {
 		prefill(run, budget);
@@ -229,7 +229,7 @@
 
 	deferred_free(run->deferred);
 	run->deferred = NULL;
-	run->lost_ms = clk_now_ms(run->batch->clock);
+	run->detached_ms = clk_now_ms(run->batch->clock);
 	if (run->state == RUN_WAITING)
 		drop_waiting(run);
 }
@@ -256,7 +256,7 @@
 
 /* False after refusing the request as not run. */
 static bool
-admit(struct batch *b, SoupServerMessage *msg, const struct run *run)
+admit_run(struct batch *b, SoupServerMessage *msg, const struct run *run)
 {
 	bool full = b->nwaiting >= b->max_queue + b->slots - b->nrunning;
 
@@ -264,7 +264,7 @@
 		reply_not_run(msg, 503, "injected fault: refuse");
 	else if (b->loaded->digest[0] == '\0')
 		reply_not_run(msg, 503, "no model is loaded");
-	else if (!digest_fits(b, run))
+	else if (!digest_matches(b, run))
 		reply_not_run(msg, 409, "another digest is loaded");
 	else if (full)
 		reply_not_run(msg, 503, "the queue is full");
@@ -282,7 +282,7 @@
 
 	if (run == NULL)
 		return;
-	if (!admit(b, msg, run)) {
+	if (!admit_run(b, msg, run)) {
 		run_free(run);
 		return;
 	}
@@ -338,7 +338,7 @@
 	if (run->state == RUN_RUNNING)
 		return true;
 	return run->state == RUN_DONE &&
-	    clk_now_ms(b->clock) - run->lost_ms < b->keep_ms;
+	    clk_now_ms(b->clock) - run->detached_ms < b->keep_ms;
 }
 
 void
@@ -380,7 +380,7 @@
 			continue;
 		deferred_hang_up(run->deferred);
 		run->deferred = NULL;
-		run->lost_ms = clk_now_ms(b->clock);
+		run->detached_ms = clk_now_ms(b->clock);
 	}
 }
 
--- a/tests/standin/engine_run.h
+++ b/tests/standin/engine_run.h
@@ -22,7 +22,8 @@
 	int64_t attempt;
 	int64_t priority; /* 0 is most urgent */
 	bool stream;
-	char expect[DIGEST_HEX]; /* digest required by the request; "": any */
+	char expected_digest
+	    [DIGEST_HEX]; /* digest required by the request; "": any */
 	char digest[DIGEST_HEX]; /* loaded when the run started */
 	uint64_t prefix;
 	int64_t prompt_tokens;
@@ -30,7 +31,7 @@
 	int64_t tokens; /* generated so far */
 	int64_t sent; /* on this connection, counted from token 0 */
 	int64_t max_tokens;
-	int64_t lost_ms; /* when the connection broke */
+	int64_t detached_ms; /* when the client disconnected or the run ended */
 	int64_t start_ms, end_ms; /* wall clock */
 };
 TAILQ_HEAD(run_list, run);
@@ -59,7 +60,7 @@
 	struct snapshot_list snapshots; /* oldest first */
 	GSource *stepper;
 	int64_t next_step_us; /* 0: the batch is idle */
-	uint64_t names; /* ids generated for requests without one */
+	uint64_t generated_ids; /* for requests without one */
 	int64_t frozen_until_ms;
 	bool refuse;
 };
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -165,9 +165,9 @@
  */
 struct deferred;
 typedef void deferred_closed(void *ctx);
-/* Pauses the message. `on_closed` (may be NULL) is called at most once, when the
- * connection has failed or the answer is complete. It may free the held
- * message. */
+/* Pauses the message. `on_closed` (may be NULL) is called at most once, when
+ * the connection has failed or the answer is complete. It may free the
+ * deferred message. */
 struct deferred *deferred_new(
     SoupServerMessage *msg, deferred_closed *on_closed, void *ctx);
 SoupServerMessage *deferred_msg(const struct deferred *h);
--- a/tests/standin/test_runs.c
+++ b/tests/standin/test_runs.c
@@ -368,11 +368,11 @@
 
 	clk_fake_init(&fake, 0);
 	c = cache_new(&options);
-	assert_false(cache_use(c, 1));
+	assert_false(cache_lookup(c, 1));
 	cache_add(c, 1, 6); /* event 1 */
-	assert_true(cache_use(c, 1));
+	assert_true(cache_lookup(c, 1));
 	cache_add(c, 2, 6); /* evicts 1 (event 2); event 3 is omitted */
-	assert_false(cache_use(c, 1));
+	assert_false(cache_lookup(c, 1));
 	clk_fake_advance_ms(&fake, 99);
 	b = json_begin();
 	cache_put_events(c, 0, b);
