--- a/tests/standin/caller.c
+++ b/tests/standin/caller.c
@@ -36,7 +36,7 @@
 };
 SLIST_HEAD(channel_list, channel);
 
-struct entry {
+struct gateway {
 	GUri *uri;
 	struct channel_list idle;
 	struct channel_list channels;
@@ -45,9 +45,9 @@
 struct caller {
 	const struct caller_options *options;
 	GMainLoop *loop;
-	struct entry *entries;
-	size_t nentries;
-	size_t turn;
+	struct gateway *gateways;
+	size_t ngateways;
+	size_t next_gateway;
 	struct rng rng;
 	uint32_t name; /* random, makes the idempotency keys unique */
 	struct stats stats;
@@ -64,7 +64,7 @@
 
 struct call {
 	struct caller *caller;
-	struct entry *entry;
+	struct gateway *gateway;
 	struct channel *channel;
 	SoupMessage *msg;
 	GInputStream *body;
@@ -97,7 +97,7 @@
 	if (call->text != NULL)
 		g_string_free(call->text, TRUE);
 	g_object_unref(call->msg);
-	SLIST_INSERT_HEAD(&call->entry->idle, call->channel, entry);
+	SLIST_INSERT_HEAD(&call->gateway->idle, call->channel, entry);
 	g_free(call);
 	c->open--;
 	if (c->stopping && c->open == 0)
@@ -108,16 +108,16 @@
 call_end(struct call *call, enum outcome outcome)
 {
 	struct caller *c = call->caller;
-	const struct stats_end end = {
+	const struct stats_result result = {
 		.outcome = c->gave_up ? OUTCOME_UNFINISHED : outcome,
 		.check = &call->check,
-		.named = header_of(call, "X-Request-Id") != NULL,
+		.has_id = header_of(call, "X-Request-Id") != NULL,
 		.verdict = header_of(call, "X-Verdict"),
 		.attempts = header_of(call, "X-Attempts"),
 		.took_us = g_get_monotonic_time() - call->due_us,
 	};
 
-	stats_add(&c->stats, &end);
+	stats_add(&c->stats, &result);
 	call_free(call);
 }
 
@@ -166,7 +166,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-time_tokens(struct call *call, size_t n)
+record_token_latency(struct call *call, size_t n)
 {
 	struct stats *stats = &call->caller->stats;
 	int64_t now = g_get_monotonic_time();
@@ -182,13 +182,14 @@
 }
 
 static void
-take_bytes(struct call *call, GBytes *bytes)
+consume_bytes(struct call *call, GBytes *bytes)
 {
 	size_t len;
 	const char *data = g_bytes_get_data(bytes, &len);
 
 	if (call->stream)
-		time_tokens(call, check_stream(&call->check, data, len));
+		record_token_latency(
+		    call, check_stream(&call->check, data, len));
 	else
 		g_string_append_len(call->text, data, (gssize)len);
 }
@@ -215,7 +216,7 @@
 		body_ended(call);
 		return;
 	}
-	take_bytes(call, bytes);
+	consume_bytes(call, bytes);
 	g_bytes_unref(bytes);
 	g_input_stream_read_bytes_async(call->body, READ_BYTES,
 	    G_PRIORITY_DEFAULT, call->caller->cancel, on_read, call);
@@ -314,12 +315,12 @@
 }
 
 static struct channel *
-channel_take(struct entry *e)
+channel_take(struct gateway *gateway)
 {
-	struct channel *ch = SLIST_FIRST(&e->idle);
+	struct channel *ch = SLIST_FIRST(&gateway->idle);
 
 	if (ch != NULL) {
-		SLIST_REMOVE_HEAD(&e->idle, entry);
+		SLIST_REMOVE_HEAD(&gateway->idle, entry);
 		return ch;
 	}
 	ch = g_new0(struct channel, 1);
@@ -327,24 +328,25 @@
 	soup_session_set_proxy_resolver(ch->session, NULL);
 	soup_session_remove_feature_by_type(
 	    ch->session, SOUP_TYPE_CONTENT_DECODER);
-	SLIST_INSERT_HEAD(&e->channels, ch, all);
+	SLIST_INSERT_HEAD(&gateway->channels, ch, all);
 	return ch;
 }
 
 /* Latency is measured from the due time of the request, so that it includes
  * the delay of a load generator that falls behind its schedule. */
 static void
-send_one(struct caller *c)
+send_request(struct caller *c)
 {
-	struct entry *entry = &c->entries[c->turn++ % c->nentries];
+	struct gateway *gateway =
+	    &c->gateways[c->next_gateway++ % c->ngateways];
 	struct call *call = g_new0(struct call, 1);
 	GBytes *body = request_body(c);
 
 	call->caller = c;
-	call->entry = entry;
-	call->channel = channel_take(entry);
+	call->gateway = gateway;
+	call->channel = channel_take(gateway);
 	call->due_us = c->due_us;
-	call->msg = soup_message_new_from_uri("POST", entry->uri);
+	call->msg = soup_message_new_from_uri("POST", gateway->uri);
 	/* libsoup opens a new connection for each POST unless the message is
 	 * flagged as idempotent, which lets libsoup send it again if a reused
 	 * connection turns out to be closed. */
@@ -400,7 +402,7 @@
 	int64_t now = g_get_monotonic_time();
 
 	while (c->due_us <= now && c->due_us < c->end_us) {
-		send_one(c);
+		send_request(c);
 		c->due_us += next_gap_us(c);
 	}
 	g_source_set_ready_time(c->sender, MIN(c->due_us, c->end_us));
@@ -429,43 +431,43 @@
 static GSourceFuncs sender_funcs = { .dispatch = dispatch_sender };
 
 static bool
-open_entries(struct caller *c)
+open_gateways(struct caller *c)
 {
 	char **urls = g_strsplit(c->options->entries, ",", -1);
 	bool good = true;
 	size_t i;
 
-	c->nentries = g_strv_length(urls);
-	c->entries = g_new0(struct entry, c->nentries);
-	for (i = 0; i < c->nentries; i++) {
+	c->ngateways = g_strv_length(urls);
+	c->gateways = g_new0(struct gateway, c->ngateways);
+	for (i = 0; i < c->ngateways; i++) {
 		char *url = g_strconcat(urls[i], "/v1/chat/completions", NULL);
-		struct entry *e = &c->entries[i];
+		struct gateway *gateway = &c->gateways[i];
 
-		e->uri = g_uri_parse(url, SOUP_HTTP_URI_FLAGS, NULL);
-		good = good && e->uri != NULL;
+		gateway->uri = g_uri_parse(url, SOUP_HTTP_URI_FLAGS, NULL);
+		good = good && gateway->uri != NULL;
 		g_free(url);
 	}
 	g_strfreev(urls);
-	return good && c->nentries > 0;
+	return good && c->ngateways > 0;
 }
 
 static void
-close_entries(struct caller *c)
+close_gateways(struct caller *c)
 {
 	struct channel *ch;
 	size_t i;
 
-	for (i = 0; i < c->nentries; i++) {
-		while ((ch = SLIST_FIRST(&c->entries[i].channels)) != NULL) {
-			SLIST_REMOVE_HEAD(&c->entries[i].channels, all);
+	for (i = 0; i < c->ngateways; i++) {
+		while ((ch = SLIST_FIRST(&c->gateways[i].channels)) != NULL) {
+			SLIST_REMOVE_HEAD(&c->gateways[i].channels, all);
 			soup_session_abort(ch->session);
 			g_object_unref(ch->session);
 			g_free(ch);
 		}
-		if (c->entries[i].uri != NULL)
-			g_uri_unref(c->entries[i].uri);
+		if (c->gateways[i].uri != NULL)
+			g_uri_unref(c->gateways[i].uri);
 	}
-	g_free(c->entries);
+	g_free(c->gateways);
 }
 
 static bool
@@ -519,13 +521,13 @@
 	stats_init(&c.stats, options->list != 0);
 	c.loop = g_main_loop_new(NULL, FALSE);
 	c.cancel = g_cancellable_new();
-	if (open_entries(&c)) {
+	if (open_gateways(&c)) {
 		run_schedule(&c);
 		status = write_summary(&c) ? 0 : 1;
 	} else {
 		fprintf(stderr, "standin: bad --entries\n");
 	}
-	close_entries(&c);
+	close_gateways(&c);
 	stats_clear(&c.stats);
 	g_object_unref(c.cancel);
 	g_main_loop_unref(c.loop);
@@ -533,7 +535,7 @@
 }
 
 static bool
-options_are_good(const struct caller_options *o)
+options_valid(const struct caller_options *o)
 {
 	if (o->entries != NULL && o->model != NULL && o->rate > 0 &&
 	    o->max_tokens > 0 && o->prompts > 0 && o->prompt_bytes >= 0)
@@ -591,7 +593,7 @@
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 
-	if (standin_options(argc, argv, table) && options_are_good(&o))
+	if (standin_options(argc, argv, table) && options_valid(&o))
 		status = caller_run(&o);
 	free(o.entries);
 	free(o.model);
--- a/tests/standin/caller.h
+++ b/tests/standin/caller.h
@@ -77,7 +77,7 @@
 	int64_t repeated_ids; /* answers with a request id used before */
 	int64_t without_id; /* answers without X-Request-Id */
 	int64_t tokens;
-	struct hist first_token, between_tokens, whole,
+	struct hist first_token, between_tokens, complete,
 	    refusal; /* microseconds */
 	GHashTable *digests; /* char * -> count of answers */
 	GHashTable *errors; /* char * -> count */
@@ -88,15 +88,15 @@
 void stats_clear(struct stats *s);
 void stats_error(struct stats *s, const char *text);
 
-struct stats_end { /* result of one request */
+struct stats_result { /* result of one request */
 	enum outcome outcome;
 	const struct check *check;
-	bool named; /* the answer has X-Request-Id */
+	bool has_id; /* the answer has X-Request-Id */
 	const char *verdict; /* X-Verdict, or NULL */
 	const char *attempts; /* X-Attempts, or NULL */
 	int64_t took_us;
 };
-void stats_add(struct stats *s, const struct stats_end *end);
+void stats_add(struct stats *s, const struct stats_result *end);
 /* Returns the summary as a JSON object; free with g_free. */
 char *stats_print(const struct stats *s, int64_t sending_ms);
 
--- a/tests/standin/caller_stats.c
+++ b/tests/standin/caller_stats.c
@@ -124,19 +124,20 @@
 }
 
 static void
-list_add(struct stats *s, const struct stats_end *end)
+append_to_list(struct stats *s, const struct stats_result *result)
 {
-	const struct check *c = end->check;
+	const struct check *c = result->check;
 	JsonBuilder *b = json_begin();
 	size_t len;
 	char *item;
 
 	put_str(b, "request_id", c->request_id == NULL ? "" : c->request_id);
-	put_str(b, "verdict", end->verdict == NULL ? "" : end->verdict);
+	put_str(b, "verdict", result->verdict == NULL ? "" : result->verdict);
 	put_int(b, "tokens", c->next);
-	put_str(b, "outcome", outcome_name(end->outcome));
+	put_str(b, "outcome", outcome_name(result->outcome));
 	put_str(b, "digest", c->digest);
-	put_str(b, "attempts", end->attempts == NULL ? "" : end->attempts);
+	put_str(
+	    b, "attempts", result->attempts == NULL ? "" : result->attempts);
 	item = json_end(b, &len);
 	if (s->list->len > 0)
 		g_string_append_c(s->list, ',');
@@ -145,29 +146,29 @@
 }
 
 void
-stats_add(struct stats *s, const struct stats_end *end)
+stats_add(struct stats *s, const struct stats_result *result)
 {
-	const struct check *c = end->check;
+	const struct check *c = result->check;
 
-	s->by_outcome[end->outcome]++;
+	s->by_outcome[result->outcome]++;
 	s->tokens += c->next;
-	if (end->outcome == OUTCOME_REFUSED) {
-		count_refusal(s, end->verdict);
-		hist_add(&s->refusal, end->took_us);
+	if (result->outcome == OUTCOME_REFUSED) {
+		count_refusal(s, result->verdict);
+		hist_add(&s->refusal, result->took_us);
 	}
-	if (end->outcome == OUTCOME_CUT && c->error)
+	if (result->outcome == OUTCOME_CUT && c->error)
 		s->cut_with_error++;
-	if (end->outcome == OUTCOME_ANSWERED) {
+	if (result->outcome == OUTCOME_ANSWERED) {
 		count_text(s->digests, c->digest);
-		hist_add(&s->whole, end->took_us);
+		hist_add(&s->complete, result->took_us);
 	}
-	if (end->outcome != OUTCOME_UNANSWERED && !end->named)
+	if (result->outcome != OUTCOME_UNANSWERED && !result->has_id)
 		s->without_id++;
 	if (c->request_id != NULL &&
 	    !g_hash_table_add(s->ids, g_strdup(c->request_id)))
 		s->repeated_ids++;
 	if (s->list != NULL)
-		list_add(s, end);
+		append_to_list(s, result);
 }
 
 /* ------------------------------------------------------------------ */
@@ -241,7 +242,7 @@
 	put_int(b, "sending_ms", sending_ms);
 	put_hist(b, "first_token_us", &s->first_token);
 	put_hist(b, "between_tokens_us", &s->between_tokens);
-	put_hist(b, "whole_us", &s->whole);
+	put_hist(b, "whole_us", &s->complete);
 	put_hist(b, "refusal_us", &s->refusal);
 	put_counts(b, "digests", s->digests);
 	put_counts(b, "errors", s->errors);
