--- a/tests/standin/tally.c
+++ b/tests/standin/tally.c
@@ -12,17 +12,17 @@
 #define US_PER_MS 1000.0
 
 /* Runs of one request, from the logs of the targets. */
-struct ran {
-	int64_t done, begun; /* numbers of runs */
+struct request_runs {
+	int64_t done, started; /* numbers of runs */
 	GHashTable *attempts; /* attempt numbers with a finished run */
 	bool attempt_twice; /* an attempt number finished twice */
 };
 
 struct tally {
-	GHashTable *ran; /* request id -> struct ran */
+	GHashTable *runs; /* request id -> struct request_runs */
 	GHashTable *posts; /* path -> number of runs at the services */
 	int64_t engines_mixed;
-	int64_t offered, goodput, refused, cut, cut_told, lost;
+	int64_t offered, goodput, refused, cut, cut_with_error, lost;
 	int64_t wrong_verdict, twice, mixed;
 	double first_token_p95_ms, between_tokens_p95_ms;
 };
@@ -32,31 +32,32 @@
 /* ------------------------------------------------------------------ */
 
 static void
-ran_free(void *data)
+request_runs_free(void *data)
 {
-	struct ran *ran = data;
+	struct request_runs *runs = data;
 
-	g_hash_table_unref(ran->attempts);
-	g_free(ran);
+	g_hash_table_unref(runs->attempts);
+	g_free(runs);
 }
 
-static struct ran *
-ran_of(struct tally *t, const char *id)
+static struct request_runs *
+runs_of(struct tally *t, const char *id)
 {
-	struct ran *ran = g_hash_table_lookup(t->ran, id);
-
-	if (ran != NULL)
-		return ran;
-	ran = g_new0(struct ran, 1);
-	ran->attempts = g_hash_table_new(NULL, NULL);
-	g_hash_table_insert(t->ran, g_strdup(id), ran);
-	return ran;
+	struct request_runs *runs = g_hash_table_lookup(t->runs, id);
+
+	if (runs != NULL)
+		return runs;
+	runs = g_new0(struct request_runs, 1);
+	runs->attempts = g_hash_table_new(NULL, NULL);
+	g_hash_table_insert(t->runs, g_strdup(id), runs);
+	return runs;
 }
 
 static void
 add_engine_run(struct tally *t, JsonObject *run)
 {
-	struct ran *ran = ran_of(t, member_str(run, "request_id", ""));
+	struct request_runs *runs =
+	    runs_of(t, member_str(run, "request_id", ""));
 	const char *state = member_str(run, "state", "");
 
 	/* Cancelled without a token: counts as cancelled while waiting for a
@@ -64,13 +65,13 @@
 	if (strcmp(state, "cancelled") == 0 &&
 	    member_int(run, "tokens", 0) == 0)
 		return;
-	ran->begun++;
+	runs->started++;
 	if (strcmp(state, "done") != 0)
 		return;
-	ran->done++;
-	if (!g_hash_table_add(
-		ran->attempts, GSIZE_TO_POINTER(member_int(run, "attempt", 0))))
-		ran->attempt_twice = true;
+	runs->done++;
+	if (!g_hash_table_add(runs->attempts,
+		GSIZE_TO_POINTER(member_int(run, "attempt", 0))))
+		runs->attempt_twice = true;
 }
 
 static void
@@ -132,25 +133,26 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* What the callers were told                                          */
+/* Answers that the callers received                                   */
 /* ------------------------------------------------------------------ */
 
 static void
-compare_one(struct tally *t, JsonObject *told)
+compare_answer(struct tally *t, JsonObject *answer)
 {
-	const struct ran *ran =
-	    g_hash_table_lookup(t->ran, member_str(told, "request_id", ""));
-	bool not_run = strcmp(member_str(told, "verdict", ""), "NOT_RUN") == 0;
+	const struct request_runs *runs =
+	    g_hash_table_lookup(t->runs, member_str(answer, "request_id", ""));
+	bool not_run =
+	    strcmp(member_str(answer, "verdict", ""), "NOT_RUN") == 0;
 	int64_t attempts =
-	    g_ascii_strtoll(member_str(told, "attempts", ""), NULL, 10);
+	    g_ascii_strtoll(member_str(answer, "attempts", ""), NULL, 10);
 
-	if (ran == NULL)
+	if (runs == NULL)
 		return;
-	if (not_run && ran->begun > 0)
+	if (not_run && runs->started > 0)
 		t->wrong_verdict++;
 	/* X-Attempts is sent with the headers, so it counts the attempts up to
 	 * the answered one, and each of these may have finished a run. */
-	if (ran->attempt_twice || ran->done > MAX(attempts, 1))
+	if (runs->attempt_twice || runs->done > MAX(attempts, 1))
 		t->twice++;
 }
 
@@ -180,7 +182,7 @@
 	t->goodput += member_int(c, "answered", 0);
 	t->refused += member_int(c, "refused", 0);
 	t->cut += member_int(c, "cut", 0);
-	t->cut_told += member_int(c, "cut_with_error", 0);
+	t->cut_with_error += member_int(c, "cut_with_error", 0);
 	t->lost +=
 	    member_int(c, "unanswered", 0) + member_int(c, "unfinished", 0);
 	t->mixed += member_int(c, "mixed", 0) + member_int(c, "swapped", 0) +
@@ -191,7 +193,7 @@
 	    MAX(t->between_tokens_p95_ms, p95_ms(c, "between_tokens_us"));
 	list = json_object_get_array_member(c, "list");
 	for (i = 0; list != NULL && i < json_array_get_length(list); i++)
-		compare_one(t, json_array_get_object_element(list, i));
+		compare_answer(t, json_array_get_object_element(list, i));
 	g_object_unref(parser);
 	return list != NULL;
 }
@@ -201,7 +203,7 @@
 static bool
 add_posts(struct tally *t, const char *file)
 {
-	char *text, **lines, **part;
+	char *text, **lines, **fields;
 	gsize runs;
 	size_t i;
 
@@ -209,21 +211,22 @@
 		return false;
 	lines = g_strsplit(g_strstrip(text), "\n", 0);
 	for (i = 0; lines[i] != NULL && lines[i][0] != '\0'; i++) {
-		part = g_strsplit(lines[i], " ", 3);
-		runs = GPOINTER_TO_SIZE(g_hash_table_lookup(t->posts, part[0]));
+		fields = g_strsplit(lines[i], " ", 3);
+		runs =
+		    GPOINTER_TO_SIZE(g_hash_table_lookup(t->posts, fields[0]));
 		t->offered++;
-		if (g_strv_length(part) < 3 || part[2][0] == '\0')
+		if (g_strv_length(fields) < 3 || fields[2][0] == '\0')
 			t->lost++;
-		else if (strcmp(part[1], "200") == 0)
+		else if (strcmp(fields[1], "200") == 0)
 			t->goodput++;
 		else
 			t->refused++;
 		if (runs > 1)
 			t->twice++;
-		if (runs > 0 && part[1] != NULL && part[2] != NULL &&
-		    strcmp(part[2], "NOT_RUN") == 0)
+		if (runs > 0 && fields[1] != NULL && fields[2] != NULL &&
+		    strcmp(fields[2], "NOT_RUN") == 0)
 			t->wrong_verdict++;
-		g_strfreev(part);
+		g_strfreev(fields);
 	}
 	g_strfreev(lines);
 	g_free(text);
@@ -258,7 +261,7 @@
 	    t->between_tokens_p95_ms, t->refused, t->wrong_verdict, t->twice,
 	    t->mixed + t->engines_mixed, t->cut,
 	    t->offered == 0 ? 0 : (double)retries / (double)t->offered,
-	    t->cut_told, t->lost, more == NULL ? "" : " ",
+	    t->cut_with_error, t->lost, more == NULL ? "" : " ",
 	    more == NULL ? "" : more);
 }
 
@@ -287,8 +290,8 @@
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 	struct tally t = {
-		.ran = g_hash_table_new_full(
-		    g_str_hash, g_str_equal, g_free, ran_free),
+		.runs = g_hash_table_new_full(
+		    g_str_hash, g_str_equal, g_free, request_runs_free),
 		.posts = g_hash_table_new_full(
 		    g_str_hash, g_str_equal, g_free, NULL),
 	};
@@ -307,7 +310,7 @@
 		printf("requests case=%s failed (not all could be counted)\n",
 		    name);
 	g_object_unref(session);
-	g_hash_table_unref(t.ran);
+	g_hash_table_unref(t.runs);
 	g_hash_table_unref(t.posts);
 	return good && t.wrong_verdict == 0 && t.twice == 0 &&
 		t.mixed + t.engines_mixed == 0
--- a/tests/standin/truth.c
+++ b/tests/standin/truth.c
@@ -12,7 +12,7 @@
 
 #define TIMEOUT_S 10
 
-struct truth {
+struct comparison {
 	GHashTable *done_runs; /* request id -> number of finished runs */
 	int64_t mixed;
 	int64_t twice;
@@ -53,7 +53,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-add_run(struct truth *t, JsonObject *run)
+add_run(struct comparison *t, JsonObject *run)
 {
 	const char *id = member_str(run, "request_id", "");
 	gpointer n;
@@ -68,8 +68,8 @@
 }
 
 static bool
-add_engine(
-    struct truth *t, SoupSession *session, const char *base, const char *want)
+add_engine(struct comparison *t, SoupSession *session, const char *base,
+    const char *want)
 {
 	JsonNode *log = standin_fetch(session, base, "/admin/log");
 	JsonNode *load = standin_fetch(session, base, "/v1/load");
@@ -104,10 +104,10 @@
 
 /* Counts complete answers to requests that no engine logged as finished. */
 static int64_t
-count_unfounded(const struct truth *t, JsonObject *caller)
+count_without_run(const struct comparison *t, JsonObject *caller)
 {
 	JsonArray *list = json_object_get_array_member(caller, "list");
-	int64_t unfounded = 0;
+	int64_t without_run = 0;
 	guint i;
 
 	for (i = 0; list != NULL && i < json_array_get_length(list); i++) {
@@ -116,9 +116,9 @@
 		if (strcmp(member_str(r, "outcome", ""), "answered") == 0 &&
 		    !g_hash_table_contains(
 			t->done_runs, member_str(r, "request_id", "")))
-			unfounded++;
+			without_run++;
 	}
-	return unfounded;
+	return without_run;
 }
 
 static double
@@ -161,13 +161,13 @@
 		    "S" },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
-	struct truth t = { .done_runs = g_hash_table_new_full(
-			       g_str_hash, g_str_equal, g_free, NULL) };
+	struct comparison t = { .done_runs = g_hash_table_new_full(
+				    g_str_hash, g_str_equal, g_free, NULL) };
 	SoupSession *session;
 	JsonParser *parser = json_parser_new();
 	JsonObject *c;
 	char **urls;
-	int64_t answered, offered, cut, mixed, unfounded;
+	int64_t answered, offered, cut, mixed, without_run;
 	double copies;
 	bool good = true;
 	size_t i;
@@ -191,10 +191,10 @@
 	cut = member_int(c, "cut", 0);
 	mixed =
 	    t.mixed + member_int(c, "mixed", 0) + member_int(c, "swapped", 0);
-	unfounded = count_unfounded(&t, c);
+	without_run = count_without_run(&t, c);
 	good = good && t.loaded == t.engines && answered == offered &&
 	    offered > 0 && cut == 0 && mixed == 0 && t.twice == 0 &&
-	    unfounded == 0 && copies > 0;
+	    without_run == 0 && copies > 0;
 	printf("demo: %s replicas=%u/%u seconds=%s origin_copies=%.2f "
 	       "answered=%" G_GINT64_FORMAT "/%" G_GINT64_FORMAT
 	       " cut=%" G_GINT64_FORMAT " mixed=%" G_GINT64_FORMAT
