--- a/tests/standin/engine_load.c
+++ b/tests/standin/engine_load.c
@@ -201,7 +201,7 @@
 	struct digest root;
 
 	if (o->done != o->bytes) {
-		order_fail(o, "the source sent too few bytes");
+		order_fail(o, "the source is too short");
 		return;
 	}
 	digest_stream_end(o->root, &root);
@@ -231,14 +231,14 @@
 	}
 	if (bytes == NULL) {
 		g_error_free(error);
-		order_fail(o, "reading from the source failed");
+		order_fail(o, "the source broke off");
 		return;
 	}
 	data = g_bytes_get_data(bytes, &len);
 	good = hash_bytes(o, data, len);
 	g_bytes_unref(bytes);
 	if (!good)
-		order_fail(o, "a chunk digest or the length does not match");
+		order_fail(o, "the bytes do not match");
 	else if (len == 0)
 		source_ended(o);
 	else
@@ -285,7 +285,7 @@
 	g_clear_error(&error);
 	o->stream = stream;
 	if (stream == NULL || !found) {
-		order_fail(o, "the source did not answer 200");
+		order_fail(o, "no source");
 		return;
 	}
 	begin_hashing(o);
@@ -336,10 +336,9 @@
 	g_clear_error(&error);
 	o->chunks = list;
 	if (list == NULL || !chunk_list_size_ok(o))
-		order_fail(o,
-		    "the list of chunk digests is missing or has the wrong size");
+		order_fail(o, "no list of chunks, or one of another size");
 	else if (!fetch(o, o->source, false, on_source))
-		order_fail(o, "invalid source URL");
+		order_fail(o, "a bad source URL");
 }
 
 static void
@@ -352,14 +351,14 @@
 		order_done(o);
 	} else if (l->load_fail > 0) {
 		l->load_fail--;
-		order_fail(o, "injected fault: load_fail");
+		order_fail(o, "told to fail");
 	} else if (l->load_hang > 0) {
 		l->load_hang--;
 		o->hung = true; /* until the client disconnects */
 		if (o->deferred == NULL)
 			next_order(l);
 	} else if (!fetch(o, o->chunks_url, true, on_chunks)) {
-		order_fail(o, "invalid chunks URL");
+		order_fail(o, "a bad chunks URL");
 	}
 }
 
@@ -371,7 +370,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Calls                                                               */
+/* HTTP handlers                                                       */
 /* ------------------------------------------------------------------ */
 
 /* A load continues after its client has disconnected: an engine may complete
@@ -503,7 +502,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 struct loader *
--- a/tests/standin/engine_run.c
+++ b/tests/standin/engine_run.c
@@ -66,7 +66,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Begin and end of runs                                               */
+/* Start and end of runs                                               */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -219,7 +219,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Calls                                                               */
+/* HTTP handlers                                                       */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -261,7 +261,7 @@
 	bool full = b->nwaiting >= b->max_queue + b->slots - b->nrunning;
 
 	if (b->refuse)
-		reply_not_run(msg, 503, "injected fault: refuse");
+		reply_not_run(msg, 503, "told to refuse");
 	else if (b->loaded->digest[0] == '\0')
 		reply_not_run(msg, 503, "no model is loaded");
 	else if (!digest_matches(b, run))
@@ -438,7 +438,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static gboolean
--- a/tests/standin/hosts.c
+++ b/tests/standin/hosts.c
@@ -5,36 +5,36 @@
 #include "standin/standin.h"
 
 /* The list as set at `set_ms`. */
-struct truth {
-	STAILQ_ENTRY(truth) entry;
+struct host_list {
+	STAILQ_ENTRY(host_list) entry;
 	int64_t set_ms;
 	JsonObject *body;
 };
-STAILQ_HEAD(truth_list, truth);
+STAILQ_HEAD(host_lists, host_list);
 
 struct hosts {
 	const struct clk *clock;
 	int64_t lag_ms;
-	struct truth_list truths; /* oldest first */
+	struct host_lists lists; /* oldest first */
 };
 
 static void
 drop_oldest(struct hosts *h)
 {
-	struct truth *t = STAILQ_FIRST(&h->truths);
+	struct host_list *list = STAILQ_FIRST(&h->lists);
 
-	STAILQ_REMOVE_HEAD(&h->truths, entry);
-	json_object_unref(t->body);
-	g_free(t);
+	STAILQ_REMOVE_HEAD(&h->lists, entry);
+	json_object_unref(list->body);
+	g_free(list);
 }
 
 /* Returns the newest list that is at least `lag_ms` old, or NULL; frees the
  * lists before it. */
-static struct truth *
-shown(struct hosts *h)
+static struct host_list *
+visible_list(struct hosts *h)
 {
 	int64_t horizon = clk_now_ms(h->clock) - h->lag_ms;
-	struct truth *first = STAILQ_FIRST(&h->truths), *second;
+	struct host_list *first = STAILQ_FIRST(&h->lists), *second;
 
 	while (first != NULL) {
 		second = STAILQ_NEXT(first, entry);
@@ -51,14 +51,14 @@
     GHashTable *query, void *ctx)
 {
 	struct hosts *h = ctx;
-	struct truth *t = shown(h);
+	struct host_list *list = visible_list(h);
 	JsonNode *node;
 	char *text;
 
-	if (t == NULL) {
+	if (list == NULL) {
 		text = g_strdup("{\"hosts\":[]}");
 	} else {
-		node = json_node_init_object(json_node_alloc(), t->body);
+		node = json_node_init_object(json_node_alloc(), list->body);
 		text = json_to_string(node, FALSE);
 		json_node_unref(node);
 	}
@@ -68,7 +68,7 @@
 }
 
 static bool
-entry_is_good(JsonNode *node)
+host_is_valid(JsonNode *node)
 {
 	const char *state;
 	JsonObject *entry;
@@ -84,7 +84,7 @@
 }
 
 static bool
-list_is_good(JsonObject *body)
+list_is_valid(JsonObject *body)
 {
 	JsonNode *node = json_object_get_member(body, "hosts");
 	JsonArray *array;
@@ -94,7 +94,7 @@
 		return false;
 	array = json_node_get_array(node);
 	for (i = 0; i < json_array_get_length(array); i++) {
-		if (!entry_is_good(json_array_get_element(array, i)))
+		if (!host_is_valid(json_array_get_element(array, i)))
 			return false;
 	}
 	return true;
@@ -106,19 +106,19 @@
 {
 	struct hosts *h = ctx;
 	JsonObject *body = body_object(msg);
-	struct truth *t;
+	struct host_list *list;
 
 	if (body == NULL)
 		return;
-	if (!list_is_good(body)) {
+	if (!list_is_valid(body)) {
 		json_object_unref(body);
-		reply_error(msg, 400, "invalid list of hosts");
+		reply_error(msg, 400, "not a list of hosts");
 		return;
 	}
-	t = g_new0(struct truth, 1);
-	t->set_ms = clk_now_ms(h->clock);
-	t->body = body;
-	STAILQ_INSERT_TAIL(&h->truths, t, entry);
+	list = g_new0(struct host_list, 1);
+	list->set_ms = clk_now_ms(h->clock);
+	list->body = body;
+	STAILQ_INSERT_TAIL(&h->lists, list, entry);
 	reply_json(msg, 200, json_begin());
 }
 
@@ -127,7 +127,7 @@
 {
 	struct hosts *h = ctx;
 
-	while (!STAILQ_EMPTY(&h->truths))
+	while (!STAILQ_EMPTY(&h->lists))
 		drop_oldest(h);
 	g_free(h);
 }
@@ -140,7 +140,7 @@
 
 	h->clock = options->clock == NULL ? clk_system() : options->clock;
 	h->lag_ms = options->lag_ms;
-	STAILQ_INIT(&h->truths);
+	STAILQ_INIT(&h->lists);
 	soup_server_add_handler(server, "/v1/hosts", on_hosts, h, NULL);
 	soup_server_add_handler(server, "/admin/hosts", on_set, h, NULL);
 	return standin_new(server, options->port, h, hosts_free, err);
--- a/tests/standin/objects.c
+++ b/tests/standin/objects.c
@@ -176,7 +176,7 @@
 }
 
 static gboolean
-on_watch_over(void *ctx)
+on_watch_timeout(void *ctx)
 {
 	struct watch *w = ctx;
 
@@ -192,7 +192,7 @@
 }
 
 static bool
-anything_after(struct objects *api, const char *prefix, uint64_t since)
+has_change_after(struct objects *api, const char *prefix, uint64_t since)
 {
 	struct object *o = first_after(api, since);
 
@@ -244,7 +244,7 @@
 		refuse(api, msg, 503, "down");
 		return;
 	}
-	if (wait_ms <= 0 || anything_after(api, prefix, since)) {
+	if (wait_ms <= 0 || has_change_after(api, prefix, since)) {
 		answer_changes(api, msg, prefix, since);
 		delay_answer(api, msg);
 		return;
@@ -254,7 +254,7 @@
 	w->prefix = g_strdup(prefix);
 	w->since = since;
 	w->deferred = deferred_new(msg, on_watch_closed, w);
-	w->timer = g_timeout_add((guint)wait_ms, on_watch_over, w);
+	w->timer = g_timeout_add((guint)wait_ms, on_watch_timeout, w);
 	TAILQ_INSERT_TAIL(&api->watches, w, entry);
 }
 
@@ -349,7 +349,7 @@
 }
 
 static void
-put_call(struct objects *api, SoupServerMessage *msg, const char *key)
+handle_put(struct objects *api, SoupServerMessage *msg, const char *key)
 {
 	JsonObject *body;
 
@@ -375,7 +375,7 @@
 	if (!g_str_has_prefix(path, "/v1/objects/") || *key == '\0') {
 		reply_error(msg, 404, "no key");
 	} else if (is_method(msg, "PUT")) {
-		put_call(api, msg, key);
+		handle_put(api, msg, key);
 	} else if (!is_method(msg, "GET")) {
 		reply_error(msg, 405, "GET or PUT");
 	} else {
@@ -485,7 +485,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static void
--- a/tests/standin/origin.c
+++ b/tests/standin/origin.c
@@ -18,9 +18,9 @@
 	struct deferred *deferred;
 	GBytes *bytes; /* requested range, memory-mapped */
 	size_t sent;
-	size_t flip; /* offset of the byte to corrupt; the size: none */
-	size_t stall; /* offset to stop sending at; the size: never */
-	int64_t *counted; /* byte counter in `origin->by_name` */
+	size_t corrupt_at; /* offset of the byte to corrupt; the size: none */
+	size_t stall_at; /* offset to stop sending at; the size: never */
+	int64_t *byte_count; /* byte counter in `origin->by_name` */
 	bool writing; /* the last slice is not written yet */
 };
 TAILQ_HEAD(transfer_list, transfer);
@@ -68,10 +68,10 @@
 	GBytes *slice = g_bytes_new_from_bytes(t->bytes, t->sent, len);
 	uint8_t *copy;
 
-	if (t->flip < t->sent || t->flip >= t->sent + len)
+	if (t->corrupt_at < t->sent || t->corrupt_at >= t->sent + len)
 		return slice;
 	copy = g_memdup2(g_bytes_get_data(slice, NULL), len);
-	copy[t->flip - t->sent] ^= 1;
+	copy[t->corrupt_at - t->sent] ^= 1;
 	g_bytes_unref(slice);
 	return g_bytes_new_take(copy, len);
 }
@@ -79,7 +79,7 @@
 static size_t
 transfer_end(const struct transfer *t)
 {
-	return MIN(t->stall, g_bytes_get_size(t->bytes));
+	return MIN(t->stall_at, g_bytes_get_size(t->bytes));
 }
 
 static bool
@@ -154,7 +154,7 @@
 	struct transfer *t = ctx;
 
 	t->origin->bytes_sent += len;
-	*t->counted += len;
+	*t->byte_count += len;
 }
 
 static void
@@ -172,7 +172,7 @@
 /* ------------------------------------------------------------------ */
 
 static int64_t *
-count_of(struct origin *o, const char *name)
+byte_count_of(struct origin *o, const char *name)
 {
 	int64_t *count = g_hash_table_lookup(o->by_name, name);
 
@@ -213,13 +213,13 @@
 	return bytes;
 }
 
-/* Returns the requested range of `whole` and sets status and headers; answers
+/* Returns the requested range of `file` and sets status and headers; answers
  * 416 and returns NULL if the range is invalid. */
 static GBytes *
-cut_range(SoupServerMessage *msg, GBytes *whole)
+select_range(SoupServerMessage *msg, GBytes *file)
 {
 	SoupMessageHeaders *in, *out;
-	goffset size = (goffset)g_bytes_get_size(whole);
+	goffset size = (goffset)g_bytes_get_size(file);
 	goffset start = 0, end = size - 1;
 	SoupRange *ranges;
 	int n;
@@ -229,7 +229,7 @@
 	soup_message_headers_append(out, "Accept-Ranges", "bytes");
 	if (soup_message_headers_get_one(in, "Range") == NULL) {
 		soup_server_message_set_status(msg, 200, NULL);
-		return g_bytes_ref(whole);
+		return g_bytes_ref(file);
 	}
 	if (!soup_message_headers_get_ranges(in, size, &ranges, &n)) {
 		reply_error(msg, 416, "no such range");
@@ -245,7 +245,7 @@
 	soup_message_headers_set_content_range(out, start, end, size);
 	soup_server_message_set_status(msg, 206, NULL);
 	return g_bytes_new_from_bytes(
-	    whole, (gsize)start, (gsize)(end - start + 1));
+	    file, (gsize)start, (gsize)(end - start + 1));
 }
 
 static void
@@ -253,19 +253,19 @@
 {
 	size_t size = g_bytes_get_size(t->bytes);
 
-	t->flip = t->stall = size;
+	t->corrupt_at = t->stall_at = size;
 	if (size == 0)
 		return;
 	if (o->corrupt_next > 0) {
 		o->corrupt_next--;
-		t->flip = rng_below(&o->rng, size);
+		t->corrupt_at = rng_below(&o->rng, size);
 	} else if ((int64_t)rng_below(&o->rng, PERMILLE) <
 	    o->corrupt_permille) {
-		t->flip = rng_below(&o->rng, size);
+		t->corrupt_at = rng_below(&o->rng, size);
 	}
 	if (o->stall_next > 0) {
 		o->stall_next--;
-		t->stall = size / 2;
+		t->stall_at = size / 2;
 	}
 }
 
@@ -279,7 +279,7 @@
 
 	t->origin = o;
 	t->bytes = bytes;
-	t->counted = count_of(o, name);
+	t->byte_count = byte_count_of(o, name);
 	choose_faults(o, t);
 	soup_message_headers_set_content_type(
 	    out, "application/octet-stream", NULL);
@@ -309,23 +309,23 @@
 {
 	struct origin *o = ctx;
 	const char *name = path + strlen("/v1/weights/");
-	GBytes *whole, *range;
+	GBytes *file, *range;
 
 	o->requests++;
 	if (o->down) {
 		reply_error(msg, 503, "down");
 		return;
 	}
-	whole =
+	file =
 	    g_str_has_prefix(path, "/v1/weights/") ? map_file(o, name) : NULL;
-	if (whole == NULL) {
+	if (file == NULL) {
 		reply_error(msg, 404, "no such weights");
 		return;
 	}
-	range = cut_range(msg, whole);
+	range = select_range(msg, file);
 	if (range != NULL)
 		transfer_start(o, msg, name, range);
-	g_bytes_unref(whole);
+	g_bytes_unref(file);
 }
 
 /* ------------------------------------------------------------------ */
@@ -370,7 +370,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static void
--- a/tests/standin/service.c
+++ b/tests/standin/service.c
@@ -15,18 +15,18 @@
 STAILQ_HEAD(run_list, run);
 
 /* An answer delayed by the injected fault `delay_ms`. */
-struct late {
-	TAILQ_ENTRY(late) entry;
+struct delayed {
+	TAILQ_ENTRY(delayed) entry;
 	struct service *service;
 	struct deferred *deferred;
 	guint timer;
 };
-TAILQ_HEAD(late_list, late);
+TAILQ_HEAD(delayed_list, delayed);
 
 struct service {
 	char *name;
 	struct run_list runs;
-	struct late_list late;
+	struct delayed_list delayed;
 	int64_t nruns;
 	/* Injected faults. */
 	int64_t delay_ms, drop_before_run, drop_after_run, refuse;
@@ -38,42 +38,42 @@
 /* ------------------------------------------------------------------ */
 
 static void
-late_free(struct late *l)
+delayed_free(struct delayed *d)
 {
-	TAILQ_REMOVE(&l->service->late, l, entry);
-	if (l->timer != 0)
-		g_source_remove(l->timer);
-	deferred_free(l->deferred);
-	g_free(l);
+	TAILQ_REMOVE(&d->service->delayed, d, entry);
+	if (d->timer != 0)
+		g_source_remove(d->timer);
+	deferred_free(d->deferred);
+	g_free(d);
 }
 
 static void
-on_late_gone(void *ctx)
+on_delayed_closed(void *ctx)
 {
-	late_free(ctx);
+	delayed_free(ctx);
 }
 
 static gboolean
-on_late_due(void *ctx)
+on_delay_over(void *ctx)
 {
-	struct late *l = ctx;
+	struct delayed *d = ctx;
 
-	l->timer = 0;
-	deferred_write(l->deferred);
-	late_free(l);
+	d->timer = 0;
+	deferred_write(d->deferred);
+	delayed_free(d);
 	return G_SOURCE_REMOVE;
 }
 
 /* Delays the answer only: the run has already finished. */
 static void
-answer_late(struct service *s, SoupServerMessage *msg)
+delay_answer(struct service *s, SoupServerMessage *msg)
 {
-	struct late *l = g_new0(struct late, 1);
+	struct delayed *d = g_new0(struct delayed, 1);
 
-	l->service = s;
-	l->deferred = deferred_new(msg, on_late_gone, l);
-	l->timer = g_timeout_add((guint)s->delay_ms, on_late_due, l);
-	TAILQ_INSERT_TAIL(&s->late, l, entry);
+	d->service = s;
+	d->deferred = deferred_new(msg, on_delayed_closed, d);
+	d->timer = g_timeout_add((guint)s->delay_ms, on_delay_over, d);
+	TAILQ_INSERT_TAIL(&s->delayed, d, entry);
 }
 
 static char *
@@ -124,7 +124,7 @@
 
 /* Decrements the remaining count of an injected fault; false if it is zero. */
 static bool
-take(int64_t *count)
+consume_fault(int64_t *count)
 {
 	if (*count <= 0)
 		return false;
@@ -138,20 +138,20 @@
 {
 	struct service *s = ctx;
 
-	if (take(&s->refuse)) {
+	if (consume_fault(&s->refuse)) {
 		reply_not_run(msg, 503, "refused");
 		return;
 	}
-	if (take(&s->drop_before_run)) {
+	if (consume_fault(&s->drop_before_run)) {
 		hang_up(msg);
 		return;
 	}
 	record_run(s, msg, path);
 	answer_run(s, msg, path);
-	if (take(&s->drop_after_run))
+	if (consume_fault(&s->drop_after_run))
 		hang_up(msg);
 	else if (s->delay_ms > 0)
-		answer_late(s, msg);
+		delay_answer(s, msg);
 }
 
 /* ------------------------------------------------------------------ */
@@ -200,7 +200,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -209,8 +209,8 @@
 	struct service *s = ctx;
 	struct run *run;
 
-	while (!TAILQ_EMPTY(&s->late))
-		late_free(TAILQ_FIRST(&s->late));
+	while (!TAILQ_EMPTY(&s->delayed))
+		delayed_free(TAILQ_FIRST(&s->delayed));
 	while ((run = STAILQ_FIRST(&s->runs)) != NULL) {
 		STAILQ_REMOVE_HEAD(&s->runs, entry);
 		g_free(run->request_id);
@@ -231,7 +231,7 @@
 
 	s->name = g_strdup(options->name);
 	STAILQ_INIT(&s->runs);
-	TAILQ_INIT(&s->late);
+	TAILQ_INIT(&s->delayed);
 	soup_server_add_handler(server, NULL, on_any, s, NULL);
 	soup_server_add_handler(server, "/admin/faults", on_faults, s, NULL);
 	soup_server_add_handler(server, "/admin/log", on_log, s, NULL);
