--- a/tests/standin/test_client.c
+++ b/tests/standin/test_client.c
@@ -82,7 +82,7 @@
 }
 
 void
-end(struct answer *a)
+answer_clear(struct answer *a)
 {
 	g_clear_object(&a->msg);
 	g_clear_object(&a->cancel);
@@ -90,7 +90,7 @@
 }
 
 void
-leave(struct answer *a)
+answer_disconnect(struct answer *a)
 {
 	g_cancellable_cancel(a->cancel);
 	wait_for(&a->done);
@@ -121,7 +121,7 @@
 		assert_string_equal(text, answer);
 		g_free(text);
 	}
-	end(&a);
+	answer_clear(&a);
 }
 
 bool
@@ -178,7 +178,7 @@
 	while (!found) {
 		call(&a, s, "GET", path, NULL, NULL);
 		found = body_has(&a, text);
-		end(&a);
+		answer_clear(&a);
 		run_for_ms(2);
 	}
 }
--- a/tests/standin/test_client.h
+++ b/tests/standin/test_client.h
@@ -30,9 +30,9 @@
 void call(struct answer *a, const struct standin *s, const char *method,
     const char *path, const char *body, const char *const *headers);
 /* Closes the connection and waits for the end of the call. */
-void leave(struct answer *a);
+void answer_disconnect(struct answer *a);
 /* Frees the members of `a`. */
-void end(struct answer *a);
+void answer_clear(struct answer *a);
 /* Makes a call and checks the status and the body (NULL: any). */
 void expect(const struct standin *s, const char *method, const char *path,
     const char *body, unsigned int status, const char *answer);
--- a/tests/standin/test_protocol.c
+++ b/tests/standin/test_protocol.c
@@ -58,7 +58,7 @@
 	call(&a, s, "PUT", "/v1/objects/k", "{\"op\":\"o1\",\"value\":\"x\"}",
 	    NULL);
 	assert_int_equal(a.status, 0);
-	end(&a);
+	answer_clear(&a);
 	expect(s, "GET", "/v1/objects/k", NULL, 200,
 	    "{\"key\":\"k\",\"version\":1,\"op\":\"o1\",\"value\":\"x\"}");
 	expect(s, "PUT", "/v1/objects/k", "{\"op\":\"o2\",\"value\":\"y\"}",
@@ -81,8 +81,8 @@
 	expect(s, "POST", "/admin/faults", "{\"delay_ms\":0}", 200, NULL);
 	expect(s, "GET", "/v1/objects/k", NULL, 200, NULL);
 	assert_false(slow.done);
-	leave(&slow);
-	end(&slow);
+	answer_disconnect(&slow);
+	answer_clear(&slow);
 	standin_free(s);
 }
 
@@ -105,7 +105,7 @@
 	assert_true(body_has(&watch,
 	    "{\"revision\":2,\"objects\":[{\"key\":\"a/1\",\"version\":1,"
 	    "\"op\":\"o\",\"value\":\"v\"}]}"));
-	end(&watch);
+	answer_clear(&watch);
 	expect(s, "GET", "/v1/watch?prefix=a/&since=2&wait_ms=10", NULL, 200,
 	    "{\"revision\":2,\"objects\":[]}");
 	expect(s, "GET", "/v1/watch?prefix=&since=1&wait_ms=30000", NULL, 200,
@@ -130,7 +130,7 @@
 	expect(s, "POST", "/admin/faults", "{\"down\":true}", 200, NULL);
 	wait_for(&watch.done);
 	assert_int_equal(watch.status, 503);
-	end(&watch);
+	answer_clear(&watch);
 	expect(s, "GET", "/v1/objects/k", NULL, 503, NULL);
 	expect(s, "PUT", "/v1/objects/k", "{\"op\":\"p\",\"value\":\"w\"}", 503,
 	    NULL);
@@ -236,16 +236,16 @@
 	assert_int_equal(a.status, 200);
 	assert_int_equal(body_len(&a), WEIGHTS_BYTES);
 	assert_int_equal(differences(&a, f->data), 0);
-	end(&a);
+	answer_clear(&a);
 	call(&a, s, "GET", "/v1/weights/v1", NULL, range);
 	assert_int_equal(a.status, 206);
 	assert_int_equal(body_len(&a), 99995);
 	assert_int_equal(differences(&a, f->data + 5), 0);
-	end(&a);
+	answer_clear(&a);
 	expect(s, "POST", "/admin/faults", "{\"corrupt_next\":1}", 200, NULL);
 	call(&a, s, "GET", "/v1/weights/v1", NULL, range);
 	assert_int_equal(differences(&a, f->data + 5), 1);
-	end(&a);
+	answer_clear(&a);
 	expect(s, "GET", "/v1/weights/none", NULL, 404, NULL);
 	expect(s, "GET", "/admin/counts", NULL, 200,
 	    "{\"requests\":4,\"bytes_sent\":499991,"
@@ -267,7 +267,7 @@
 	found = g_strstr_len(data, (gssize)len, "\"bytes_sent\":");
 	assert_non_null(found);
 	n = g_ascii_strtoll(found + strlen("\"bytes_sent\":"), NULL, 10);
-	end(&a);
+	answer_clear(&a);
 	return n;
 }
 
@@ -298,10 +298,10 @@
 		run_for_ms(25);
 		assert_int_equal(bytes_sent(s), i * 20000);
 	}
-	leave(&a);
-	leave(&b);
-	end(&a);
-	end(&b);
+	answer_disconnect(&a);
+	answer_disconnect(&b);
+	answer_clear(&a);
+	answer_clear(&b);
 	standin_free(s);
 	folder_free(f);
 }
@@ -323,8 +323,8 @@
 	run_for_ms(50);
 	assert_int_equal(bytes_sent(s), WEIGHTS_BYTES / 2);
 	assert_false(a.done);
-	leave(&a);
-	end(&a);
+	answer_disconnect(&a);
+	answer_clear(&a);
 	standin_free(s);
 	folder_free(f);
 }
@@ -387,7 +387,7 @@
 	begin_order(&a, engine, origin, source, digest, fence);
 	wait_for(&a.done);
 	assert_int_equal(a.status, status);
-	end(&a);
+	answer_clear(&a);
 }
 
 static void
@@ -499,8 +499,8 @@
 	assert_int_equal(old.status, 409);
 	assert_int_equal(fresh.status, 200);
 	loaded_is(engine, f->root_hex, 8);
-	end(&old);
-	end(&fresh);
+	answer_clear(&old);
+	answer_clear(&fresh);
 	standin_free(engine);
 	standin_free(origin);
 	folder_free(f);
@@ -527,12 +527,12 @@
 	run_for_ms(50);
 	assert_false(hung.done);
 	assert_false(next.done);
-	leave(&hung);
+	answer_disconnect(&hung);
 	wait_for(&next.done);
 	assert_int_equal(next.status, 200);
 	loaded_is(engine, f->root_hex, 3);
-	end(&hung);
-	end(&next);
+	answer_clear(&hung);
+	answer_clear(&next);
 	standin_free(engine);
 	standin_free(origin);
 	folder_free(f);
--- a/tests/standin/test_runs.c
+++ b/tests/standin/test_runs.c
@@ -49,7 +49,7 @@
 
 /* Returns the load generator's verdict on an answer. */
 static enum outcome
-judge(const struct answer *a, const char *id, int max_tokens, bool stream)
+outcome_of(const struct answer *a, const char *id, int max_tokens, bool stream)
 {
 	struct check check;
 	enum outcome outcome;
@@ -75,12 +75,12 @@
 
 	call(&a, s, "GET", "/admin/log", NULL, NULL);
 	found = body_has(&a, text);
-	end(&a);
+	answer_clear(&a);
 	return found;
 }
 
 static void
-wait_until_begun(const struct standin *s, const char *id)
+wait_until_started(const struct standin *s, const char *id)
 {
 	char *text = g_strdup_printf("\"request_id\":\"%s\"", id);
 
@@ -93,21 +93,23 @@
 /* ------------------------------------------------------------------ */
 
 static void
-test_answers_are_whole(void **state)
+test_answers_are_complete(void **state)
 {
 	struct standin *s = quick_engine();
-	struct answer stream, whole;
+	struct answer stream, complete;
 
 	begin_chat(&stream, s, "r1", 20, true);
-	begin_chat(&whole, s, "r2", 20, false);
+	begin_chat(&complete, s, "r2", 20, false);
 	wait_for(&stream.done);
-	wait_for(&whole.done);
+	wait_for(&complete.done);
 	assert_string_equal(header(&stream, "X-Model-Digest"), DIGEST);
-	assert_int_equal(judge(&stream, "r1", 20, true), OUTCOME_ANSWERED);
-	assert_int_equal(judge(&whole, "r2", 20, false), OUTCOME_ANSWERED);
-	assert_int_equal(judge(&whole, "r1", 20, false), OUTCOME_SWAPPED);
-	end(&stream);
-	end(&whole);
+	assert_int_equal(outcome_of(&stream, "r1", 20, true), OUTCOME_ANSWERED);
+	assert_int_equal(
+	    outcome_of(&complete, "r2", 20, false), OUTCOME_ANSWERED);
+	assert_int_equal(
+	    outcome_of(&complete, "r1", 20, false), OUTCOME_SWAPPED);
+	answer_clear(&stream);
+	answer_clear(&complete);
 	assert_true(log_has(s,
 	    "{\"request_id\":\"r2\",\"attempt\":1,\"digest\":\"" DIGEST
 	    "\",\"tokens\":20,\"max_tokens\":20,\"state\":\"done\""));
@@ -130,17 +132,17 @@
 	call(&a, s, "POST", "/v1/chat/completions", "{}", other);
 	assert_int_equal(a.status, 409);
 	assert_string_equal(header(&a, "X-Not-Run"), "1");
-	end(&a);
+	answer_clear(&a);
 	begin_chat(&a, s, "r2", LONG_RUN, false);
-	wait_until_begun(s, "r2");
+	wait_until_started(s, "r2");
 	begin_chat(&b, s, "r3", 1, false);
 	wait_for(&b.done);
 	assert_int_equal(b.status, 503);
 	assert_string_equal(header(&b, "X-Not-Run"), "1");
-	end(&b);
+	answer_clear(&b);
 	expect(s, "POST", "/v1/cancel", "{\"request_id\":\"r2\"}", 200, NULL);
 	wait_for(&a.done);
-	end(&a);
+	answer_clear(&a);
 	assert_false(log_has(s, "\"r1\""));
 	assert_false(log_has(s, "\"r3\""));
 	standin_free(s);
@@ -158,22 +160,22 @@
 	struct answer broken, rest;
 
 	begin_chat(&broken, s, "r1", 300, true);
-	wait_until_begun(s, "r1");
+	wait_until_started(s, "r1");
 	expect(
 	    s, "POST", "/admin/faults", "{\"drop_streams\":true}", 200, NULL);
 	wait_for(&broken.done);
 	/* libsoup treats a truncated chunked body as complete. */
-	assert_int_equal(judge(&broken, "r1", 300, true), OUTCOME_CUT);
-	end(&broken);
+	assert_int_equal(outcome_of(&broken, "r1", 300, true), OUTCOME_CUT);
+	answer_clear(&broken);
 	run_for_ms(30); /* many steps, none of which ends the run */
 	call(&rest, s, "GET", "/v1/streams/r1?from=0", NULL, NULL);
-	assert_int_equal(judge(&rest, "r1", 300, true), OUTCOME_ANSWERED);
-	end(&rest);
+	assert_int_equal(outcome_of(&rest, "r1", 300, true), OUTCOME_ANSWERED);
+	answer_clear(&rest);
 	call(&rest, s, "GET", "/v1/streams/r1?from=299", NULL, NULL);
 	assert_true(body_has(&rest, ":r1:299 "));
 	assert_false(body_has(&rest, ":r1:298 "));
-	assert_int_equal(judge(&rest, "r1", 300, true), OUTCOME_CUT);
-	end(&rest);
+	assert_int_equal(outcome_of(&rest, "r1", 300, true), OUTCOME_CUT);
+	answer_clear(&rest);
 	expect(s, "GET", "/v1/streams/none?from=0", NULL, 404, NULL);
 	standin_free(s);
 }
@@ -184,16 +186,16 @@
 test_resume_takes_over(void **state)
 {
 	struct standin *s = quick_engine();
-	struct answer hanging, rest;
+	struct answer stalled, rest;
 
-	begin_chat(&hanging, s, "r1", 300, true);
-	wait_until_begun(s, "r1");
+	begin_chat(&stalled, s, "r1", 300, true);
+	wait_until_started(s, "r1");
 	call(&rest, s, "GET", "/v1/streams/r1?from=0", NULL, NULL);
-	wait_for(&hanging.done);
-	assert_int_equal(judge(&rest, "r1", 300, true), OUTCOME_ANSWERED);
-	assert_int_equal(judge(&hanging, "r1", 300, true), OUTCOME_CUT);
-	end(&rest);
-	end(&hanging);
+	wait_for(&stalled.done);
+	assert_int_equal(outcome_of(&rest, "r1", 300, true), OUTCOME_ANSWERED);
+	assert_int_equal(outcome_of(&stalled, "r1", 300, true), OUTCOME_CUT);
+	answer_clear(&rest);
+	answer_clear(&stalled);
 	standin_free(s);
 }
 
@@ -206,25 +208,25 @@
 test_waiting_run_is_dropped_with_its_caller(void **state)
 {
 	struct engine_options options = ENGINE_OPTIONS_DEFAULT;
-	struct answer first, gone;
+	struct answer first, disconnected;
 	struct standin *s;
 
 	options.slots = 1;
 	options.step_ms = 1;
 	s = engine_with(options);
 	begin_chat(&first, s, "r1", LONG_RUN, true);
-	wait_until_begun(s, "r1");
-	begin_chat(&gone, s, "r2", 1, true);
+	wait_until_started(s, "r1");
+	begin_chat(&disconnected, s, "r2", 1, true);
 	run_for_ms(30);
-	leave(&gone);
+	answer_disconnect(&disconnected);
 	run_for_ms(30);
 	expect(s, "POST", "/v1/cancel", "{\"request_id\":\"r1\"}", 200,
 	    "{\"cancelled\":1}");
 	run_for_ms(30);
 	assert_false(log_has(s, "\"r2\""));
 	wait_for(&first.done);
-	end(&first);
-	end(&gone);
+	answer_clear(&first);
+	answer_clear(&disconnected);
 	standin_free(s);
 }
 
@@ -271,9 +273,9 @@
 	assert_string_equal(header(&second, "X-Not-Run"), "1");
 	wait_for(&first.done);
 	/* A run that started before the change ends with its first version. */
-	assert_int_equal(judge(&first, "r1", 200, true), OUTCOME_ANSWERED);
-	end(&first);
-	end(&second);
+	assert_int_equal(outcome_of(&first, "r1", 200, true), OUTCOME_ANSWERED);
+	answer_clear(&first);
+	answer_clear(&second);
 	standin_free(s);
 	cache_free(cache);
 }
@@ -291,7 +293,7 @@
 	options.step_ms = 1;
 	s = engine_with(options);
 	begin_chat(&first, s, "r1", LONG_RUN, true);
-	wait_until_begun(s, "r1");
+	wait_until_started(s, "r1");
 	begin_chat(&second, s, "r2", 3, true);
 	expect(s, "POST", "/v1/cancel", "{\"request_id\":\"r1\",\"attempt\":2}",
 	    200, "{\"cancelled\":0}");
@@ -299,12 +301,12 @@
 	    "{\"cancelled\":1}");
 	wait_for(&first.done);
 	assert_int_equal(first.status, 200);
-	assert_int_equal(judge(&first, "r1", LONG_RUN, true), OUTCOME_CUT);
+	assert_int_equal(outcome_of(&first, "r1", LONG_RUN, true), OUTCOME_CUT);
 	assert_false(body_has(&first, "[DONE]"));
 	wait_for(&second.done);
-	assert_int_equal(judge(&second, "r2", 3, true), OUTCOME_ANSWERED);
-	end(&first);
-	end(&second);
+	assert_int_equal(outcome_of(&second, "r2", 3, true), OUTCOME_ANSWERED);
+	answer_clear(&first);
+	answer_clear(&second);
 	assert_true(log_has(s, "\"state\":\"cancelled\""));
 	standin_free(s);
 }
@@ -325,7 +327,7 @@
 	clk_fake_init(&fake, 0);
 	s = engine_with(options);
 	begin_chat(&a, s, "r1", LONG_RUN, true);
-	wait_until_begun(s, "r1");
+	wait_until_started(s, "r1");
 	expect(
 	    s, "POST", "/admin/faults", "{\"drop_streams\":true}", 200, NULL);
 	clk_fake_advance_ms(&fake, 49);
@@ -335,7 +337,7 @@
 	wait_for_text(s, "/admin/log", "\"state\":\"cancelled\"");
 	expect(s, "GET", "/v1/streams/r1?from=0", NULL, 404, NULL);
 	wait_for(&a.done);
-	end(&a);
+	answer_clear(&a);
 	standin_free(s);
 }
 
@@ -413,15 +415,15 @@
 	    "{\"drop_before_run\":1,\"drop_after_run\":1}", 200, NULL);
 	call(&a, s, "POST", "/notes/1", "x", before);
 	assert_int_equal(a.status, 0);
-	end(&a);
+	answer_clear(&a);
 	call(&a, s, "POST", "/notes/1", "x", after);
 	assert_int_equal(a.status, 0);
-	end(&a);
+	answer_clear(&a);
 	expect(s, "POST", "/admin/faults", "{\"refuse\":1}", 200, NULL);
 	call(&a, s, "POST", "/notes/1", "x", before);
 	assert_int_equal(a.status, 503);
 	assert_string_equal(header(&a, "X-Not-Run"), "1");
-	end(&a);
+	answer_clear(&a);
 	expect(s, "GET", "/admin/log", NULL, 200,
 	    "{\"runs\":[{\"request_id\":\"r2\",\"attempt\":3,"
 	    "\"method\":\"POST\",\"path\":\"/notes/1\",\"key\":\"k2\"}]}");
@@ -439,7 +441,7 @@
 /* Checks a stream of space-separated tokens, where `D` and `E` stand for two
  * digests, and returns the outcome. */
 static enum outcome
-judge_tokens(const char *tokens, const char *last)
+outcome_of_tokens(const char *tokens, const char *last)
 {
 	char **items = g_strsplit(tokens, " ", -1), *event;
 	struct check check;
@@ -469,22 +471,24 @@
 	static const char done[] = "data: [DONE]\n\n";
 
 	assert_int_equal(
-	    judge_tokens("D:r:0 D:r:1 D:r:2", done), OUTCOME_ANSWERED);
-	assert_int_equal(judge_tokens("D:r:0 D:r:1", done), OUTCOME_CUT);
-	assert_int_equal(judge_tokens("D:r:0 D:r:2", done), OUTCOME_CUT);
-	assert_int_equal(judge_tokens("D:r:0 D:r:1 D:r:2", ""), OUTCOME_CUT);
-	assert_int_equal(
-	    judge_tokens("D:r:0", "event: error\ndata: {}\n\n"), OUTCOME_CUT);
+	    outcome_of_tokens("D:r:0 D:r:1 D:r:2", done), OUTCOME_ANSWERED);
+	assert_int_equal(outcome_of_tokens("D:r:0 D:r:1", done), OUTCOME_CUT);
+	assert_int_equal(outcome_of_tokens("D:r:0 D:r:2", done), OUTCOME_CUT);
 	assert_int_equal(
-	    judge_tokens("D:r:0 E:r:1 D:r:2", done), OUTCOME_MIXED);
+	    outcome_of_tokens("D:r:0 D:r:1 D:r:2", ""), OUTCOME_CUT);
 	assert_int_equal(
-	    judge_tokens("E:r:0 E:r:1 E:r:2", done), OUTCOME_MIXED);
+	    outcome_of_tokens("D:r:0", "event: error\ndata: {}\n\n"),
+	    OUTCOME_CUT);
 	assert_int_equal(
-	    judge_tokens("D:r:0 D:q:1 D:r:2", done), OUTCOME_SWAPPED);
+	    outcome_of_tokens("D:r:0 E:r:1 D:r:2", done), OUTCOME_MIXED);
 	assert_int_equal(
-	    judge_tokens("D:r:0 D:r:1 D:r:1 D:r:2", done), OUTCOME_DUPLICATED);
+	    outcome_of_tokens("E:r:0 E:r:1 E:r:2", done), OUTCOME_MIXED);
 	assert_int_equal(
-	    judge_tokens("D:r:0 D:r:1 D:r:2 D:r:3", done), OUTCOME_DUPLICATED);
+	    outcome_of_tokens("D:r:0 D:q:1 D:r:2", done), OUTCOME_SWAPPED);
+	assert_int_equal(outcome_of_tokens("D:r:0 D:r:1 D:r:1 D:r:2", done),
+	    OUTCOME_DUPLICATED);
+	assert_int_equal(outcome_of_tokens("D:r:0 D:r:1 D:r:2 D:r:3", done),
+	    OUTCOME_DUPLICATED);
 }
 
 static void
@@ -507,7 +511,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-		    test_answers_are_whole, client_setup, client_teardown),
+		    test_answers_are_complete, client_setup, client_teardown),
 		cmocka_unit_test_setup_teardown(
 		    test_refusals_did_not_run, client_setup, client_teardown),
 		cmocka_unit_test_setup_teardown(
--- a/tests/standin/truth.c
+++ b/tests/standin/truth.c
@@ -99,7 +99,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Callers against engines                                             */
+/* Comparison with the engines' logs                                   */
 /* ------------------------------------------------------------------ */
 
 /* Counts complete answers to requests that no engine logged as finished. */
