--- a/tests/standin/caller.c
+++ b/tests/standin/caller.c
@@ -434,7 +434,7 @@
 open_gateways(struct caller *c)
 {
 	char **urls = g_strsplit(c->options->entries, ",", -1);
-	bool good = true;
+	bool ok = true;
 	size_t i;
 
 	c->ngateways = g_strv_length(urls);
@@ -444,11 +444,11 @@
 		struct gateway *gateway = &c->gateways[i];
 
 		gateway->uri = g_uri_parse(url, SOUP_HTTP_URI_FLAGS, NULL);
-		good = good && gateway->uri != NULL;
+		ok = ok && gateway->uri != NULL;
 		g_free(url);
 	}
 	g_strfreev(urls);
-	return good && c->ngateways > 0;
+	return ok && c->ngateways > 0;
 }
 
 static void
--- a/tests/standin/engine.c
+++ b/tests/standin/engine.c
@@ -70,20 +70,20 @@
 {
 	char **parts = g_strsplit(text == NULL ? "::" : text, ":", 3);
 	struct digest digest;
-	bool good = true;
+	bool ok = true;
 
 	if (text != NULL) {
-		good = g_strv_length(parts) == 3 &&
+		ok = g_strv_length(parts) == 3 &&
 		    digest_from_hex(parts[2], &digest);
 	}
-	if (good) {
+	if (ok) {
 		loaded->model = g_strdup(parts[0]);
 		loaded->version = g_strdup(parts[1]);
 	}
-	if (good && text != NULL)
+	if (ok && text != NULL)
 		digest_to_hex(&digest, loaded->digest);
 	g_strfreev(parts);
-	if (!good) {
+	if (!ok) {
 		return err_set(err, ERR_INVALID, VERDICT_NOT_RUN,
 		    "not MODEL:VERSION:DIGEST: %s", text);
 	}
--- a/tests/standin/engine_load.c
+++ b/tests/standin/engine_load.c
@@ -221,7 +221,7 @@
 	GBytes *bytes;
 	size_t len;
 	const uint8_t *data;
-	bool good;
+	bool ok;
 
 	bytes = g_input_stream_read_bytes_finish(
 	    G_INPUT_STREAM(stream), result, &error);
@@ -235,9 +235,9 @@
 		return;
 	}
 	data = g_bytes_get_data(bytes, &len);
-	good = hash_bytes(o, data, len);
+	ok = hash_bytes(o, data, len);
 	g_bytes_unref(bytes);
-	if (!good)
+	if (!ok)
 		order_fail(o, "the bytes do not match");
 	else if (len == 0)
 		source_ended(o);
--- a/tests/standin/standin.c
+++ b/tests/standin/standin.c
@@ -339,24 +339,24 @@
 };
 
 static void
-stop_watching(struct deferred *h)
+stop_watching(struct deferred *d)
 {
-	if (h->watch == NULL)
+	if (d->watch == NULL)
 		return;
-	g_source_destroy(h->watch);
-	g_source_unref(h->watch);
-	h->watch = NULL;
+	g_source_destroy(d->watch);
+	g_source_unref(d->watch);
+	d->watch = NULL;
 }
 
 static void
-connection_closed(struct deferred *h)
+connection_closed(struct deferred *d)
 {
-	deferred_closed *on_closed = h->on_closed;
+	deferred_closed *on_closed = d->on_closed;
 
-	stop_watching(h);
-	h->on_closed = NULL;
+	stop_watching(d);
+	d->on_closed = NULL;
 	if (on_closed != NULL)
-		on_closed(h->ctx);
+		on_closed(d->ctx);
 }
 
 static void
@@ -369,78 +369,78 @@
 static gboolean
 on_readable(GSocket *socket, GIOCondition condition, void *ctx)
 {
-	struct deferred *h = ctx;
+	struct deferred *d = ctx;
 	char byte;
 	ssize_t n;
 
 	n = recv(g_socket_get_fd(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 	if (n > 0) { /* a pipelined request arrived: stop watching */
-		stop_watching(h);
+		stop_watching(d);
 		return G_SOURCE_REMOVE;
 	}
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return G_SOURCE_CONTINUE;
-	g_signal_handler_disconnect(h->msg, h->on_finished);
-	h->on_finished = 0;
-	hang_up(h->msg);
-	connection_closed(h);
+	g_signal_handler_disconnect(d->msg, d->on_finished);
+	d->on_finished = 0;
+	hang_up(d->msg);
+	connection_closed(d);
 	return G_SOURCE_REMOVE;
 }
 
 struct deferred *
 deferred_new(SoupServerMessage *msg, deferred_closed *on_closed, void *ctx)
 {
-	struct deferred *h = g_new0(struct deferred, 1);
+	struct deferred *d = g_new0(struct deferred, 1);
 	GSocket *socket = soup_server_message_get_socket(msg);
 
 	/* libsoup reads the remote address when a connection is stolen and
 	 * logs a warning if the peer has disconnected; this call caches it. */
 	soup_server_message_get_remote_address(msg);
-	h->msg = g_object_ref(msg);
-	h->on_closed = on_closed;
-	h->ctx = ctx;
-	h->on_finished =
-	    g_signal_connect(msg, "finished", G_CALLBACK(on_finished), h);
+	d->msg = g_object_ref(msg);
+	d->on_closed = on_closed;
+	d->ctx = ctx;
+	d->on_finished =
+	    g_signal_connect(msg, "finished", G_CALLBACK(on_finished), d);
 	if (socket != NULL) {
-		h->watch = g_socket_create_source(socket, G_IO_IN, NULL);
+		d->watch = g_socket_create_source(socket, G_IO_IN, NULL);
 		g_source_set_callback(
-		    h->watch, G_SOURCE_FUNC(on_readable), h, NULL);
-		g_source_attach(h->watch, NULL);
+		    d->watch, G_SOURCE_FUNC(on_readable), d, NULL);
+		g_source_attach(d->watch, NULL);
 	}
 	soup_server_message_pause(msg);
-	return h;
+	return d;
 }
 
 SoupServerMessage *
-deferred_msg(const struct deferred *h)
+deferred_msg(const struct deferred *d)
 {
-	return h->msg;
+	return d->msg;
 }
 
 void
-deferred_write(struct deferred *h)
+deferred_write(struct deferred *d)
 {
-	soup_server_message_unpause(h->msg);
+	soup_server_message_unpause(d->msg);
 }
 
 void
-deferred_free(struct deferred *h)
+deferred_free(struct deferred *d)
 {
-	if (h == NULL)
+	if (d == NULL)
 		return;
-	stop_watching(h);
-	if (h->on_finished != 0)
-		g_signal_handler_disconnect(h->msg, h->on_finished);
-	g_object_unref(h->msg);
-	g_free(h);
+	stop_watching(d);
+	if (d->on_finished != 0)
+		g_signal_handler_disconnect(d->msg, d->on_finished);
+	g_object_unref(d->msg);
+	g_free(d);
 }
 
 void
-deferred_hang_up(struct deferred *h)
+deferred_hang_up(struct deferred *d)
 {
-	SoupServerMessage *msg = g_object_ref(h->msg);
+	SoupServerMessage *msg = g_object_ref(d->msg);
 
-	deferred_free(h);
+	deferred_free(d);
 	hang_up(msg);
 	g_object_unref(msg);
 }
--- a/tests/standin/standin.h
+++ b/tests/standin/standin.h
@@ -170,12 +170,12 @@
  * deferred message. */
 struct deferred *deferred_new(
     SoupServerMessage *msg, deferred_closed *on_closed, void *ctx);
-SoupServerMessage *deferred_msg(const struct deferred *h);
+SoupServerMessage *deferred_msg(const struct deferred *d);
 /* Lets libsoup write the part of the answer that is available. */
-void deferred_write(struct deferred *h);
+void deferred_write(struct deferred *d);
 /* Releases the message; data already in its body is still sent. */
-void deferred_free(struct deferred *h);
-/* Closes the connection and frees `h`; `on_closed` is not called. */
-void deferred_hang_up(struct deferred *h);
+void deferred_free(struct deferred *d);
+/* Closes the connection and frees `d`; `on_closed` is not called. */
+void deferred_hang_up(struct deferred *d);
 
 #endif
--- a/tests/standin/tally.c
+++ b/tests/standin/tally.c
@@ -109,7 +109,7 @@
 	char **from = g_strsplit(list == NULL ? "" : list, ",", 0);
 	JsonArray *runs;
 	JsonNode *log;
-	bool good = true;
+	bool ok = true;
 	size_t i;
 	guint at;
 
@@ -117,7 +117,7 @@
 		log = read_log(session, from[i]);
 		if (log == NULL) {
 			fprintf(stderr, "tally: no log from %s\n", from[i]);
-			good = false;
+			ok = false;
 			continue;
 		}
 		t->engines_mixed +=
@@ -129,7 +129,7 @@
 		json_node_unref(log);
 	}
 	g_strfreev(from);
-	return good;
+	return ok;
 }
 
 /* ------------------------------------------------------------------ */
@@ -237,13 +237,13 @@
 add_callers(struct tally *t, const char *files, const char *posts)
 {
 	char **file = g_strsplit(files == NULL ? "" : files, ",", 0);
-	bool good = true;
+	bool ok = true;
 	size_t i;
 
 	for (i = 0; file[i] != NULL; i++)
-		good = add_caller(t, file[i]) && good;
+		ok = add_caller(t, file[i]) && ok;
 	g_strfreev(file);
-	return (posts == NULL || add_posts(t, posts)) && good;
+	return (posts == NULL || add_posts(t, posts)) && ok;
 }
 
 static void
@@ -296,15 +296,15 @@
 		    g_str_hash, g_str_equal, g_free, NULL),
 	};
 	SoupSession *session;
-	bool good;
+	bool ok;
 
 	if (!standin_options(argc, argv, options) || name == NULL)
 		return 2;
 	session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
-	good = add_logs(&t, session, engines, add_engine_run);
-	good = add_logs(&t, session, services, add_service_run) && good;
-	good = add_callers(&t, callers, posts) && good;
-	if (good)
+	ok = add_logs(&t, session, engines, add_engine_run);
+	ok = add_logs(&t, session, services, add_service_run) && ok;
+	ok = add_callers(&t, callers, posts) && ok;
+	if (ok)
 		print_line(&t, name, retries, more);
 	else
 		printf("requests case=%s failed (not all could be counted)\n",
@@ -312,7 +312,7 @@
 	g_object_unref(session);
 	g_hash_table_unref(t.runs);
 	g_hash_table_unref(t.posts);
-	return good && t.wrong_verdict == 0 && t.twice == 0 &&
+	return ok && t.wrong_verdict == 0 && t.twice == 0 &&
 		t.mixed + t.engines_mixed == 0
 	    ? 0
 	    : 1;
--- a/tests/standin/truth.c
+++ b/tests/standin/truth.c
@@ -169,7 +169,7 @@
 	char **urls;
 	int64_t answered, offered, cut, mixed, without_run;
 	double copies;
-	bool good = true;
+	bool ok = true;
 	size_t i;
 
 	if (!standin_options(argc, argv, options))
@@ -183,7 +183,7 @@
 	session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
 	urls = g_strsplit(engines, ",", 0);
 	for (i = 0; urls[i] != NULL; i++)
-		good = add_engine(&t, session, urls[i], digest) && good;
+		ok = add_engine(&t, session, urls[i], digest) && ok;
 	copies = origin_copies(session, origin, name, bytes);
 	c = json_node_get_object(json_parser_get_root(parser));
 	answered = member_int(c, "answered", 0);
@@ -192,18 +192,18 @@
 	mixed =
 	    t.mixed + member_int(c, "mixed", 0) + member_int(c, "swapped", 0);
 	without_run = count_without_run(&t, c);
-	good = good && t.loaded == t.engines && answered == offered &&
+	ok = ok && t.loaded == t.engines && answered == offered &&
 	    offered > 0 && cut == 0 && mixed == 0 && t.twice == 0 &&
 	    without_run == 0 && copies > 0;
 	printf("demo: %s replicas=%u/%u seconds=%s origin_copies=%.2f "
 	       "answered=%" G_GINT64_FORMAT "/%" G_GINT64_FORMAT
 	       " cut=%" G_GINT64_FORMAT " mixed=%" G_GINT64_FORMAT
 	       " twice=%" G_GINT64_FORMAT "\n",
-	    good ? "ok" : "failed", t.loaded, t.engines, seconds, copies,
+	    ok ? "ok" : "failed", t.loaded, t.engines, seconds, copies,
 	    answered, offered, cut, mixed, t.twice);
 	g_strfreev(urls);
 	g_object_unref(session);
 	g_object_unref(parser);
 	g_hash_table_unref(t.done_runs);
-	return good ? 0 : 1;
+	return ok ? 0 : 1;
 }
