--- a/tests/standin/caller.c
+++ b/tests/standin/caller.c
@@ -1,6 +1,6 @@
 /*
- * The load generator: sends requests by a schedule that does not wait for
- * answers, checks every answer, and writes one summary.
+ * Open-loop load generator: sends requests on a schedule that does not wait
+ * for answers, checks every answer, and writes one summary.
  */
 
 #include <glib-unix.h>
@@ -10,13 +10,13 @@
 
 #include "standin/caller.h"
 
-#define GIVE_UP_S 10 /* for requests still open when sending is over */
+#define GIVE_UP_S 10 /* wait for open requests after the last is sent */
 #define READ_BYTES 16384
 #define PERMILLE 1000
 
 struct caller_options {
 	char *entries, *model, *token, *out;
-	double rate, seconds; /* 0 seconds: until SIGTERM */
+	double rate, seconds; /* seconds == 0: until SIGTERM */
 	int streams_permille, max_tokens;
 	int prompts, prompt_bytes;
 	int key_permille, deadline_ms, priority;
@@ -25,18 +25,18 @@
 };
 
 /*
- * A session of its own for each open request: libsoup walks over all requests
- * of a session for each that starts or ends, and with a thousand open ones
- * the caller would do nothing else. An idle one keeps its connection.
+ * Each open request has its own session: libsoup iterates over all requests of
+ * a session whenever one starts or ends, which takes all of the CPU time with
+ * a thousand open requests. An idle session keeps its connection open.
  */
 struct channel {
-	SLIST_ENTRY(channel) entry; /* of `idle` */
+	SLIST_ENTRY(channel) entry; /* in `idle` */
 	SLIST_ENTRY(channel) all;
 	SoupSession *session;
 };
 SLIST_HEAD(channel_list, channel);
 
-struct entry {
+struct gateway {
 	GUri *uri;
 	struct channel_list idle;
 	struct channel_list channels;
@@ -45,16 +45,16 @@
 struct caller {
 	const struct caller_options *options;
 	GMainLoop *loop;
-	struct entry *entries;
-	size_t nentries;
-	size_t turn;
+	struct gateway *gateways;
+	size_t ngateways;
+	size_t next_gateway;
 	struct rng rng;
-	uint32_t name; /* of this caller, in its idempotency keys */
+	uint32_t name; /* random, makes the idempotency keys unique */
 	struct stats stats;
 	GSource *sender;
 	int64_t start_us;
-	int64_t due_us; /* of the next request */
-	int64_t end_us; /* of sending; INT64_MAX: on a signal only */
+	int64_t due_us; /* due time of the next request */
+	int64_t end_us; /* when to stop sending; INT64_MAX: on a signal */
 	int64_t stopped_us;
 	int64_t open;
 	bool stopping;
@@ -64,11 +64,11 @@
 
 struct call {
 	struct caller *caller;
-	struct entry *entry;
+	struct gateway *gateway;
 	struct channel *channel;
 	SoupMessage *msg;
 	GInputStream *body;
-	GString *text; /* of an answer that is no stream */
+	GString *text; /* body of an answer that is not a stream */
 	bool stream;
 	bool refused;
 	struct check check;
@@ -77,7 +77,7 @@
 };
 
 /* ------------------------------------------------------------------ */
-/* The end of a call                                                   */
+/* Completion of a call                                                */
 /* ------------------------------------------------------------------ */
 
 static const char *
@@ -97,7 +97,7 @@
 	if (call->text != NULL)
 		g_string_free(call->text, TRUE);
 	g_object_unref(call->msg);
-	SLIST_INSERT_HEAD(&call->entry->idle, call->channel, entry);
+	SLIST_INSERT_HEAD(&call->gateway->idle, call->channel, entry);
 	g_free(call);
 	c->open--;
 	if (c->stopping && c->open == 0)
@@ -108,20 +108,21 @@
 call_end(struct call *call, enum outcome outcome)
 {
 	struct caller *c = call->caller;
-	const struct stats_end end = {
+	const struct stats_result result = {
 		.outcome = c->gave_up ? OUTCOME_UNFINISHED : outcome,
 		.check = &call->check,
-		.named = header_of(call, "X-Request-Id") != NULL,
+		.has_id = header_of(call, "X-Request-Id") != NULL,
 		.verdict = header_of(call, "X-Verdict"),
 		.attempts = header_of(call, "X-Attempts"),
 		.took_us = g_get_monotonic_time() - call->due_us,
 	};
 
-	stats_add(&c->stats, &end);
+	stats_add(&c->stats, &result);
 	call_free(call);
 }
 
-/* `STATUS CODE VERDICT`, from the error object where there is one. */
+/* Counts the refusal as `STATUS CODE VERDICT`; the code is taken from the
+ * error object in the body, if there is one. */
 static void
 count_refusal(struct call *call)
 {
@@ -165,7 +166,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-time_tokens(struct call *call, size_t n)
+record_token_latency(struct call *call, size_t n)
 {
 	struct stats *stats = &call->caller->stats;
 	int64_t now = g_get_monotonic_time();
@@ -181,13 +182,14 @@
 }
 
 static void
-take_bytes(struct call *call, GBytes *bytes)
+consume_bytes(struct call *call, GBytes *bytes)
 {
 	size_t len;
 	const char *data = g_bytes_get_data(bytes, &len);
 
 	if (call->stream)
-		time_tokens(call, check_stream(&call->check, data, len));
+		record_token_latency(
+		    call, check_stream(&call->check, data, len));
 	else
 		g_string_append_len(call->text, data, (gssize)len);
 }
@@ -204,7 +206,8 @@
 	if (bytes == NULL) {
 		stats_error(&call->caller->stats, error->message);
 		g_error_free(error);
-		/* What came may show worse than that it broke off. */
+		/* The part received may show a worse fault than
+		 * OUTCOME_CUT. */
 		body_ended(call);
 		return;
 	}
@@ -213,7 +216,7 @@
 		body_ended(call);
 		return;
 	}
-	take_bytes(call, bytes);
+	consume_bytes(call, bytes);
 	g_bytes_unref(bytes);
 	g_input_stream_read_bytes_async(call->body, READ_BYTES,
 	    G_PRIORITY_DEFAULT, call->caller->cancel, on_read, call);
@@ -270,7 +273,8 @@
 	    "{\"model\":\"%s\",\"stream\":%s,\"max_tokens\":%d,"
 	    "\"messages\":[{\"role\":\"user\",\"content\":\"",
 	    o->model, stream ? "true" : "false", o->max_tokens);
-	/* The number comes first, where a prefix is told apart. */
+	/* The prompt number comes first, so that each prompt has its own
+	 * prefix in the prefix cache. */
 	start = text->len;
 	g_string_append_printf(text,
 	    "Prompt %" G_GUINT64_FORMAT " of caller seed %lld. ",
@@ -311,12 +315,12 @@
 }
 
 static struct channel *
-channel_take(struct entry *e)
+channel_take(struct gateway *gateway)
 {
-	struct channel *ch = SLIST_FIRST(&e->idle);
+	struct channel *ch = SLIST_FIRST(&gateway->idle);
 
 	if (ch != NULL) {
-		SLIST_REMOVE_HEAD(&e->idle, entry);
+		SLIST_REMOVE_HEAD(&gateway->idle, entry);
 		return ch;
 	}
 	ch = g_new0(struct channel, 1);
@@ -324,26 +328,28 @@
 	soup_session_set_proxy_resolver(ch->session, NULL);
 	soup_session_remove_feature_by_type(
 	    ch->session, SOUP_TYPE_CONTENT_DECODER);
-	SLIST_INSERT_HEAD(&e->channels, ch, all);
+	SLIST_INSERT_HEAD(&gateway->channels, ch, all);
 	return ch;
 }
 
-/* Latency counts from when the request was due, so that a caller that falls
- * behind does not hide what its requests waited. */
+/* Latency is measured from the due time of the request, so that it includes
+ * the delay of a load generator that falls behind its schedule. */
 static void
-send_one(struct caller *c)
+send_request(struct caller *c)
 {
-	struct entry *entry = &c->entries[c->turn++ % c->nentries];
+	struct gateway *gateway =
+	    &c->gateways[c->next_gateway++ % c->ngateways];
 	struct call *call = g_new0(struct call, 1);
 	GBytes *body = request_body(c);
 
 	call->caller = c;
-	call->entry = entry;
-	call->channel = channel_take(entry);
+	call->gateway = gateway;
+	call->channel = channel_take(gateway);
 	call->due_us = c->due_us;
-	call->msg = soup_message_new_from_uri("POST", entry->uri);
-	/* libsoup opens a connection for each POST, unless told that it may
-	 * send the request again should a kept connection turn out closed. */
+	call->msg = soup_message_new_from_uri("POST", gateway->uri);
+	/* libsoup opens a new connection for each POST unless the message is
+	 * flagged as idempotent, which lets libsoup send it again if a reused
+	 * connection turns out to be closed. */
 	if (c->options->reuse)
 		soup_message_add_flags(call->msg, SOUP_MESSAGE_IDEMPOTENT);
 	add_headers(c, call->msg);
@@ -380,7 +386,7 @@
 		g_timeout_add_seconds(GIVE_UP_S, on_give_up, c);
 }
 
-/* Exponential gaps: callers that do not know of one another. */
+/* Exponentially distributed gaps, as between independent callers. */
 static int64_t
 next_gap_us(struct caller *c)
 {
@@ -396,7 +402,7 @@
 	int64_t now = g_get_monotonic_time();
 
 	while (c->due_us <= now && c->due_us < c->end_us) {
-		send_one(c);
+		send_request(c);
 		c->due_us += next_gap_us(c);
 	}
 	g_source_set_ready_time(c->sender, MIN(c->due_us, c->end_us));
@@ -413,7 +419,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static gboolean
@@ -425,43 +431,43 @@
 static GSourceFuncs sender_funcs = { .dispatch = dispatch_sender };
 
 static bool
-open_entries(struct caller *c)
+open_gateways(struct caller *c)
 {
 	char **urls = g_strsplit(c->options->entries, ",", -1);
-	bool good = true;
+	bool ok = true;
 	size_t i;
 
-	c->nentries = g_strv_length(urls);
-	c->entries = g_new0(struct entry, c->nentries);
-	for (i = 0; i < c->nentries; i++) {
+	c->ngateways = g_strv_length(urls);
+	c->gateways = g_new0(struct gateway, c->ngateways);
+	for (i = 0; i < c->ngateways; i++) {
 		char *url = g_strconcat(urls[i], "/v1/chat/completions", NULL);
-		struct entry *e = &c->entries[i];
+		struct gateway *gateway = &c->gateways[i];
 
-		e->uri = g_uri_parse(url, SOUP_HTTP_URI_FLAGS, NULL);
-		good = good && e->uri != NULL;
+		gateway->uri = g_uri_parse(url, SOUP_HTTP_URI_FLAGS, NULL);
+		ok = ok && gateway->uri != NULL;
 		g_free(url);
 	}
 	g_strfreev(urls);
-	return good && c->nentries > 0;
+	return ok && c->ngateways > 0;
 }
 
 static void
-close_entries(struct caller *c)
+close_gateways(struct caller *c)
 {
 	struct channel *ch;
 	size_t i;
 
-	for (i = 0; i < c->nentries; i++) {
-		while ((ch = SLIST_FIRST(&c->entries[i].channels)) != NULL) {
-			SLIST_REMOVE_HEAD(&c->entries[i].channels, all);
+	for (i = 0; i < c->ngateways; i++) {
+		while ((ch = SLIST_FIRST(&c->gateways[i].channels)) != NULL) {
+			SLIST_REMOVE_HEAD(&c->gateways[i].channels, all);
 			soup_session_abort(ch->session);
 			g_object_unref(ch->session);
 			g_free(ch);
 		}
-		if (c->entries[i].uri != NULL)
-			g_uri_unref(c->entries[i].uri);
+		if (c->gateways[i].uri != NULL)
+			g_uri_unref(c->gateways[i].uri);
 	}
-	g_free(c->entries);
+	g_free(c->gateways);
 }
 
 static bool
@@ -515,13 +521,13 @@
 	stats_init(&c.stats, options->list != 0);
 	c.loop = g_main_loop_new(NULL, FALSE);
 	c.cancel = g_cancellable_new();
-	if (open_entries(&c)) {
+	if (open_gateways(&c)) {
 		run_schedule(&c);
 		status = write_summary(&c) ? 0 : 1;
 	} else {
 		fprintf(stderr, "standin: bad --entries\n");
 	}
-	close_entries(&c);
+	close_gateways(&c);
 	stats_clear(&c.stats);
 	g_object_unref(c.cancel);
 	g_main_loop_unref(c.loop);
@@ -529,7 +535,7 @@
 }
 
 static bool
-options_are_good(const struct caller_options *o)
+options_valid(const struct caller_options *o)
 {
 	if (o->entries != NULL && o->model != NULL && o->rate > 0 &&
 	    o->max_tokens > 0 && o->prompts > 0 && o->prompt_bytes >= 0)
@@ -552,42 +558,42 @@
 	int status = 2;
 	const struct poptOption table[] = {
 		{ "entries", 0, POPT_ARG_STRING, &o.entries, 0,
-		    "entries, asked in turn", "URL[,URL...]" },
-		{ "model", 0, POPT_ARG_STRING, &o.model, 0, "model asked for",
+		    "gateways, used in rotation", "URL[,URL...]" },
+		{ "model", 0, POPT_ARG_STRING, &o.model, 0, "requested model",
 		    "TEAM/MODEL" },
 		{ "token", 0, POPT_ARG_STRING, &o.token, 0, "caller's token",
 		    "T" },
 		{ "rate", 0, POPT_ARG_DOUBLE, &o.rate, 0,
-		    "requests a second (10)", "R" },
+		    "requests per second (10)", "R" },
 		{ "seconds", 0, POPT_ARG_DOUBLE, &o.seconds, 0,
-		    "how long to send; 0 until SIGTERM", "S" },
+		    "duration of sending; 0 until SIGTERM", "S" },
 		{ "streams-permille", 0, POPT_ARG_INT, &o.streams_permille, 0,
-		    "how many of 1000 are streams (0)", "N" },
+		    "streams per 1000 requests (0)", "N" },
 		{ "max-tokens", 0, POPT_ARG_INT, &o.max_tokens, 0,
-		    "tokens of an answer (16)", "N" },
+		    "tokens per answer (16)", "N" },
 		{ "prompts", 0, POPT_ARG_INT, &o.prompts, 0,
 		    "distinct prompts (1)", "N" },
 		{ "prompt-bytes", 0, POPT_ARG_INT, &o.prompt_bytes, 0,
-		    "least length of a prompt (64)", "B" },
+		    "minimum length of a prompt (64)", "B" },
 		{ "idempotency-key-permille", 0, POPT_ARG_INT, &o.key_permille,
-		    0, "how many of 1000 carry a key of their own (0)", "N" },
+		    0, "requests with a unique key per 1000 (0)", "N" },
 		{ "deadline-ms", 0, POPT_ARG_INT, &o.deadline_ms, 0,
 		    "X-Deadline-Ms; 0 sends none", "MS" },
 		{ "priority", 0, POPT_ARG_INT, &o.priority, 0,
 		    "X-Priority; -1 sends none", "N" },
 		{ "seed", 0, POPT_ARG_LONGLONG, &o.seed, 0,
-		    "of the schedule and the choices (1)", "N" },
+		    "seed of the schedule and the random choices (1)", "N" },
 		{ "out", 0, POPT_ARG_STRING, &o.out, 0,
-		    "file of the summary; standard output without", "FILE" },
+		    "file for the summary (default: standard output)", "FILE" },
 		{ "list", 0, POPT_ARG_NONE, &o.list, 0,
 		    "list every request in the summary", NULL },
 		{ "reuse-connections", 0, POPT_ARG_NONE, &o.reuse, 0,
-		    "keep connections; libsoup may then resend a request",
+		    "reuse connections; libsoup may then resend a request",
 		    NULL },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 
-	if (standin_options(argc, argv, table) && options_are_good(&o))
+	if (standin_options(argc, argv, table) && options_valid(&o))
 		status = caller_run(&o);
 	free(o.entries);
 	free(o.model);
--- a/tests/standin/engine_answer.c
+++ b/tests/standin/engine_answer.c
@@ -1,4 +1,4 @@
-/* What a run at the engine reads from its request and writes as its answer. */
+/* Parsing of chat requests and writing of their answers. */
 
 #include <string.h>
 
@@ -6,7 +6,7 @@
 
 #define MAX_TOKENS_DEFAULT 16
 #define PRIORITY_DEFAULT 5
-/* In JSON and in the text of a token an id stands as it is. */
+/* Request ids are copied unescaped into JSON and into the text of tokens. */
 #define ID_CHARS                                                         \
 	"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789" \
 	"-_.@/"
@@ -50,7 +50,7 @@
 
 	if (id == NULL) {
 		return g_strdup_printf(
-		    "unnamed-%" G_GUINT64_FORMAT, (guint64)++b->names);
+		    "unnamed-%" G_GUINT64_FORMAT, (guint64)++b->generated_ids);
 	}
 	if (*id == '\0' || id[strspn(id, ID_CHARS)] != '\0')
 		return NULL;
@@ -61,7 +61,7 @@
 run_parse(struct batch *b, SoupServerMessage *msg)
 {
 	JsonObject *body = body_object(msg);
-	const char *expect = soup_message_headers_get_one(
+	const char *expected_digest = soup_message_headers_get_one(
 	    soup_server_message_get_request_headers(msg), "X-Expect-Digest");
 	struct run *run;
 
@@ -74,8 +74,9 @@
 	run->priority = header_int(msg, "X-Priority", PRIORITY_DEFAULT);
 	run->stream = member_bool(body, "stream", false);
 	run->max_tokens = member_int(body, "max_tokens", MAX_TOKENS_DEFAULT);
-	if (expect != NULL)
-		g_strlcpy(run->expect, expect, sizeof(run->expect));
+	if (expected_digest != NULL)
+		g_strlcpy(run->expected_digest, expected_digest,
+		    sizeof(run->expected_digest));
 	read_prompt(run, body);
 	json_object_unref(body);
 	if (run->id == NULL || run->max_tokens < 1) {
@@ -89,7 +90,7 @@
 void
 run_free(struct run *run)
 {
-	held_free(run->held);
+	deferred_free(run->deferred);
 	g_free(run->id);
 	g_free(run);
 }
@@ -101,18 +102,18 @@
 void
 run_refuse(struct run *run, unsigned int status, const char *why)
 {
-	if (run->held == NULL)
+	if (run->deferred == NULL)
 		return;
-	reply_not_run(held_msg(run->held), status, why);
-	held_write(run->held);
-	held_free(run->held);
-	run->held = NULL;
+	reply_not_run(deferred_msg(run->deferred), status, why);
+	deferred_write(run->deferred);
+	deferred_free(run->deferred);
+	run->deferred = NULL;
 }
 
 void
 run_send_head(struct run *run)
 {
-	SoupServerMessage *msg = held_msg(run->held);
+	SoupServerMessage *msg = deferred_msg(run->deferred);
 	SoupMessageHeaders *out = soup_server_message_get_response_headers(msg);
 
 	soup_message_headers_replace(out, "X-Model-Digest", run->digest);
@@ -123,7 +124,7 @@
 	soup_message_headers_set_encoding(out, SOUP_ENCODING_CHUNKED);
 	soup_message_body_set_accumulate(
 	    soup_server_message_get_response_body(msg), FALSE);
-	held_write(run->held);
+	deferred_write(run->deferred);
 }
 
 static void
@@ -157,13 +158,13 @@
 	append_text(body, event);
 }
 
-/* A cancelled stream ends without `[DONE]`, so that it is not taken for a
- * whole one. */
+/* A cancelled stream ends without `[DONE]`, so that the client does not treat
+ * it as complete. */
 static void
 send_events(struct run *run)
 {
 	SoupMessageBody *body =
-	    soup_server_message_get_response_body(held_msg(run->held));
+	    soup_server_message_get_response_body(deferred_msg(run->deferred));
 
 	for (; run->sent < run->tokens; run->sent++)
 		send_event(body, run, run->sent);
@@ -171,20 +172,20 @@
 		append_text(body, g_string_new("data: [DONE]\n\n"));
 	if (run->state != RUN_RUNNING)
 		soup_message_body_complete(body);
-	held_write(run->held);
+	deferred_write(run->deferred);
 }
 
 static void
-send_whole(struct run *run)
+send_complete(struct run *run)
 {
-	SoupServerMessage *msg = held_msg(run->held);
+	SoupServerMessage *msg = deferred_msg(run->deferred);
 	GString *text = g_string_new(NULL);
 	int64_t i;
 
 	if (run->state == RUN_CANCELLED) {
 		reply_error(msg, 503, "cancelled");
 		g_string_free(text, TRUE);
-		held_write(run->held);
+		deferred_write(run->deferred);
 		return;
 	}
 	g_string_append_printf(text,
@@ -203,20 +204,20 @@
 	    soup_server_message_get_response_headers(msg), "application/json",
 	    NULL);
 	append_text(soup_server_message_get_response_body(msg), text);
-	held_write(run->held);
+	deferred_write(run->deferred);
 }
 
 void
 run_send(struct run *run)
 {
-	if (run->held == NULL)
+	if (run->deferred == NULL)
 		return;
 	if (run->stream)
 		send_events(run);
 	else if (run->state != RUN_RUNNING)
-		send_whole(run);
+		send_complete(run);
 	if (run->state != RUN_RUNNING) {
-		held_free(run->held);
-		run->held = NULL;
+		deferred_free(run->deferred);
+		run->deferred = NULL;
 	}
 }
--- a/tests/standin/engine_cache.c
+++ b/tests/standin/engine_cache.c
@@ -1,10 +1,10 @@
-/* The engine's prefix cache and what it tells about it, late and with gaps. */
+/* The engine's prefix cache and its cache events, delayed and with gaps. */
 
 #include <stdio.h>
 
 #include "standin/engine.h"
 
-#define EVENTS_KEPT 4096
+#define EVENTS_MAX 4096
 
 struct prefix {
 	TAILQ_ENTRY(prefix) entry;
@@ -28,7 +28,7 @@
 	int64_t tokens;
 	int64_t hits, misses;
 	GHashTable *by_hash; /* &prefix->hash -> struct prefix * */
-	struct prefix_list prefixes; /* the longest unused first */
+	struct prefix_list prefixes; /* least recently used first */
 	int64_t event_lag_ms;
 	int event_gap;
 	uint64_t seq;
@@ -61,7 +61,8 @@
 	c->nevents--;
 }
 
-/* A missing event uses up its number, so that the gap can be seen. */
+/* An omitted event consumes its sequence number, so that the client can detect
+ * the gap. */
 static void
 add_event(struct cache *c, uint64_t hash, bool present)
 {
@@ -76,7 +77,7 @@
 	e->at_ms = clk_now_ms(c->clock);
 	e->present = present;
 	STAILQ_INSERT_TAIL(&c->events, e, entry);
-	if (++c->nevents > EVENTS_KEPT)
+	if (++c->nevents > EVENTS_MAX)
 		drop_event(c);
 }
 
@@ -112,7 +113,7 @@
 }
 
 bool
-cache_use(struct cache *c, uint64_t hash)
+cache_lookup(struct cache *c, uint64_t hash)
 {
 	struct prefix *p = g_hash_table_lookup(c->by_hash, &hash);
 
--- a/tests/standin/engine_load.c
+++ b/tests/standin/engine_load.c
@@ -1,7 +1,7 @@
 /*
- * The engine's load orders, one at a time: fetches the list of chunk digests
- * and the bytes from the side process, hashes them as they come, and swaps
- * what is loaded once the root digest is right.
+ * The engine's load orders, executed one at a time: fetches the list of chunk
+ * digests and the bytes from the sidecar, hashes the bytes as they arrive, and
+ * replaces the loaded weights once the root digest matches.
  */
 
 #include <string.h>
@@ -9,9 +9,10 @@
 #include "standin/engine.h"
 
 #define READ_BYTES (256u << 10)
-#define STALL_S 30 /* of the source, in seconds, before a load fails */
+#define STALL_TIMEOUT_S \
+	30 /* a load fails after the source stalls for this long */
 
-struct load_entry { /* of the log */
+struct load_entry { /* one order in the log */
 	STAILQ_ENTRY(load_entry) entry;
 	char *order_id;
 	char *digest;
@@ -23,18 +24,18 @@
 struct order {
 	STAILQ_ENTRY(order) entry;
 	struct loader *loader;
-	struct held *held; /* NULL: who ordered went away */
+	struct deferred *deferred; /* NULL: the client disconnected */
 	struct load_entry *logged;
 	struct weights weights;
 	int64_t bytes;
 	int64_t chunk_bytes;
 	char *chunks_url;
 	char *source;
-	GBytes *chunks; /* the list, 32 bytes each */
+	GBytes *chunks; /* chunk digests, 32 bytes each */
 	GInputStream *stream;
 	struct digest_stream *root;
 	struct digest_stream *chunk;
-	int64_t chunk_left; /* bytes until the chunk's end */
+	int64_t chunk_left; /* bytes left in the current chunk */
 	int64_t done; /* bytes read */
 	bool hung;
 };
@@ -43,10 +44,10 @@
 struct loader {
 	bool check_fence;
 	struct weights *loaded;
-	int64_t fence_seen;
+	int64_t highest_fence;
 	SoupSession *session;
 	GCancellable *cancel;
-	struct order_list orders; /* the first is being carried out */
+	struct order_list orders; /* the first is being executed */
 	struct load_log log;
 	int64_t load_fail, load_hang;
 };
@@ -60,7 +61,7 @@
 static void
 order_free(struct order *o)
 {
-	held_free(o->held);
+	deferred_free(o->deferred);
 	if (o->chunks != NULL)
 		g_bytes_unref(o->chunks);
 	g_clear_object(&o->stream);
@@ -87,14 +88,14 @@
 {
 	JsonBuilder *b = json_begin();
 
-	put_int(b, "fence", l->fence_seen);
+	put_int(b, "fence", l->highest_fence);
 	reply_json(msg, 409, b);
 }
 
 static bool
 is_stale(struct loader *l, int64_t fence)
 {
-	return l->check_fence && fence < l->fence_seen;
+	return l->check_fence && fence < l->highest_fence;
 }
 
 static void
@@ -110,15 +111,15 @@
 static void
 order_fail(struct order *o, const char *why)
 {
-	if (o->held != NULL) {
-		reply_error(held_msg(o->held), 502, why);
-		held_write(o->held);
+	if (o->deferred != NULL) {
+		reply_error(deferred_msg(o->deferred), 502, why);
+		deferred_write(o->deferred);
 	}
 	next_order(o->loader);
 }
 
 static void
-put_in_force(struct weights *loaded, const struct weights *fresh)
+replace_weights(struct weights *loaded, const struct weights *fresh)
 {
 	g_free(loaded->model);
 	g_free(loaded->version);
@@ -127,7 +128,8 @@
 	loaded->version = g_strdup(fresh->version);
 }
 
-/* The fence is checked again: a newer order may have come during the load. */
+/* Checks the fencing number again: an order with a higher one may have arrived
+ * during the load. */
 static void
 order_done(struct order *o)
 {
@@ -135,15 +137,16 @@
 	bool stale = is_stale(l, o->weights.fence);
 
 	if (!stale) {
-		put_in_force(l->loaded, &o->weights);
+		replace_weights(l->loaded, &o->weights);
 		o->logged->accepted = true;
 	}
-	if (o->held != NULL) {
+	if (o->deferred != NULL) {
 		if (stale)
-			answer_stale(l, held_msg(o->held));
+			answer_stale(l, deferred_msg(o->deferred));
 		else
-			answer_digest(held_msg(o->held), o->weights.digest);
-		held_write(o->held);
+			answer_digest(
+			    deferred_msg(o->deferred), o->weights.digest);
+		deferred_write(o->deferred);
 	}
 	next_order(l);
 }
@@ -155,7 +158,7 @@
 static void read_more(struct order *o);
 
 static bool
-chunk_ended(struct order *o)
+verify_chunk(struct order *o)
 {
 	const uint8_t *list = g_bytes_get_data(o->chunks, NULL);
 	int64_t index = (o->done - 1) / o->chunk_bytes;
@@ -169,9 +172,10 @@
 		   DIGEST_BYTES) == 0;
 }
 
-/* False when the bytes are too many or a chunk is not what the list says. */
+/* False if the source sends too many bytes or a chunk does not match its
+ * digest in the list. */
 static bool
-take_bytes(struct order *o, const uint8_t *data, size_t len)
+hash_bytes(struct order *o, const uint8_t *data, size_t len)
 {
 	size_t n;
 
@@ -184,7 +188,7 @@
 		len -= n;
 		o->done += (int64_t)n;
 		o->chunk_left -= (int64_t)n;
-		if (o->chunk_left == 0 && !chunk_ended(o))
+		if (o->chunk_left == 0 && !verify_chunk(o))
 			return false;
 	}
 	return true;
@@ -217,7 +221,7 @@
 	GBytes *bytes;
 	size_t len;
 	const uint8_t *data;
-	bool good;
+	bool ok;
 
 	bytes = g_input_stream_read_bytes_finish(
 	    G_INPUT_STREAM(stream), result, &error);
@@ -231,9 +235,9 @@
 		return;
 	}
 	data = g_bytes_get_data(bytes, &len);
-	good = take_bytes(o, data, len);
+	ok = hash_bytes(o, data, len);
 	g_bytes_unref(bytes);
-	if (!good)
+	if (!ok)
 		order_fail(o, "the bytes do not match");
 	else if (len == 0)
 		source_ended(o);
@@ -288,16 +292,16 @@
 	read_more(o);
 }
 
-/* Starts a GET; false when the URL is no good. */
+/* Starts a GET; false if the URL is invalid. */
 static bool
-fetch(struct order *o, const char *url, bool whole, GAsyncReadyCallback done)
+fetch(struct order *o, const char *url, bool read_all, GAsyncReadyCallback done)
 {
 	SoupMessage *msg = soup_message_new("GET", url);
 	struct loader *l = o->loader;
 
 	if (msg == NULL)
 		return false;
-	if (whole) {
+	if (read_all) {
 		soup_session_send_and_read_async(
 		    l->session, msg, G_PRIORITY_DEFAULT, l->cancel, done, o);
 	} else {
@@ -309,7 +313,7 @@
 }
 
 static bool
-list_fits(const struct order *o)
+chunk_list_size_ok(const struct order *o)
 {
 	int64_t n = (o->bytes + o->chunk_bytes - 1) / o->chunk_bytes;
 
@@ -331,7 +335,7 @@
 	}
 	g_clear_error(&error);
 	o->chunks = list;
-	if (list == NULL || !list_fits(o))
+	if (list == NULL || !chunk_list_size_ok(o))
 		order_fail(o, "no list of chunks, or one of another size");
 	else if (!fetch(o, o->source, false, on_source))
 		order_fail(o, "a bad source URL");
@@ -350,8 +354,8 @@
 		order_fail(o, "told to fail");
 	} else if (l->load_hang > 0) {
 		l->load_hang--;
-		o->hung = true; /* until who ordered goes away */
-		if (o->held == NULL)
+		o->hung = true; /* until the client disconnects */
+		if (o->deferred == NULL)
 			next_order(l);
 	} else if (!fetch(o, o->chunks_url, true, on_chunks)) {
 		order_fail(o, "a bad chunks URL");
@@ -366,17 +370,19 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Calls                                                               */
+/* HTTP handlers                                                       */
 /* ------------------------------------------------------------------ */
 
-/* A load goes on without who ordered it, as in an engine of its own mind. */
+/* A load continues after its client has disconnected: an engine may complete
+ * an order that its sender has given up. A load that hangs by an injected
+ * fault ends here. */
 static void
-on_orderer_gone(void *ctx)
+on_order_closed(void *ctx)
 {
 	struct order *o = ctx;
 
-	held_free(o->held);
-	o->held = NULL;
+	deferred_free(o->deferred);
+	o->deferred = NULL;
 	if (o->hung)
 		next_order(o->loader);
 }
@@ -417,7 +423,7 @@
 }
 
 static void
-take_order(struct loader *l, SoupServerMessage *msg, JsonObject *body)
+accept_order(struct loader *l, SoupServerMessage *msg, JsonObject *body)
 {
 	struct load_entry *logged = log_order(l, body);
 	struct order *o;
@@ -431,10 +437,10 @@
 		reply_error(msg, 400, "digest, bytes or chunk_bytes is wrong");
 		return;
 	}
-	l->fence_seen = MAX(l->fence_seen, logged->fence);
+	l->highest_fence = MAX(l->highest_fence, logged->fence);
 	o->loader = l;
 	o->logged = logged;
-	o->held = held_new(msg, on_orderer_gone, o);
+	o->deferred = deferred_new(msg, on_order_closed, o);
 	STAILQ_INSERT_TAIL(&l->orders, o, entry);
 	if (STAILQ_FIRST(&l->orders) == o)
 		start_order(o);
@@ -466,7 +472,7 @@
 	body = body_object(msg);
 	if (body == NULL)
 		return;
-	take_order(l, msg, body);
+	accept_order(l, msg, body);
 	json_object_unref(body);
 }
 
@@ -496,7 +502,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 struct loader *
@@ -506,7 +512,8 @@
 
 	l->check_fence = options->check_fence;
 	l->loaded = loaded;
-	l->session = soup_session_new_with_options("timeout", STALL_S, NULL);
+	l->session =
+	    soup_session_new_with_options("timeout", STALL_TIMEOUT_S, NULL);
 	soup_session_set_proxy_resolver(l->session, NULL);
 	l->cancel = g_cancellable_new();
 	STAILQ_INIT(&l->orders);
--- a/tests/standin/engine_run.c
+++ b/tests/standin/engine_run.c
@@ -1,4 +1,4 @@
-/* The engine's continuous batching: slots, steps, waiting, cancel, resume. */
+/* The engine's continuous batching: slots, steps, queue, cancel, resume. */
 
 #include <string.h>
 
@@ -17,9 +17,10 @@
 	g_free(s);
 }
 
-/* The newest snapshot that is old enough; older ones are let go. */
+/* Returns the newest snapshot that is at least `report_lag_ms` old, or the
+ * oldest if none is; frees the snapshots before it. */
 static const struct snapshot *
-shown_snapshot(struct batch *b)
+reported_snapshot(struct batch *b)
 {
 	int64_t horizon = clk_now_ms(b->clock) - b->report_lag_ms;
 	struct snapshot *first = STAILQ_FIRST(&b->snapshots), *second;
@@ -45,7 +46,7 @@
 	s->cache_tokens = cache_tokens(b->cache);
 	s->step_ms = b->step_ms;
 	STAILQ_INSERT_TAIL(&b->snapshots, s, entry);
-	shown_snapshot(b);
+	reported_snapshot(b);
 }
 
 void
@@ -53,7 +54,7 @@
     GHashTable *query, void *ctx)
 {
 	struct batch *b = ctx;
-	const struct snapshot *s = shown_snapshot(b);
+	const struct snapshot *s = reported_snapshot(b);
 	JsonBuilder *json = json_begin();
 
 	put_int(json, "running", s->running);
@@ -65,7 +66,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Begin and end of runs                                               */
+/* Start and end of runs                                               */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -78,7 +79,7 @@
 	run_free(run);
 }
 
-/* A waiting run leaves no trace in the log: it did not run. */
+/* A waiting run is not logged, because it did not run. */
 static void
 drop_waiting(struct run *run)
 {
@@ -96,25 +97,26 @@
 	b->nrunning--;
 	run->state = state;
 	run->end_ms = clk_wall_us(b->clock) / 1000;
-	/* From here on the run can be resumed for a while. */
-	run->lost_ms = clk_now_ms(b->clock);
+	/* The stream can be resumed for `keep_ms` from now. */
+	run->detached_ms = clk_now_ms(b->clock);
 	run_send(run);
 }
 
 static bool
-digest_fits(const struct batch *b, const struct run *run)
+digest_matches(const struct batch *b, const struct run *run)
 {
-	return run->expect[0] == '\0' ||
-	    strcmp(run->expect, b->loaded->digest) == 0;
+	return run->expected_digest[0] == '\0' ||
+	    strcmp(run->expected_digest, b->loaded->digest) == 0;
 }
 
-/* What is loaded may have changed while the run waited. */
+/* Checks the digest again: the loaded weights may have changed while the run
+ * was waiting. */
 static void
 run_begin(struct run *run)
 {
 	struct batch *b = run->batch;
 
-	if (!digest_fits(b, run)) {
+	if (!digest_matches(b, run)) {
 		run_refuse(run, 409, "another digest is loaded");
 		drop_waiting(run);
 		return;
@@ -127,7 +129,7 @@
 	run->state = RUN_RUNNING;
 	run->start_ms = clk_wall_us(b->clock) / 1000;
 	memcpy(run->digest, b->loaded->digest, sizeof(run->digest));
-	if (!cache_use(b->cache, run->prefix))
+	if (!cache_lookup(b->cache, run->prefix))
 		run->prefill_left = run->prompt_tokens;
 	run_send_head(run);
 }
@@ -150,7 +152,8 @@
 static void
 run_step(struct run *run, int64_t *budget, int64_t now_ms)
 {
-	if (run->held == NULL && now_ms - run->lost_ms >= run->batch->keep_ms) {
+	if (run->deferred == NULL &&
+	    now_ms - run->detached_ms >= run->batch->keep_ms) {
 		run_end(run, RUN_CANCELLED);
 	} else if (run->prefill_left > 0) {
 		prefill(run, budget);
@@ -184,8 +187,8 @@
 	return TAILQ_EMPTY(&b->running) && TAILQ_EMPTY(&b->waiting);
 }
 
-/* The next step counts from the last one's due time, so that the pace holds;
- * steps missed by a late loop are not made up for. */
+/* The next step is scheduled relative to the due time of the last one, so that
+ * the rate does not drift; steps missed by a late main loop are skipped. */
 static void
 schedule(struct batch *b)
 {
@@ -216,17 +219,17 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Calls                                                               */
+/* HTTP handlers                                                       */
 /* ------------------------------------------------------------------ */
 
 static void
-on_run_gone(void *ctx)
+on_run_closed(void *ctx)
 {
 	struct run *run = ctx;
 
-	held_free(run->held);
-	run->held = NULL;
-	run->lost_ms = clk_now_ms(run->batch->clock);
+	deferred_free(run->deferred);
+	run->deferred = NULL;
+	run->detached_ms = clk_now_ms(run->batch->clock);
 	if (run->state == RUN_WAITING)
 		drop_waiting(run);
 }
@@ -251,9 +254,9 @@
 		schedule(b);
 }
 
-/* False after a refusal that had no effect. */
+/* False after refusing the request as not run. */
 static bool
-admit(struct batch *b, SoupServerMessage *msg, const struct run *run)
+admit_run(struct batch *b, SoupServerMessage *msg, const struct run *run)
 {
 	bool full = b->nwaiting >= b->max_queue + b->slots - b->nrunning;
 
@@ -261,7 +264,7 @@
 		reply_not_run(msg, 503, "told to refuse");
 	else if (b->loaded->digest[0] == '\0')
 		reply_not_run(msg, 503, "no model is loaded");
-	else if (!digest_fits(b, run))
+	else if (!digest_matches(b, run))
 		reply_not_run(msg, 409, "another digest is loaded");
 	else if (full)
 		reply_not_run(msg, 503, "the queue is full");
@@ -279,11 +282,11 @@
 
 	if (run == NULL)
 		return;
-	if (!admit(b, msg, run)) {
+	if (!admit_run(b, msg, run)) {
 		run_free(run);
 		return;
 	}
-	run->held = held_new(msg, on_run_gone, run);
+	run->deferred = deferred_new(msg, on_run_closed, run);
 	enqueue(b, run);
 }
 
@@ -303,8 +306,8 @@
 	return 1;
 }
 
-/* With an `attempt`, only that one is cancelled: the cancel of an earlier
- * attempt may come after the next one began. */
+/* If the body has an `attempt`, only that attempt is cancelled: the cancel of
+ * an earlier attempt may arrive after the next one has started. */
 void
 batch_on_cancel(SoupServer *server, SoupServerMessage *msg, const char *path,
     GHashTable *query, void *ctx)
@@ -326,7 +329,7 @@
 	reply_json(msg, 200, json);
 }
 
-/* The engine still has a run that goes on, or that ended a moment ago. */
+/* True for a run that is running, or that was done less than `keep_ms` ago. */
 static bool
 can_resume(const struct batch *b, const struct run *run)
 {
@@ -335,7 +338,7 @@
 	if (run->state == RUN_RUNNING)
 		return true;
 	return run->state == RUN_DONE &&
-	    clk_now_ms(b->clock) - run->lost_ms < b->keep_ms;
+	    clk_now_ms(b->clock) - run->detached_ms < b->keep_ms;
 }
 
 void
@@ -353,10 +356,10 @@
 		reply_error(msg, 404, "no such stream");
 		return;
 	}
-	/* The old connection may hang without having broken. */
-	if (run->held != NULL)
-		held_hang_up(run->held);
-	run->held = held_new(msg, on_run_gone, run);
+	/* The old connection may be stalled without having been closed. */
+	if (run->deferred != NULL)
+		deferred_hang_up(run->deferred);
+	run->deferred = deferred_new(msg, on_run_closed, run);
 	run->stream = true;
 	run->sent = MAX(query_int(query, "from", 0), 0);
 	run_send_head(run);
@@ -373,11 +376,11 @@
 	struct run *run;
 
 	TAILQ_FOREACH (run, &b->running, entry) {
-		if (!run->stream || run->held == NULL)
+		if (!run->stream || run->deferred == NULL)
 			continue;
-		held_hang_up(run->held);
-		run->held = NULL;
-		run->lost_ms = clk_now_ms(b->clock);
+		deferred_hang_up(run->deferred);
+		run->deferred = NULL;
+		run->detached_ms = clk_now_ms(b->clock);
 	}
 }
 
@@ -430,12 +433,12 @@
 		json_builder_end_object(json);
 	}
 	json_builder_end_array(json);
-	/* A run keeps the digest it began with to its end. */
+	/* Always 0: a run keeps the digest it started with until it ends. */
 	put_int(json, "mixed", 0);
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static gboolean
--- a/tests/standin/objects.c
+++ b/tests/standin/objects.c
@@ -6,8 +6,8 @@
 
 #define VALUE_MAX (1u << 20)
 
-/* In the order of their last change, newest last, so that a watch walks over
- * what it has to report only. */
+/* Objects are listed in the order of their last change, newest last, so that a
+ * watch visits only the objects that it has to report. */
 struct object {
 	TAILQ_ENTRY(object) entry;
 	char *key;
@@ -21,18 +21,18 @@
 struct watch {
 	TAILQ_ENTRY(watch) entry;
 	struct objects *api;
-	struct held *held;
+	struct deferred *deferred;
 	char *prefix;
 	uint64_t since;
 	guint timer;
 };
 TAILQ_HEAD(watch_list, watch);
 
-/* An answer held back by the fault `delay_ms`. */
+/* An answer delayed by the injected fault `delay_ms`. */
 struct delayed {
 	TAILQ_ENTRY(delayed) entry;
 	struct objects *api;
-	struct held *held;
+	struct deferred *deferred;
 	guint timer;
 };
 TAILQ_HEAD(delayed_list, delayed);
@@ -44,7 +44,7 @@
 	struct delayed_list delayed;
 	uint64_t revision;
 	int64_t reads, writes, refused, watched, lists;
-	/* Faults. */
+	/* Injected faults. */
 	bool down;
 	int64_t delay_ms;
 	int64_t lose_answers;
@@ -79,7 +79,7 @@
 	TAILQ_REMOVE(&d->api->delayed, d, entry);
 	if (d->timer != 0)
 		g_source_remove(d->timer);
-	held_free(d->held);
+	deferred_free(d->deferred);
 	g_free(d);
 }
 
@@ -89,12 +89,12 @@
 	struct delayed *d = ctx;
 
 	d->timer = 0;
-	held_write(d->held);
+	deferred_write(d->deferred);
 	delayed_free(d);
 	return G_SOURCE_REMOVE;
 }
 
-/* The call has had its effect by now; only its answer comes late. */
+/* Delays the answer only: the request has already taken effect. */
 static void
 delay_answer(struct objects *api, SoupServerMessage *msg)
 {
@@ -104,7 +104,7 @@
 		return;
 	d = g_new0(struct delayed, 1);
 	d->api = api;
-	d->held = held_new(msg, NULL, NULL);
+	d->deferred = deferred_new(msg, NULL, NULL);
 	d->timer = g_timeout_add((guint)api->delay_ms, on_delay_over, d);
 	TAILQ_INSERT_TAIL(&api->delayed, d, entry);
 }
@@ -124,7 +124,7 @@
 	json_builder_end_object(b);
 }
 
-/* The oldest object changed after `since`; NULL when there is none. */
+/* Returns the first object changed after revision `since`, or NULL. */
 static struct object *
 first_after(struct objects *api, uint64_t since)
 {
@@ -162,7 +162,7 @@
 	TAILQ_REMOVE(&w->api->watches, w, entry);
 	if (w->timer != 0)
 		g_source_remove(w->timer);
-	held_free(w->held);
+	deferred_free(w->deferred);
 	g_free(w->prefix);
 	g_free(w);
 }
@@ -170,13 +170,13 @@
 static void
 watch_answer(struct watch *w)
 {
-	answer_changes(w->api, held_msg(w->held), w->prefix, w->since);
-	held_write(w->held);
+	answer_changes(w->api, deferred_msg(w->deferred), w->prefix, w->since);
+	deferred_write(w->deferred);
 	watch_free(w);
 }
 
 static gboolean
-on_watch_over(void *ctx)
+on_watch_timeout(void *ctx)
 {
 	struct watch *w = ctx;
 
@@ -186,13 +186,13 @@
 }
 
 static void
-on_watcher_gone(void *ctx)
+on_watch_closed(void *ctx)
 {
 	watch_free(ctx);
 }
 
 static bool
-anything_after(struct objects *api, const char *prefix, uint64_t since)
+has_change_after(struct objects *api, const char *prefix, uint64_t since)
 {
 	struct object *o = first_after(api, since);
 
@@ -215,15 +215,15 @@
 	}
 }
 
-/* An outage ends waiting watches too. */
+/* Answers all waiting watches with 503 when an outage starts. */
 static void
 refuse_watches(struct objects *api)
 {
 	struct watch *w;
 
 	while ((w = TAILQ_FIRST(&api->watches)) != NULL) {
-		refuse(api, held_msg(w->held), 503, "down");
-		held_write(w->held);
+		refuse(api, deferred_msg(w->deferred), 503, "down");
+		deferred_write(w->deferred);
 		watch_free(w);
 	}
 }
@@ -244,7 +244,7 @@
 		refuse(api, msg, 503, "down");
 		return;
 	}
-	if (wait_ms <= 0 || anything_after(api, prefix, since)) {
+	if (wait_ms <= 0 || has_change_after(api, prefix, since)) {
 		answer_changes(api, msg, prefix, since);
 		delay_answer(api, msg);
 		return;
@@ -253,8 +253,8 @@
 	w->api = api;
 	w->prefix = g_strdup(prefix);
 	w->since = since;
-	w->held = held_new(msg, on_watcher_gone, w);
-	w->timer = g_timeout_add((guint)wait_ms, on_watch_over, w);
+	w->deferred = deferred_new(msg, on_watch_closed, w);
+	w->timer = g_timeout_add((guint)wait_ms, on_watch_timeout, w);
 	TAILQ_INSERT_TAIL(&api->watches, w, entry);
 }
 
@@ -349,7 +349,7 @@
 }
 
 static void
-put_call(struct objects *api, SoupServerMessage *msg, const char *key)
+handle_put(struct objects *api, SoupServerMessage *msg, const char *key)
 {
 	JsonObject *body;
 
@@ -375,7 +375,7 @@
 	if (!g_str_has_prefix(path, "/v1/objects/") || *key == '\0') {
 		reply_error(msg, 404, "no key");
 	} else if (is_method(msg, "PUT")) {
-		put_call(api, msg, key);
+		handle_put(api, msg, key);
 	} else if (!is_method(msg, "GET")) {
 		reply_error(msg, 405, "GET or PUT");
 	} else {
@@ -485,7 +485,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static void
--- a/tests/standin/origin.c
+++ b/tests/standin/origin.c
@@ -1,12 +1,13 @@
-/* The origin of weights: files below a folder, paced over all connections. */
+/* The origin of weights: serves the files below a directory, with one rate
+ * limit for all connections. */
 
 #include <string.h>
 
 #include "standin/standin.h"
 
-/* Small slices often, so that pacing is even at the scale of a chunk. */
+/* A short period makes the rate even at the scale of a chunk. */
 #define TICK_MS 10
-/* A late tick is caught up for so long; more would come as a burst. */
+/* Limit on the time credited for a late tick; more would cause a burst. */
 #define CATCH_UP_US 50000
 #define SLICE_MAX (256u << 10)
 #define PERMILLE 1000
@@ -14,13 +15,13 @@
 struct transfer {
 	TAILQ_ENTRY(transfer) entry;
 	struct origin *origin;
-	struct held *held;
-	GBytes *bytes; /* the range asked for, mapped */
+	struct deferred *deferred;
+	GBytes *bytes; /* requested range, memory-mapped */
 	size_t sent;
-	size_t flip; /* offset of the byte to spoil; the length: none */
-	size_t stall; /* where to stop for good; the length: nowhere */
-	int64_t *counted; /* bytes by name, in `origin->by_name` */
-	bool writing; /* the last slice is not out yet */
+	size_t corrupt_at; /* offset of the byte to corrupt; the size: none */
+	size_t stall_at; /* offset to stop sending at; the size: never */
+	int64_t *byte_count; /* byte counter in `origin->by_name` */
+	bool writing; /* the last slice is not written yet */
 };
 TAILQ_HEAD(transfer_list, transfer);
 
@@ -28,15 +29,15 @@
 	char *dir;
 	const struct clk *clock;
 	int64_t bytes_s;
-	int64_t filled_us; /* when `tokens` was last brought up to date */
-	double tokens; /* bytes that may go out now */
-	guint ticker; /* runs while there are transfers */
+	int64_t filled_us; /* time of the last refill of `tokens` */
+	double tokens; /* token bucket: bytes that may be sent now */
+	guint ticker; /* active while there are transfers */
 	struct transfer_list transfers;
 	GHashTable *by_name; /* char * -> int64_t * */
 	int64_t requests;
 	int64_t bytes_sent;
 	struct rng rng;
-	/* Faults. */
+	/* Injected faults. */
 	int64_t corrupt_next, corrupt_permille, stall_next;
 	bool down;
 };
@@ -49,14 +50,14 @@
 transfer_free(struct transfer *t)
 {
 	TAILQ_REMOVE(&t->origin->transfers, t, entry);
-	g_signal_handlers_disconnect_by_data(held_msg(t->held), t);
-	held_free(t->held);
+	g_signal_handlers_disconnect_by_data(deferred_msg(t->deferred), t);
+	deferred_free(t->deferred);
 	g_bytes_unref(t->bytes);
 	g_free(t);
 }
 
 static void
-on_transfer_gone(void *ctx)
+on_transfer_closed(void *ctx)
 {
 	transfer_free(ctx);
 }
@@ -67,10 +68,10 @@
 	GBytes *slice = g_bytes_new_from_bytes(t->bytes, t->sent, len);
 	uint8_t *copy;
 
-	if (t->flip < t->sent || t->flip >= t->sent + len)
+	if (t->corrupt_at < t->sent || t->corrupt_at >= t->sent + len)
 		return slice;
 	copy = g_memdup2(g_bytes_get_data(slice, NULL), len);
-	copy[t->flip - t->sent] ^= 1;
+	copy[t->corrupt_at - t->sent] ^= 1;
 	g_bytes_unref(slice);
 	return g_bytes_new_take(copy, len);
 }
@@ -78,7 +79,7 @@
 static size_t
 transfer_end(const struct transfer *t)
 {
-	return MIN(t->stall, g_bytes_get_size(t->bytes));
+	return MIN(t->stall_at, g_bytes_get_size(t->bytes));
 }
 
 static bool
@@ -91,7 +92,7 @@
 send_slice(struct transfer *t, size_t max)
 {
 	size_t len = MIN(transfer_end(t) - t->sent, MIN(max, SLICE_MAX));
-	SoupServerMessage *msg = held_msg(t->held);
+	SoupServerMessage *msg = deferred_msg(t->deferred);
 	GBytes *slice;
 
 	if (len == 0)
@@ -106,7 +107,7 @@
 		soup_message_body_complete(
 		    soup_server_message_get_response_body(msg));
 	}
-	held_write(t->held);
+	deferred_write(t->deferred);
 }
 
 static void
@@ -120,7 +121,7 @@
 	o->tokens = MIN(o->tokens, (double)o->bytes_s * CATCH_UP_US / 1e6);
 }
 
-/* Shares what may go out now among the transfers that can take it. */
+/* Divides the available tokens evenly among the transfers that can send. */
 static gboolean
 on_tick(void *ctx)
 {
@@ -153,7 +154,7 @@
 	struct transfer *t = ctx;
 
 	t->origin->bytes_sent += len;
-	*t->counted += len;
+	*t->byte_count += len;
 }
 
 static void
@@ -171,7 +172,7 @@
 /* ------------------------------------------------------------------ */
 
 static int64_t *
-count_of(struct origin *o, const char *name)
+byte_count_of(struct origin *o, const char *name)
 {
 	int64_t *count = g_hash_table_lookup(o->by_name, name);
 
@@ -212,12 +213,13 @@
 	return bytes;
 }
 
-/* Cuts `whole` to the range asked for and sets the head; NULL after 416. */
+/* Returns the requested range of `file` and sets status and headers; answers
+ * 416 and returns NULL if the range is invalid. */
 static GBytes *
-cut_range(SoupServerMessage *msg, GBytes *whole)
+select_range(SoupServerMessage *msg, GBytes *file)
 {
 	SoupMessageHeaders *in, *out;
-	goffset size = (goffset)g_bytes_get_size(whole);
+	goffset size = (goffset)g_bytes_get_size(file);
 	goffset start = 0, end = size - 1;
 	SoupRange *ranges;
 	int n;
@@ -227,7 +229,7 @@
 	soup_message_headers_append(out, "Accept-Ranges", "bytes");
 	if (soup_message_headers_get_one(in, "Range") == NULL) {
 		soup_server_message_set_status(msg, 200, NULL);
-		return g_bytes_ref(whole);
+		return g_bytes_ref(file);
 	}
 	if (!soup_message_headers_get_ranges(in, size, &ranges, &n)) {
 		reply_error(msg, 416, "no such range");
@@ -243,7 +245,7 @@
 	soup_message_headers_set_content_range(out, start, end, size);
 	soup_server_message_set_status(msg, 206, NULL);
 	return g_bytes_new_from_bytes(
-	    whole, (gsize)start, (gsize)(end - start + 1));
+	    file, (gsize)start, (gsize)(end - start + 1));
 }
 
 static void
@@ -251,19 +253,19 @@
 {
 	size_t size = g_bytes_get_size(t->bytes);
 
-	t->flip = t->stall = size;
+	t->corrupt_at = t->stall_at = size;
 	if (size == 0)
 		return;
 	if (o->corrupt_next > 0) {
 		o->corrupt_next--;
-		t->flip = rng_below(&o->rng, size);
+		t->corrupt_at = rng_below(&o->rng, size);
 	} else if ((int64_t)rng_below(&o->rng, PERMILLE) <
 	    o->corrupt_permille) {
-		t->flip = rng_below(&o->rng, size);
+		t->corrupt_at = rng_below(&o->rng, size);
 	}
 	if (o->stall_next > 0) {
 		o->stall_next--;
-		t->stall = size / 2;
+		t->stall_at = size / 2;
 	}
 }
 
@@ -277,7 +279,7 @@
 
 	t->origin = o;
 	t->bytes = bytes;
-	t->counted = count_of(o, name);
+	t->byte_count = byte_count_of(o, name);
 	choose_faults(o, t);
 	soup_message_headers_set_content_type(
 	    out, "application/octet-stream", NULL);
@@ -287,15 +289,15 @@
 	soup_message_body_set_accumulate(body, FALSE);
 	g_signal_connect(msg, "wrote-body-data", G_CALLBACK(on_wrote_data), t);
 	g_signal_connect(msg, "wrote-chunk", G_CALLBACK(on_wrote_chunk), t);
-	t->held = held_new(msg, on_transfer_gone, t);
+	t->deferred = deferred_new(msg, on_transfer_closed, t);
 	TAILQ_INSERT_TAIL(&o->transfers, t, entry);
 	if (g_bytes_get_size(bytes) == 0) {
 		soup_message_body_complete(body);
-		held_write(t->held);
+		deferred_write(t->deferred);
 	} else if (o->bytes_s == 0) {
 		send_slice(t, SLICE_MAX);
 	} else if (o->ticker == 0) {
-		o->tokens = 0; /* what an idle link did not send is gone */
+		o->tokens = 0; /* idle time earns no tokens */
 		o->filled_us = clk_now_us(o->clock);
 		o->ticker = g_timeout_add(TICK_MS, on_tick, o);
 	}
@@ -307,23 +309,23 @@
 {
 	struct origin *o = ctx;
 	const char *name = path + strlen("/v1/weights/");
-	GBytes *whole, *range;
+	GBytes *file, *range;
 
 	o->requests++;
 	if (o->down) {
 		reply_error(msg, 503, "down");
 		return;
 	}
-	whole =
+	file =
 	    g_str_has_prefix(path, "/v1/weights/") ? map_file(o, name) : NULL;
-	if (whole == NULL) {
+	if (file == NULL) {
 		reply_error(msg, 404, "no such weights");
 		return;
 	}
-	range = cut_range(msg, whole);
+	range = select_range(msg, file);
 	if (range != NULL)
 		transfer_start(o, msg, name, range);
-	g_bytes_unref(whole);
+	g_bytes_unref(file);
 }
 
 /* ------------------------------------------------------------------ */
@@ -368,7 +370,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Start and end                                                       */
+/* Setup and teardown                                                  */
 /* ------------------------------------------------------------------ */
 
 static void
@@ -417,7 +419,7 @@
 		{ "port", 0, POPT_ARG_INT, &port, 0, "port, 0 picks one", "P" },
 		{ "dir", 0, POPT_ARG_STRING, &dir, 0, "folder served", "DIR" },
 		{ "bytes-s", 0, POPT_ARG_LONGLONG, &bytes_s, 0,
-		    "bytes a second over all connections, 0 for no limit",
+		    "bytes per second over all connections, 0 for no limit",
 		    "N" },
 		{ "seed", 0, POPT_ARG_LONGLONG, &seed, 0,
 		    "seed of the choice of corrupted answers", "N" },
--- a/tests/standin/standin.c
+++ b/tests/standin/standin.c
@@ -1,4 +1,4 @@
-/* What the stand-ins share: listening, options, JSON, held answers. */
+/* Shared code of the stand-ins: listening, options, JSON, deferred answers. */
 
 #include <gio/gio.h>
 #include <glib-unix.h>
@@ -10,8 +10,9 @@
 
 #include "standin/standin.h"
 
-/* Bursts of callers open their connections at once; GIO's 10 would make the
- * kernel drop some and the callers wait a second for the next try. */
+/* Many callers may connect at the same time; with GIO's default of 10 the
+ * kernel drops some of the connections and the callers retry after one
+ * second. */
 #define LISTEN_BACKLOG 1024
 
 /* ------------------------------------------------------------------ */
@@ -31,7 +32,8 @@
 	address = g_inet_socket_address_new_from_string("127.0.0.1", port);
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_listen_backlog(socket, LISTEN_BACKLOG);
-	/* Accepted connections inherit it; tokens must not wait for acks. */
+	/* Accepted connections inherit the option. Without it, Nagle's
+	 * algorithm would delay tokens until earlier data is acknowledged. */
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	ok = g_socket_bind(socket, address, TRUE, error) &&
 	    g_socket_listen(socket, error);
@@ -325,120 +327,120 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Held answers                                                        */
+/* Deferred answers                                                    */
 /* ------------------------------------------------------------------ */
 
-struct held {
+struct deferred {
 	SoupServerMessage *msg;
-	GSource *look; /* NULL once the connection is done with */
+	GSource *watch; /* NULL once the connection is not watched */
 	gulong on_finished;
-	held_gone *gone;
+	deferred_closed *on_closed;
 	void *ctx;
 };
 
 static void
-stop_looking(struct held *h)
+stop_watching(struct deferred *d)
 {
-	if (h->look == NULL)
+	if (d->watch == NULL)
 		return;
-	g_source_destroy(h->look);
-	g_source_unref(h->look);
-	h->look = NULL;
+	g_source_destroy(d->watch);
+	g_source_unref(d->watch);
+	d->watch = NULL;
 }
 
 static void
-connection_ended(struct held *h)
+connection_closed(struct deferred *d)
 {
-	held_gone *gone = h->gone;
+	deferred_closed *on_closed = d->on_closed;
 
-	stop_looking(h);
-	h->gone = NULL;
-	if (gone != NULL)
-		gone(h->ctx);
+	stop_watching(d);
+	d->on_closed = NULL;
+	if (on_closed != NULL)
+		on_closed(d->ctx);
 }
 
 static void
 on_finished(SoupServerMessage *msg, void *ctx)
 {
-	connection_ended(ctx);
+	connection_closed(ctx);
 }
 
-/* Readable with nothing to read: the other end closed. */
+/* A socket that is readable without data was closed by the peer. */
 static gboolean
 on_readable(GSocket *socket, GIOCondition condition, void *ctx)
 {
-	struct held *h = ctx;
+	struct deferred *d = ctx;
 	char byte;
 	ssize_t n;
 
 	n = recv(g_socket_get_fd(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-	if (n > 0) { /* a next request is there already: stop looking */
-		stop_looking(h);
+	if (n > 0) { /* a pipelined request arrived: stop watching */
+		stop_watching(d);
 		return G_SOURCE_REMOVE;
 	}
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return G_SOURCE_CONTINUE;
-	g_signal_handler_disconnect(h->msg, h->on_finished);
-	h->on_finished = 0;
-	hang_up(h->msg);
-	connection_ended(h);
+	g_signal_handler_disconnect(d->msg, d->on_finished);
+	d->on_finished = 0;
+	hang_up(d->msg);
+	connection_closed(d);
 	return G_SOURCE_REMOVE;
 }
 
-struct held *
-held_new(SoupServerMessage *msg, held_gone *gone, void *ctx)
+struct deferred *
+deferred_new(SoupServerMessage *msg, deferred_closed *on_closed, void *ctx)
 {
-	struct held *h = g_new0(struct held, 1);
+	struct deferred *d = g_new0(struct deferred, 1);
 	GSocket *socket = soup_server_message_get_socket(msg);
 
-	/* libsoup asks for it when a connection is stolen and warns when the
-	 * other end is gone by then; asked now, it remembers. */
+	/* libsoup reads the remote address when a connection is stolen and
+	 * logs a warning if the peer has disconnected; this call caches it. */
 	soup_server_message_get_remote_address(msg);
-	h->msg = g_object_ref(msg);
-	h->gone = gone;
-	h->ctx = ctx;
-	h->on_finished =
-	    g_signal_connect(msg, "finished", G_CALLBACK(on_finished), h);
+	d->msg = g_object_ref(msg);
+	d->on_closed = on_closed;
+	d->ctx = ctx;
+	d->on_finished =
+	    g_signal_connect(msg, "finished", G_CALLBACK(on_finished), d);
 	if (socket != NULL) {
-		h->look = g_socket_create_source(socket, G_IO_IN, NULL);
+		d->watch = g_socket_create_source(socket, G_IO_IN, NULL);
 		g_source_set_callback(
-		    h->look, G_SOURCE_FUNC(on_readable), h, NULL);
-		g_source_attach(h->look, NULL);
+		    d->watch, G_SOURCE_FUNC(on_readable), d, NULL);
+		g_source_attach(d->watch, NULL);
 	}
 	soup_server_message_pause(msg);
-	return h;
+	return d;
 }
 
 SoupServerMessage *
-held_msg(const struct held *h)
+deferred_msg(const struct deferred *d)
 {
-	return h->msg;
+	return d->msg;
 }
 
 void
-held_write(struct held *h)
+deferred_write(struct deferred *d)
 {
-	soup_server_message_unpause(h->msg);
+	soup_server_message_unpause(d->msg);
 }
 
 void
-held_free(struct held *h)
+deferred_free(struct deferred *d)
 {
-	if (h == NULL)
+	if (d == NULL)
 		return;
-	stop_looking(h);
-	if (h->on_finished != 0)
-		g_signal_handler_disconnect(h->msg, h->on_finished);
-	g_object_unref(h->msg);
-	g_free(h);
+	stop_watching(d);
+	if (d->on_finished != 0)
+		g_signal_handler_disconnect(d->msg, d->on_finished);
+	g_object_unref(d->msg);
+	g_free(d);
 }
 
 void
-held_hang_up(struct held *h)
+deferred_hang_up(struct deferred *d)
 {
-	SoupServerMessage *msg = g_object_ref(h->msg);
+	SoupServerMessage *msg = g_object_ref(d->msg);
 
-	held_free(h);
+	deferred_free(d);
 	hang_up(msg);
 	g_object_unref(msg);
 }
--- a/tests/standin/tally.c
+++ b/tests/standin/tally.c
@@ -1,6 +1,6 @@
 /*
- * tally: one line of a bench case. What the callers were told is compared with
- * what the engines and services say that they ran.
+ * tally: prints one line for a bench case, from a comparison of the answers
+ * that callers received with the runs that the engines and services logged.
  */
 
 #include <stdio.h>
@@ -11,18 +11,18 @@
 #define TIMEOUT_S 10
 #define US_PER_MS 1000.0
 
-/* What the targets say of one request. */
-struct ran {
-	int64_t done, begun; /* runs */
-	GHashTable *attempts; /* that finished */
-	bool attempt_twice;
+/* Runs of one request, from the logs of the targets. */
+struct request_runs {
+	int64_t done, started; /* numbers of runs */
+	GHashTable *attempts; /* attempt numbers with a finished run */
+	bool attempt_twice; /* an attempt number finished twice */
 };
 
 struct tally {
-	GHashTable *ran; /* request id -> struct ran */
-	GHashTable *posts; /* path -> number of runs, at the services */
+	GHashTable *runs; /* request id -> struct request_runs */
+	GHashTable *posts; /* path -> number of runs at the services */
 	int64_t engines_mixed;
-	int64_t offered, goodput, refused, cut, cut_told, lost;
+	int64_t offered, goodput, refused, cut, cut_with_error, lost;
 	int64_t wrong_verdict, twice, mixed;
 	double first_token_p95_ms, between_tokens_p95_ms;
 };
@@ -32,44 +32,46 @@
 /* ------------------------------------------------------------------ */
 
 static void
-ran_free(void *data)
+request_runs_free(void *data)
 {
-	struct ran *ran = data;
+	struct request_runs *runs = data;
 
-	g_hash_table_unref(ran->attempts);
-	g_free(ran);
+	g_hash_table_unref(runs->attempts);
+	g_free(runs);
 }
 
-static struct ran *
-ran_of(struct tally *t, const char *id)
+static struct request_runs *
+runs_of(struct tally *t, const char *id)
 {
-	struct ran *ran = g_hash_table_lookup(t->ran, id);
-
-	if (ran != NULL)
-		return ran;
-	ran = g_new0(struct ran, 1);
-	ran->attempts = g_hash_table_new(NULL, NULL);
-	g_hash_table_insert(t->ran, g_strdup(id), ran);
-	return ran;
+	struct request_runs *runs = g_hash_table_lookup(t->runs, id);
+
+	if (runs != NULL)
+		return runs;
+	runs = g_new0(struct request_runs, 1);
+	runs->attempts = g_hash_table_new(NULL, NULL);
+	g_hash_table_insert(t->runs, g_strdup(id), runs);
+	return runs;
 }
 
 static void
 add_engine_run(struct tally *t, JsonObject *run)
 {
-	struct ran *ran = ran_of(t, member_str(run, "request_id", ""));
+	struct request_runs *runs =
+	    runs_of(t, member_str(run, "request_id", ""));
 	const char *state = member_str(run, "state", "");
 
-	/* Cancelled while it waited for a slot: nothing was run. */
+	/* Cancelled without a token: counts as cancelled while waiting for a
+	 * slot, hence as not run. */
 	if (strcmp(state, "cancelled") == 0 &&
 	    member_int(run, "tokens", 0) == 0)
 		return;
-	ran->begun++;
+	runs->started++;
 	if (strcmp(state, "done") != 0)
 		return;
-	ran->done++;
-	if (!g_hash_table_add(
-		ran->attempts, GSIZE_TO_POINTER(member_int(run, "attempt", 0))))
-		ran->attempt_twice = true;
+	runs->done++;
+	if (!g_hash_table_add(runs->attempts,
+		GSIZE_TO_POINTER(member_int(run, "attempt", 0))))
+		runs->attempt_twice = true;
 }
 
 static void
@@ -83,8 +85,8 @@
 		    t->posts, g_strdup(path), GSIZE_TO_POINTER(n + 1));
 }
 
-/* The log of a stand-in at its URL, or as it was saved in a file before its
- * end. */
+/* Reads the log of a running stand-in from its URL, or of one that has exited
+ * from the file where it was saved. */
 static JsonNode *
 read_log(SoupSession *session, const char *from)
 {
@@ -107,7 +109,7 @@
 	char **from = g_strsplit(list == NULL ? "" : list, ",", 0);
 	JsonArray *runs;
 	JsonNode *log;
-	bool good = true;
+	bool ok = true;
 	size_t i;
 	guint at;
 
@@ -115,7 +117,7 @@
 		log = read_log(session, from[i]);
 		if (log == NULL) {
 			fprintf(stderr, "tally: no log from %s\n", from[i]);
-			good = false;
+			ok = false;
 			continue;
 		}
 		t->engines_mixed +=
@@ -127,29 +129,30 @@
 		json_node_unref(log);
 	}
 	g_strfreev(from);
-	return good;
+	return ok;
 }
 
 /* ------------------------------------------------------------------ */
-/* What the callers were told                                          */
+/* Answers that the callers received                                   */
 /* ------------------------------------------------------------------ */
 
 static void
-compare_one(struct tally *t, JsonObject *told)
+compare_answer(struct tally *t, JsonObject *answer)
 {
-	const struct ran *ran =
-	    g_hash_table_lookup(t->ran, member_str(told, "request_id", ""));
-	bool not_run = strcmp(member_str(told, "verdict", ""), "NOT_RUN") == 0;
+	const struct request_runs *runs =
+	    g_hash_table_lookup(t->runs, member_str(answer, "request_id", ""));
+	bool not_run =
+	    strcmp(member_str(answer, "verdict", ""), "NOT_RUN") == 0;
 	int64_t attempts =
-	    g_ascii_strtoll(member_str(told, "attempts", ""), NULL, 10);
+	    g_ascii_strtoll(member_str(answer, "attempts", ""), NULL, 10);
 
-	if (ran == NULL)
+	if (runs == NULL)
 		return;
-	if (not_run && ran->begun > 0)
+	if (not_run && runs->started > 0)
 		t->wrong_verdict++;
-	/* X-Attempts comes with the head, so it counts what led to the
-	 * answer: as many runs as that may have finished. */
-	if (ran->attempt_twice || ran->done > MAX(attempts, 1))
+	/* X-Attempts is sent with the headers, so it counts the attempts up to
+	 * the answered one, and each of these may have finished a run. */
+	if (runs->attempt_twice || runs->done > MAX(attempts, 1))
 		t->twice++;
 }
 
@@ -170,7 +173,7 @@
 	guint i;
 
 	if (!json_parser_load_from_file(parser, file, NULL)) {
-		fprintf(stderr, "tally: no summary in %s\n", file);
+		fprintf(stderr, "tally: cannot read a summary from %s\n", file);
 		g_object_unref(parser);
 		return false;
 	}
@@ -179,7 +182,7 @@
 	t->goodput += member_int(c, "answered", 0);
 	t->refused += member_int(c, "refused", 0);
 	t->cut += member_int(c, "cut", 0);
-	t->cut_told += member_int(c, "cut_with_error", 0);
+	t->cut_with_error += member_int(c, "cut_with_error", 0);
 	t->lost +=
 	    member_int(c, "unanswered", 0) + member_int(c, "unfinished", 0);
 	t->mixed += member_int(c, "mixed", 0) + member_int(c, "swapped", 0) +
@@ -190,17 +193,17 @@
 	    MAX(t->between_tokens_p95_ms, p95_ms(c, "between_tokens_us"));
 	list = json_object_get_array_member(c, "list");
 	for (i = 0; list != NULL && i < json_array_get_length(list); i++)
-		compare_one(t, json_array_get_object_element(list, i));
+		compare_answer(t, json_array_get_object_element(list, i));
 	g_object_unref(parser);
 	return list != NULL;
 }
 
-/* A line `PATH STATUS VERDICT` for each keyed request to a service: what its
- * last try was told. */
+/* Reads a line `PATH STATUS VERDICT` for each request with an idempotency key
+ * to a service: the answer to the last attempt. */
 static bool
 add_posts(struct tally *t, const char *file)
 {
-	char *text, **lines, **part;
+	char *text, **lines, **fields;
 	gsize runs;
 	size_t i;
 
@@ -208,21 +211,22 @@
 		return false;
 	lines = g_strsplit(g_strstrip(text), "\n", 0);
 	for (i = 0; lines[i] != NULL && lines[i][0] != '\0'; i++) {
-		part = g_strsplit(lines[i], " ", 3);
-		runs = GPOINTER_TO_SIZE(g_hash_table_lookup(t->posts, part[0]));
+		fields = g_strsplit(lines[i], " ", 3);
+		runs =
+		    GPOINTER_TO_SIZE(g_hash_table_lookup(t->posts, fields[0]));
 		t->offered++;
-		if (g_strv_length(part) < 3 || part[2][0] == '\0')
+		if (g_strv_length(fields) < 3 || fields[2][0] == '\0')
 			t->lost++;
-		else if (strcmp(part[1], "200") == 0)
+		else if (strcmp(fields[1], "200") == 0)
 			t->goodput++;
 		else
 			t->refused++;
 		if (runs > 1)
 			t->twice++;
-		if (runs > 0 && part[1] != NULL && part[2] != NULL &&
-		    strcmp(part[2], "NOT_RUN") == 0)
+		if (runs > 0 && fields[1] != NULL && fields[2] != NULL &&
+		    strcmp(fields[2], "NOT_RUN") == 0)
 			t->wrong_verdict++;
-		g_strfreev(part);
+		g_strfreev(fields);
 	}
 	g_strfreev(lines);
 	g_free(text);
@@ -233,13 +237,13 @@
 add_callers(struct tally *t, const char *files, const char *posts)
 {
 	char **file = g_strsplit(files == NULL ? "" : files, ",", 0);
-	bool good = true;
+	bool ok = true;
 	size_t i;
 
 	for (i = 0; file[i] != NULL; i++)
-		good = add_caller(t, file[i]) && good;
+		ok = add_caller(t, file[i]) && ok;
 	g_strfreev(file);
-	return (posts == NULL || add_posts(t, posts)) && good;
+	return (posts == NULL || add_posts(t, posts)) && ok;
 }
 
 static void
@@ -257,7 +261,7 @@
 	    t->between_tokens_p95_ms, t->refused, t->wrong_verdict, t->twice,
 	    t->mixed + t->engines_mixed, t->cut,
 	    t->offered == 0 ? 0 : (double)retries / (double)t->offered,
-	    t->cut_told, t->lost, more == NULL ? "" : " ",
+	    t->cut_with_error, t->lost, more == NULL ? "" : " ",
 	    more == NULL ? "" : more);
 }
 
@@ -268,7 +272,8 @@
 	char *posts = NULL, *more = NULL;
 	long long retries = 0;
 	const struct poptOption options[] = {
-		{ "case", 0, POPT_ARG_STRING, &name, 0, "its name", "NAME" },
+		{ "case", 0, POPT_ARG_STRING, &name, 0, "name of the case",
+		    "NAME" },
 		{ "engines", 0, POPT_ARG_STRING, &engines, 0,
 		    "engines, or files of their logs", "URL[,URL...]" },
 		{ "services", 0, POPT_ARG_STRING, &services, 0,
@@ -276,38 +281,38 @@
 		{ "callers", 0, POPT_ARG_STRING, &callers, 0,
 		    "summaries written with --list", "FILE[,FILE...]" },
 		{ "posts", 0, POPT_ARG_STRING, &posts, 0,
-		    "a line PATH STATUS VERDICT for each keyed request",
+		    "a line PATH STATUS VERDICT for each request with a key",
 		    "FILE" },
 		{ "retries", 0, POPT_ARG_LONGLONG, &retries, 0,
-		    "counted by the entries during the case", "N" },
+		    "retries counted by the gateways during the case", "N" },
 		{ "more", 0, POPT_ARG_STRING, &more, 0,
-		    "printed at the end of the line", "TEXT" },
+		    "text appended to the line", "TEXT" },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
 	struct tally t = {
-		.ran = g_hash_table_new_full(
-		    g_str_hash, g_str_equal, g_free, ran_free),
+		.runs = g_hash_table_new_full(
+		    g_str_hash, g_str_equal, g_free, request_runs_free),
 		.posts = g_hash_table_new_full(
 		    g_str_hash, g_str_equal, g_free, NULL),
 	};
 	SoupSession *session;
-	bool good;
+	bool ok;
 
 	if (!standin_options(argc, argv, options) || name == NULL)
 		return 2;
 	session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
-	good = add_logs(&t, session, engines, add_engine_run);
-	good = add_logs(&t, session, services, add_service_run) && good;
-	good = add_callers(&t, callers, posts) && good;
-	if (good)
+	ok = add_logs(&t, session, engines, add_engine_run);
+	ok = add_logs(&t, session, services, add_service_run) && ok;
+	ok = add_callers(&t, callers, posts) && ok;
+	if (ok)
 		print_line(&t, name, retries, more);
 	else
 		printf("requests case=%s failed (not all could be counted)\n",
 		    name);
 	g_object_unref(session);
-	g_hash_table_unref(t.ran);
+	g_hash_table_unref(t.runs);
 	g_hash_table_unref(t.posts);
-	return good && t.wrong_verdict == 0 && t.twice == 0 &&
+	return ok && t.wrong_verdict == 0 && t.twice == 0 &&
 		t.mixed + t.engines_mixed == 0
 	    ? 0
 	    : 1;
--- a/tests/standin/test_protocol.c
+++ b/tests/standin/test_protocol.c
@@ -1,4 +1,5 @@
-/* The stand-ins speak docs/INTERFACES.md section 1; all in one process. */
+/* Tests the stand-ins' implementation of docs/INTERFACES.md section 1, with
+ * all of them in one process. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -42,9 +43,9 @@
 }
 
 /*
- * The writer sees its connection end without an answer. The write took effect
- * before that: the object carries its operation id. A writer that takes the
- * silence for a failure would write twice, or give up what it holds.
+ * A write takes effect, but its connection ends without an answer. The object
+ * has the operation id of the write, so the writer can find out. A writer that
+ * assumes a failure would write twice or give up a lease that it has.
  */
 static void
 test_objects_lost_answer(void **state)
@@ -57,7 +58,7 @@
 	call(&a, s, "PUT", "/v1/objects/k", "{\"op\":\"o1\",\"value\":\"x\"}",
 	    NULL);
 	assert_int_equal(a.status, 0);
-	end(&a);
+	answer_clear(&a);
 	expect(s, "GET", "/v1/objects/k", NULL, 200,
 	    "{\"key\":\"k\",\"version\":1,\"op\":\"o1\",\"value\":\"x\"}");
 	expect(s, "PUT", "/v1/objects/k", "{\"op\":\"o2\",\"value\":\"y\"}",
@@ -65,7 +66,7 @@
 	standin_free(s);
 }
 
-/* A slow write: its effect is there while its writer still waits. */
+/* A delayed write takes effect while the writer still waits for the answer. */
 static void
 test_objects_delay(void **state)
 {
@@ -80,8 +81,8 @@
 	expect(s, "POST", "/admin/faults", "{\"delay_ms\":0}", 200, NULL);
 	expect(s, "GET", "/v1/objects/k", NULL, 200, NULL);
 	assert_false(slow.done);
-	leave(&slow);
-	end(&slow);
+	answer_disconnect(&slow);
+	answer_clear(&slow);
 	standin_free(s);
 }
 
@@ -104,7 +105,7 @@
 	assert_true(body_has(&watch,
 	    "{\"revision\":2,\"objects\":[{\"key\":\"a/1\",\"version\":1,"
 	    "\"op\":\"o\",\"value\":\"v\"}]}"));
-	end(&watch);
+	answer_clear(&watch);
 	expect(s, "GET", "/v1/watch?prefix=a/&since=2&wait_ms=10", NULL, 200,
 	    "{\"revision\":2,\"objects\":[]}");
 	expect(s, "GET", "/v1/watch?prefix=&since=1&wait_ms=30000", NULL, 200,
@@ -113,8 +114,8 @@
 	standin_free(s);
 }
 
-/* An outage begins while a watch waits: it ends at once, as everything does
- * until the outage is over; what was written before is there after. */
+/* An outage that starts while a watch waits ends the watch at once with 503;
+ * all calls get 503 until the outage ends. Earlier writes survive it. */
 static void
 test_objects_down(void **state)
 {
@@ -129,7 +130,7 @@
 	expect(s, "POST", "/admin/faults", "{\"down\":true}", 200, NULL);
 	wait_for(&watch.done);
 	assert_int_equal(watch.status, 503);
-	end(&watch);
+	answer_clear(&watch);
 	expect(s, "GET", "/v1/objects/k", NULL, 503, NULL);
 	expect(s, "PUT", "/v1/objects/k", "{\"op\":\"p\",\"value\":\"w\"}", 503,
 	    NULL);
@@ -160,7 +161,8 @@
 	g_free(path);
 }
 
-/* Weights and their list of chunks, with the root digest by the page's rule. */
+/* Weights with their list of chunk digests and the root digest, computed as
+ * docs/INTERFACES.md defines it. */
 static struct folder *
 folder_new(void)
 {
@@ -234,16 +236,16 @@
 	assert_int_equal(a.status, 200);
 	assert_int_equal(body_len(&a), WEIGHTS_BYTES);
 	assert_int_equal(differences(&a, f->data), 0);
-	end(&a);
+	answer_clear(&a);
 	call(&a, s, "GET", "/v1/weights/v1", NULL, range);
 	assert_int_equal(a.status, 206);
 	assert_int_equal(body_len(&a), 99995);
 	assert_int_equal(differences(&a, f->data + 5), 0);
-	end(&a);
+	answer_clear(&a);
 	expect(s, "POST", "/admin/faults", "{\"corrupt_next\":1}", 200, NULL);
 	call(&a, s, "GET", "/v1/weights/v1", NULL, range);
 	assert_int_equal(differences(&a, f->data + 5), 1);
-	end(&a);
+	answer_clear(&a);
 	expect(s, "GET", "/v1/weights/none", NULL, 404, NULL);
 	expect(s, "GET", "/admin/counts", NULL, 200,
 	    "{\"requests\":4,\"bytes_sent\":499991,"
@@ -265,12 +267,12 @@
 	found = g_strstr_len(data, (gssize)len, "\"bytes_sent\":");
 	assert_non_null(found);
 	n = g_ascii_strtoll(found + strlen("\"bytes_sent\":"), NULL, 10);
-	end(&a);
+	answer_clear(&a);
 	return n;
 }
 
-/* Two readers share one pace: by its clock the origin has sent no more than
- * its rate allows, and all of that, however often its timer fires. */
+/* Two readers share one rate limit: by the origin's clock, the bytes sent are
+ * exactly what the rate allows, however often the timer fires. */
 static void
 test_origin_pace(void **state)
 {
@@ -296,15 +298,16 @@
 		run_for_ms(25);
 		assert_int_equal(bytes_sent(s), i * 20000);
 	}
-	leave(&a);
-	leave(&b);
-	end(&a);
-	end(&b);
+	answer_disconnect(&a);
+	answer_disconnect(&b);
+	answer_clear(&a);
+	answer_clear(&b);
 	standin_free(s);
 	folder_free(f);
 }
 
-/* The link stalls without closing: half of the answer comes, then nothing. */
+/* A stalled transfer: half of the answer arrives, then nothing, and the
+ * connection stays open. */
 static void
 test_origin_stall(void **state)
 {
@@ -320,8 +323,8 @@
 	run_for_ms(50);
 	assert_int_equal(bytes_sent(s), WEIGHTS_BYTES / 2);
 	assert_false(a.done);
-	leave(&a);
-	end(&a);
+	answer_disconnect(&a);
+	answer_clear(&a);
 	standin_free(s);
 	folder_free(f);
 }
@@ -384,7 +387,7 @@
 	begin_order(&a, engine, origin, source, digest, fence);
 	wait_for(&a.done);
 	assert_int_equal(a.status, status);
-	end(&a);
+	answer_clear(&a);
 }
 
 static void
@@ -400,9 +403,9 @@
 }
 
 /*
- * The bytes handed to the engine have one byte wrong, or the order names
- * another root than theirs. The engine answers 502 and goes on with what it
- * had; it says a digest is loaded only after hashing all bytes itself.
+ * One byte of the weights is corrupted, or the order has another root digest.
+ * The engine answers 502 and retains the loaded weights; it reports a digest
+ * as loaded only after hashing all bytes itself.
  */
 static void
 test_engine_root_digest(void **state)
@@ -423,16 +426,17 @@
 	loaded_is(engine, "", 0);
 	order(engine, origin, "v1", f->root_hex, 4, 200);
 	loaded_is(engine, f->root_hex, 4);
-	order(engine, origin, "bad", f->root_hex, 5, 200); /* loaded already */
+	order(engine, origin, "bad", f->root_hex, 5, 200); /* already loaded */
 	standin_free(engine);
 	standin_free(origin);
 	folder_free(f);
 }
 
 /*
- * A holder that was paused sends an order after its successor did. An engine
- * that checks refuses the old number and keeps the successor's; one that
- * ignores it takes the order, which is why the side's gate must hold it back.
+ * A lease holder that was paused sends an order after its successor did. An
+ * engine that checks fencing numbers refuses the lower number and retains the
+ * successor's version; one that does not check executes the order, which is why
+ * the sidecar's fencing check must block it.
  */
 static void
 test_engine_fence(void **state)
@@ -460,9 +464,10 @@
 }
 
 /*
- * The old holder's load is under way when the successor's order arrives. The
- * old one was fine when it came; were it put in force when its bytes are in,
- * the engine would end on it after refusing nothing. It is refused then.
+ * The order of a lease's successor arrives while the engine loads the order of
+ * the previous holder. The previous order had a valid fencing number when it
+ * arrived; if the engine did not check again at the end of the load, it would
+ * activate the outdated order. It refuses it instead.
  */
 static void
 test_engine_fence_during_load(void **state)
@@ -494,15 +499,15 @@
 	assert_int_equal(old.status, 409);
 	assert_int_equal(fresh.status, 200);
 	loaded_is(engine, f->root_hex, 8);
-	end(&old);
-	end(&fresh);
+	answer_clear(&old);
+	answer_clear(&fresh);
 	standin_free(engine);
 	standin_free(origin);
 	folder_free(f);
 }
 
-/* A load that hangs answers nobody; when who ordered it gives up, the next
- * order is carried out. */
+/* A load that hangs gets no answer; when its client disconnects, the engine
+ * executes the next order. */
 static void
 test_engine_load_faults(void **state)
 {
@@ -522,12 +527,12 @@
 	run_for_ms(50);
 	assert_false(hung.done);
 	assert_false(next.done);
-	leave(&hung);
+	answer_disconnect(&hung);
 	wait_for(&next.done);
 	assert_int_equal(next.status, 200);
 	loaded_is(engine, f->root_hex, 3);
-	end(&hung);
-	end(&next);
+	answer_clear(&hung);
+	answer_clear(&next);
 	standin_free(engine);
 	standin_free(origin);
 	folder_free(f);
--- a/tests/standin/truth.c
+++ b/tests/standin/truth.c
@@ -1,7 +1,8 @@
 /*
- * truth: what truly happened, from the stand-ins' own logs against what the
- * callers received. Prints one line for the demo; exits 1 when a promise was
- * broken.
+ * truth: compares the logs of the stand-ins with the answers that the callers
+ * received. Prints one line for the demo; exits 1 if an answer is missing,
+ * truncated, mixed or in no engine's log, if a request finished twice, if a
+ * replica has not loaded the version, or if the data cannot be read.
  */
 
 #include <stdio.h>
@@ -11,7 +12,7 @@
 
 #define TIMEOUT_S 10
 
-struct truth {
+struct comparison {
 	GHashTable *done_runs; /* request id -> number of finished runs */
 	int64_t mixed;
 	int64_t twice;
@@ -52,7 +53,7 @@
 /* ------------------------------------------------------------------ */
 
 static void
-add_run(struct truth *t, JsonObject *run)
+add_run(struct comparison *t, JsonObject *run)
 {
 	const char *id = member_str(run, "request_id", "");
 	gpointer n;
@@ -67,8 +68,8 @@
 }
 
 static bool
-add_engine(
-    struct truth *t, SoupSession *session, const char *base, const char *want)
+add_engine(struct comparison *t, SoupSession *session, const char *base,
+    const char *want)
 {
 	JsonNode *log = standin_fetch(session, base, "/admin/log");
 	JsonNode *load = standin_fetch(session, base, "/v1/load");
@@ -98,15 +99,15 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Callers against engines                                             */
+/* Comparison with the engines' logs                                   */
 /* ------------------------------------------------------------------ */
 
-/* Whole answers that no engine says it finished: made up on the way. */
+/* Counts complete answers to requests that no engine logged as finished. */
 static int64_t
-count_unfounded(const struct truth *t, JsonObject *caller)
+count_without_run(const struct comparison *t, JsonObject *caller)
 {
 	JsonArray *list = json_object_get_array_member(caller, "list");
-	int64_t unfounded = 0;
+	int64_t without_run = 0;
 	guint i;
 
 	for (i = 0; list != NULL && i < json_array_get_length(list); i++) {
@@ -115,9 +116,9 @@
 		if (strcmp(member_str(r, "outcome", ""), "answered") == 0 &&
 		    !g_hash_table_contains(
 			t->done_runs, member_str(r, "request_id", "")))
-			unfounded++;
+			without_run++;
 	}
-	return unfounded;
+	return without_run;
 }
 
 static double
@@ -150,24 +151,25 @@
 		{ "caller", 0, POPT_ARG_STRING, &caller, 0,
 		    "summary written by the caller with --list", "FILE" },
 		{ "digest", 0, POPT_ARG_STRING, &digest, 0,
-		    "root that all engines should have loaded", "HEX" },
+		    "root digest that all engines should have loaded", "HEX" },
 		{ "name", 0, POPT_ARG_STRING, &name, 0,
-		    "name of the version's bytes at the origin", "NAME" },
+		    "name of the version's file at the origin", "NAME" },
 		{ "bytes", 0, POPT_ARG_LONGLONG, &bytes, 0,
 		    "size of the version", "N" },
 		{ "seconds", 0, POPT_ARG_STRING, &seconds, 0,
-		    "measured time of the rollout, to be printed", "S" },
+		    "measured duration of the rollout, copied to the output",
+		    "S" },
 		POPT_AUTOHELP POPT_TABLEEND,
 	};
-	struct truth t = { .done_runs = g_hash_table_new_full(
-			       g_str_hash, g_str_equal, g_free, NULL) };
+	struct comparison t = { .done_runs = g_hash_table_new_full(
+				    g_str_hash, g_str_equal, g_free, NULL) };
 	SoupSession *session;
 	JsonParser *parser = json_parser_new();
 	JsonObject *c;
 	char **urls;
-	int64_t answered, offered, cut, mixed, unfounded;
+	int64_t answered, offered, cut, mixed, without_run;
 	double copies;
-	bool good = true;
+	bool ok = true;
 	size_t i;
 
 	if (!standin_options(argc, argv, options))
@@ -181,7 +183,7 @@
 	session = soup_session_new_with_options("timeout", TIMEOUT_S, NULL);
 	urls = g_strsplit(engines, ",", 0);
 	for (i = 0; urls[i] != NULL; i++)
-		good = add_engine(&t, session, urls[i], digest) && good;
+		ok = add_engine(&t, session, urls[i], digest) && ok;
 	copies = origin_copies(session, origin, name, bytes);
 	c = json_node_get_object(json_parser_get_root(parser));
 	answered = member_int(c, "answered", 0);
@@ -189,19 +191,19 @@
 	cut = member_int(c, "cut", 0);
 	mixed =
 	    t.mixed + member_int(c, "mixed", 0) + member_int(c, "swapped", 0);
-	unfounded = count_unfounded(&t, c);
-	good = good && t.loaded == t.engines && answered == offered &&
+	without_run = count_without_run(&t, c);
+	ok = ok && t.loaded == t.engines && answered == offered &&
 	    offered > 0 && cut == 0 && mixed == 0 && t.twice == 0 &&
-	    unfounded == 0 && copies > 0;
+	    without_run == 0 && copies > 0;
 	printf("demo: %s replicas=%u/%u seconds=%s origin_copies=%.2f "
 	       "answered=%" G_GINT64_FORMAT "/%" G_GINT64_FORMAT
 	       " cut=%" G_GINT64_FORMAT " mixed=%" G_GINT64_FORMAT
 	       " twice=%" G_GINT64_FORMAT "\n",
-	    good ? "ok" : "failed", t.loaded, t.engines, seconds, copies,
+	    ok ? "ok" : "failed", t.loaded, t.engines, seconds, copies,
 	    answered, offered, cut, mixed, t.twice);
 	g_strfreev(urls);
 	g_object_unref(session);
 	g_object_unref(parser);
 	g_hash_table_unref(t.done_runs);
-	return good ? 0 : 1;
+	return ok ? 0 : 1;
 }
