--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -2,27 +2,29 @@
  * Claim, dispatch and retry of a keyed request that must not run twice:
  * lib/route/claim.c, claim_io.c, charts/attempt.yaml.
  *
- * One caller sends a request with a key through entry 0 and, not hearing in
- * time, through entry 1. Each try is an asker; its ask may come to either
- * entry as owner of the bucket, also to both and more than once. An owner
- * keeps the record in memory and writes the object for it. That an owner's
- * lease has ended is not used here: a paused owner may go on with what it
- * remembers at any time, so that `once` rests on the other safeguards alone.
- * A write's answer may be lost, and a write given up may take effect later.
- * Entries may stop for ever at any step.
+ * One caller sends a request with an idempotency key through gateway 0 and,
+ * after a timeout, through gateway 1. Each of the two sends is a process
+ * `asker`; its claim request may reach either gateway as owner of the bucket,
+ * also both and more than once. An owner caches the record in memory and writes the
+ * bucket's object on the asker's behalf. The model does not use the end of an
+ * owner's lease: a paused owner may continue with its cached record at any
+ * time, so `once` rests on the other safeguards alone. The response to a write
+ * may be lost, and an abandoned write may take effect later. Gateways may stop
+ * permanently at any step.
  *
- * What must hold
+ * Properties
  *   once       the target runs the key at most once
- *   truly_not  a try that was told NOT_RUN has not run and never runs
+ *   truly_not  an asker that ended with NOT_RUN has not run the request and
+ *              never runs it
  *
  * Safeguards, each with a switch (0 turns it off):
- *   CLAIM_FIRST  dispatch only when the claim was granted
- *   CONDITIONAL  a write needs the version that was read
- *   READ_BACK    after a write that was refused or whose answer was lost
+ *   CLAIM_FIRST  an asker dispatches only after its claim was granted
+ *   CONDITIONAL  a write requires the version that was read
+ *   READ_BACK    after a write that was refused or whose response was lost,
  *                nothing is granted from memory
- *   IN_DOUBT     another asker's claim without outcome is not taken over
- *   ENDED        a try that was told NOT_RUN ignores a later grant
- *   NO_RERUN     after MAY_HAVE_RUN the same try does not dispatch again
+ *   IN_DOUBT     another asker's claim without an outcome is not taken over
+ *   ENDED        an asker that ended with NOT_RUN ignores a later grant
+ *   NO_RERUN     after MAY_HAVE_RUN the same asker does not dispatch again
  */
 
 #ifndef CLAIM_FIRST
@@ -51,17 +53,17 @@
 
 /* The bucket's object, for this key. */
 byte version = 0;
-byte rec = NOBODY; /* whose claim is in */
-bool done = false; /* with the outcome: it ran */
+byte rec = NOBODY; /* asker whose claim is stored */
+bool done = false; /* the outcome is stored: the request ran */
 
-/* Between askers and owners. */
+/* Messages between askers and owners. */
 bool asked[2];
-bool granted[2]; /* on its way, or arrived */
+bool granted[2]; /* in transit or received */
 bool in_doubt[2];
 bool told_ran[2];
-mtype word[2] = nothing; /* what the asker says in the end */
+mtype word[2] = nothing; /* outcome reported by the asker */
 
-/* A write that was given up and may still take effect; one at a time. */
+/* An abandoned write that may still take effect; one at a time. */
 bool late = false;
 byte late_if = 0;
 byte late_rec = NOBODY;
@@ -88,17 +90,17 @@
 	:: granted[me] || !CLAIM_FIRST -> skip
 	:: told_ran[me] -> goto end
 	:: in_doubt[me] -> goto end
-	:: verdict = not_run; /* refused, deadline or caller gone */
+	:: verdict = not_run; /* refused, timed out or caller disconnected */
 		word[me] = not_run;
 		if
 		:: ENDED -> goto end
-		:: !ENDED -> granted[me] /* the grant came late */
+		:: !ENDED -> granted[me] /* the grant arrived late */
 		fi
 	fi;
 again:
 	attempts++;
 	if
-	:: d_step { /* it runs; the answer may come or be lost */
+	:: d_step { /* it runs; the response may arrive or be lost */
 		runs++;
 		assert(runs <= 1); /* once */
 		assert(verdict != not_run) /* truly_not */
@@ -107,7 +109,7 @@
 		:: verdict = ran
 		:: verdict = may_have_run
 		fi
-	:: verdict = may_have_run /* lost on the way */
+	:: verdict = may_have_run /* the request was lost in transit */
 	:: attempts < 2 -> goto again /* refused by the target */
 	:: verdict = not_run
 	fi;
@@ -126,7 +128,7 @@
 	byte mem_rec = NOBODY;
 	bool mem_done = false;
 	bool held = false;
-	bool written = false; /* the record is in for certain */
+	bool written = false; /* the record is known to be stored */
 	bool writing = false;
 	byte a;
 
@@ -137,10 +139,10 @@
 		mem_rec = rec;
 		mem_done = done
 	   }
-	/* The lease ended, or the bucket was given up. */
+	/* The lease expired, or the owner gave up the bucket. */
 	:: d_step { held && !writing -> forget() }
 
-	/* An ask. */
+	/* A claim request arrives. */
 	:: atomic { held && !writing ->
 		if
 		:: asked[0] -> a = 0
@@ -166,7 +168,7 @@
 		a = 0
 	   }
 
-	/* An asker's word. */
+	/* An asker's reported outcome arrives. */
 	:: atomic { held && !writing && mem_rec != NOBODY && !mem_done ->
 		if
 		:: word[0] != nothing && mem_rec == 0 -> a = 0
@@ -181,26 +183,26 @@
 		a = 0
 	   }
 
-	/* The write, and what is heard of it. */
+	/* The write and its result as seen by the owner. */
 	:: atomic { writing && version < LAST_VERSION ->
 		writing = false;
 		if
-		:: !CONDITIONAL || version == mem_version -> /* in */
+		:: !CONDITIONAL || version == mem_version -> /* stored */
 			version++;
 			rec = mem_rec;
 			done = mem_done;
 			if
 			:: mem_version = version; written = true
-			:: held = false /* the answer is lost */
+			:: held = false /* the response is lost */
 			fi
 		:: CONDITIONAL && version != mem_version -> held = false
-		:: !late -> /* not in yet */
+		:: !late -> /* takes effect later */
 			late = true;
 			late_if = mem_version;
 			late_rec = mem_rec;
 			late_done = mem_done;
 			held = false
-		:: held = false /* never in */
+		:: held = false /* never takes effect */
 		fi;
 		if
 		:: held -> skip
--- a/spec/gate.pml
+++ b/spec/gate.pml
@@ -1,25 +1,27 @@
 /*
- * The order gate of a side: lib/agree/gate.c.
+ * The fencing check of a sidecar: lib/agree/gate.c.
  *
- * Holders come one after the other, each with a higher fencing number that
- * is in the object before its first order (lease.pml, own_fence). Orders
+ * Lease holders follow one another, each with a higher fencing number that is
+ * stored in the object before its first order (lease.pml, own_fence). Orders
  * arrive late, twice and in any order. The engine ignores fencing numbers.
- * The side may restart and forget everything but its engine's state; the
- * object API may be away, and then members stand in for it.
+ * The sidecar may restart and lose everything but its engine's state; while
+ * the object API is unavailable, the members' knowledge is used instead of the
+ * object.
  *
- * What must hold
- *   no_stale  the engine never takes an order with a lower fencing number
- *             than one that it took before
+ * Properties
+ *   no_stale  the engine never accepts an order with a lower fencing number
+ *             than that of an order it accepted before
  *
  * Safeguards, each with a switch (0 turns it off):
- *   GATE      the side refuses lower numbers than it has seen
- *   RESTORE   after a restart nothing passes until the floor is known, from
- *             the object or, while the API is away, from the members
+ *   GATE      the sidecar rejects fencing numbers below the highest it has
+ *             seen
+ *   RESTORE   after a restart no order passes until the floor is known, from
+ *             the object or, while the API is unavailable, from the members
  *
  * Assumption, which the code does not ensure:
- *   SPREAD    a holder's number is known to the members that a restarted
- *             side asks before its first order arrives anywhere. With 0 it
- *             may reach them later.
+ *   SPREAD    a holder's fencing number is known to the members that a
+ *             restarted sidecar asks before the holder's first order arrives
+ *             anywhere. With 0 the number may reach these members later.
  */
 
 #ifndef GATE
@@ -36,7 +38,7 @@
 #define RESTARTS 2
 
 byte in_object = 0;
-byte noted = 0; /* highest number known to the members */
+byte noted = 0; /* highest fencing number known to the members */
 bool api_up = true;
 
 active proctype holders()
@@ -54,7 +56,7 @@
 active proctype side()
 {
 	byte floor = 0;
-	byte taken = 0; /* highest number that the engine took */
+	byte taken = 0; /* highest fencing number that the engine accepted */
 	bool known = false;
 	byte restarts = 0;
 	byte f;
@@ -73,7 +75,7 @@
 		known = true;
 		floor = (noted > floor -> noted : floor)
 	   }
-	/* Any order that a holder may have sent by now arrives. */
+	/* Any order that a holder may have sent so far arrives. */
 	:: atomic {
 		in_object > 0 && (known || !RESTORE);
 		select (f : 1 .. LAST_FENCE);
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,27 +1,30 @@
 /*
  * The lease of a role: lib/agree/lse.c, charts/lease.yaml.
  *
- * Two entries compete for one role, kept as an object {holder, fence,
+ * Two gateways compete for one role, stored as an object {holder, fence,
  * handed over, version}. Each has its own clock; the clocks run at different
- * rates, up to SKEW ticks apart. An entry is paused by not being scheduled
- * while the clocks go on. A write's answer may be late or lost, and a write
- * that was given up may still take effect later.
+ * rates, up to SKEW ticks apart. A paused gateway is one that is not scheduled
+ * while the clocks advance. The response to a write may be late or lost, and
+ * an abandoned write may still take effect later.
  *
- * What must hold
- *   one_holder  never do two entries believe at one time to hold the role
- *   given_held  no order is given while the other believes to hold it
- *   own_fence   no two holdings have the same fencing number, and an order's
- *               number was in the object before the order (see gate.pml)
+ * Properties
+ *   one_holder  two gateways never both consider themselves the holder of the
+ *               role at the same time
+ *   given_held  no order is given while the other gateway considers itself the
+ *               holder
+ *   own_fence   no two terms of a holder have the same fencing number, and an
+ *               order's number was in the object before the order (see
+ *               gate.pml)
  *
  * Safeguards, each with a switch (0 turns it off):
- *   CONDITIONAL   a write needs the version that was read
+ *   CONDITIONAL   a write requires the version that was read
  *   BEFORE_SEND   the holder counts its lease from before it sent the write
- *   MARGIN        ticks that the holder ends early and that others wait longer
- *   OWN_DEADLINE  the holder asks its own clock before each order
+ *   MARGIN        ticks by which the holder stops early and others wait longer
+ *   OWN_DEADLINE  the holder checks its own clock before each order
  *
- * A write's sending and taking effect are one step here: the holder counts
- * from the sending, so that a later effect only makes others wait longer. A
- * late effect of a write that was given up is a step of its own.
+ * Sending a write and its taking effect are one step here: the holder counts
+ * its lease from the sending, so that a later effect only makes others wait
+ * longer. The late effect of an abandoned write is a separate step.
  */
 
 #ifndef CONDITIONAL
@@ -53,12 +56,12 @@
 byte version = 0;
 bool handed = false;
 
-/* What each entry believes. */
+/* Local state of each gateway. */
 bool holds[2];
 byte until[2];
 byte my_fence[2];
 
-/* A write that was given up and may still take effect. */
+/* An abandoned write that may still take effect. */
 bool late[2];
 byte late_if[2];
 byte late_fence[2];
@@ -102,8 +105,9 @@
 	byte sent = 0;
 
 	do
-	/* Look. What is unchanged for long enough, or known to be free, may
-	 * be claimed; free after a wait only by a look after the wait. */
+	/* Poll. A role that is unchanged for long enough, or known to be free,
+	 * may be claimed; after a wait, only a poll made after the wait can
+	 * find it free. */
 	:: d_step { !holds[me] && !is_free &&
 	    (seen != version || clk[me] >= seen_at + LEASE + MARGIN) ->
 		if
@@ -116,7 +120,7 @@
 		fi
 	   }
 
-	/* Claim: in, with an answer later; given up; or refused. */
+	/* Claim: stored, with a later response; abandoned; or refused. */
 	:: atomic { !holds[me] && is_free && seen_fence < LAST_FENCE &&
 	    version < LAST_VERSION ->
 		sent = clk[me];
@@ -125,10 +129,10 @@
 		:: MATCHES(seen) ->
 			put(me, seen_fence + 1);
 			seen = version
-		:: MATCHES(seen) -> /* in, the answer is lost */
+		:: MATCHES(seen) -> /* stored, the response is lost */
 			put(me, seen_fence + 1);
 			sent = UNSEEN
-		:: !late[me] -> /* not in yet */
+		:: !late[me] -> /* takes effect later */
 			late[me] = true;
 			late_if[me] = seen;
 			late_fence[me] = seen_fence + 1;
@@ -140,7 +144,7 @@
 		:: else -> skip
 		fi
 	   };
-	   /* Here time may pass, then the answer comes. */
+	   /* Time may pass here before the response arrives. */
 	   atomic {
 		my_fence[me] = seen_fence + 1;
 		if
@@ -162,11 +166,11 @@
 		:: MATCHES(seen) ->
 			put(me, my_fence[me]);
 			seen = version
-		:: MATCHES(seen) -> /* in, the answer is lost */
+		:: MATCHES(seen) -> /* stored, the response is lost */
 			put(me, my_fence[me]);
 			sent = 0;
 			goto on
-		:: !late[me] -> /* not in yet */
+		:: !late[me] -> /* takes effect later */
 			late[me] = true;
 			late_if[me] = seen;
 			late_fence[me] = my_fence[me];
@@ -176,7 +180,7 @@
 			sent = 0;
 			if
 			:: holder == me && fence == my_fence[me] && !handed ->
-				seen = version /* an earlier one was in */
+				seen = version /* an earlier renewal was stored */
 			:: else ->
 				holds[me] = false;
 				seen = UNSEEN;
@@ -185,7 +189,7 @@
 			goto on
 		fi
 	   };
-	   atomic { /* the answer */
+	   atomic { /* the response arrives */
 		if
 		:: clk[me] < until[me] &&
 		    (BEFORE_SEND -> sent : clk[me]) + LEASE - MARGIN >
@@ -199,7 +203,7 @@
 		sent = 0
 	   }
 
-	/* The lease ran out by the own clock, and the entry came to see it. */
+	/* The gateway notices that its lease expired on its clock. */
 	:: d_step { holds[me] && clk[me] >= until[me] ->
 		holds[me] = false;
 		until[me] = 0;
@@ -217,7 +221,7 @@
 		seen = UNSEEN
 	   }
 
-	/* An order. */
+	/* The holder gives an order. */
 	:: d_step { holds[me] && (!OWN_DEADLINE || clk[me] < until[me]) ->
 		assert(!BELIEVES(1 - me)); /* given_held */
 		assert(my_fence[me] <= fence) /* own_fence */
@@ -226,7 +230,7 @@
 	od
 }
 
-/* What was given up takes effect, or is found not to. */
+/* An abandoned write takes effect, or fails its condition. */
 active proctype network()
 {
 	byte i;
--- a/spec/model.sh
+++ b/spec/model.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
 # Checks the core protocol with spin: `make model`. With every safeguard on
-# the search must be exhaustive and find no violation; with each one off spin
-# must find a violated assertion. A search cut short by its depth or memory
-# (which bounds it whatever the machine's speed), and anything that does not build, counts as failed.
+# the search must be exhaustive and find no violation; with any one of them off
+# spin must find a violated assertion. A search that reaches its limit of depth
+# or memory (these bound it independently of the machine's speed) and a model
+# that does not build count as failed.
 set -u
 cd "$(dirname "$0")"
 out=../out/model
@@ -11,14 +12,15 @@
 rm -rf "$out"
 mkdir -p "$out"
 
-# search MODEL SWITCH: sets verdict to holds, violated or what went wrong.
+# search MODEL SWITCH: sets verdict to holds, violated or a description of the
+# failure.
 search() {
 	work=$out/$1${2:+-$2}
 	mkdir -p "$work"
 	cp "$1.pml" "$work/"
 	verdict="does not build, see $work"
-	# Breadth first finds a short violation soon; depth first needs less
-	# memory for a whole search.
+	# Breadth-first search finds a short violation early; depth-first search
+	# needs less memory for an exhaustive search.
 	order=${2:+-DBFS}
 	(
 		cd "$work" || exit 1
@@ -61,18 +63,18 @@
 	failures=$((failures + 1))
 }
 
-must_break() { # MODEL WORD SWITCH...
+must_break() { # MODEL safeguard|assumption SWITCH...
 	model=$1
-	word=$2
+	switch_kind=$2
 	shift 2
 	for switch in "$@"; do
 		search "$model" "$switch"
 		if [ "$verdict" = violated ]; then
-			echo "model $model without $word $switch:" \
+			echo "model $model without $switch_kind $switch:" \
 			    "violates $rule, as it must"
 			continue
 		fi
-		echo "model $model without $word $switch: FAILED: $verdict"
+		echo "model $model without $switch_kind $switch: FAILED: $verdict"
 		failures=$((failures + 1))
 	done
 }
--- a/spec/settings.pml
+++ b/spec/settings.pml
@@ -1,30 +1,30 @@
 /*
- * Settings in force: lib/agree/inf.c, agr_settings.c.
+ * Active settings: lib/agree/inf.c, agr_settings.c.
  *
- * The object API keeps one branch; its version grows with each accepted
- * write. Node 1 watches it; the nodes compare versions and pull what is
- * higher; answers come late, when the asker may have newer already. Node 0
- * may restart from empty; it begins by the API's list or, while the API is
- * away, by what both peers told, one after the other.
+ * The object API stores one branch; its version grows with each accepted
+ * write. Node 1 watches the branch; the nodes compare versions and pull higher
+ * ones; a response may arrive when the requester already has a newer version.
+ * Node 0 may restart without state; it starts from the API's list or, while
+ * the API is unavailable, from the reports of both peers, one after the other.
  *
- * What must hold
- *   only_grows  what is in force on a node never goes back while it runs
- *   no_revert   after its restart a node begins with no lower version than
- *               one that was in force on every node before
- *   reached     when writes, outages and restarts end, every node comes to
- *               the newest version
- *   own_highest (only with the API up at the restart) a node begins with no
- *               lower version than it had in force itself before
+ * Properties
+ *   only_grows  the active version of a node never decreases while it runs
+ *   no_revert   after its restart a node does not start with a version lower
+ *               than one that was active on every node before
+ *   reached     when writes, outages and restarts end, every node reaches the
+ *               newest version
+ *   own_highest (only with the API up at the restart) a node does not start
+ *               with a version lower than one that was active on it before
  *
  * Safeguards, each with a switch (0 turns it off):
- *   ONLY_HIGHER    a node takes a version only if it is higher than its own
- *   ASK_AT_START   a node begins only after it asked the API, or the peers
- *   ANTI_ENTROPY   nodes compare versions and the lower takes the higher
+ *   ONLY_HIGHER    a node accepts a version only if it is higher than its own
+ *   ASK_AT_START   a node starts only after it asked the API or the peers
+ *   ANTI_ENTROPY   nodes compare versions and the lower one pulls the higher
  *
  * Assumption, which the code does not ensure:
- *   SPREAD   what a node has in force when it stops is in force on the
- *            peers that it asks, if the API is away when it starts. With 0
- *            own_highest is checked without it.
+ *   SPREAD   the version active on a node when it stops is active on the peers
+ *            that it asks if the API is unavailable when it starts. With 0
+ *            own_highest is checked without this.
  */
 
 #ifndef ONLY_HIGHER
@@ -46,8 +46,8 @@
 byte accepted = 1; /* version at the API */
 byte in_force[3] = 1;
 bool ready[3] = true;
-byte everywhere = 1; /* highest version that was in force on all */
-byte own = 1; /* highest that was in force on node 0 */
+byte everywhere = 1; /* highest version that was active on all nodes */
+byte own = 1; /* highest version that was active on node 0 */
 bool api_up = true;
 byte outages = 0;
 
@@ -73,7 +73,7 @@
 	fi
 }
 
-/* Operators write; the API goes away and comes back. */
+/* Operators write; the API becomes unavailable and returns. */
 active proctype platform()
 {
 	do
@@ -83,8 +83,8 @@
 	od
 }
 
-/* Node N has its write accepted: in force there at once. Node 0 only, the
- * one that restarts. */
+/* The API accepts a write of node 0, the node that restarts; the version is
+ * active on this node at once. */
 active proctype writer()
 {
 	byte v;
@@ -112,13 +112,13 @@
 	:: d_step { api_up && in_force[1] < accepted -> v = in_force[1] + 1 };
 		if
 		:: d_step { take(1, v); v = 0 }
-		/* one write seen for two */
+		/* two writes observed as one */
 		:: d_step { v < accepted -> v++; take(1, v); v = 0 }
 		fi
 	od
 }
 
-/* Anti-entropy: an answer is made, and received later. */
+/* Anti-entropy: a response is created, and received later. */
 proctype pull(byte to; byte from)
 {
 	byte v;
@@ -146,7 +146,7 @@
 		in_force[0] = 0
 	   };
 		if
-		:: !ASK_AT_START -> v = 1 /* what its files were made with */
+		:: !ASK_AT_START -> v = 1 /* the version of its files on disk */
 		:: d_step { ASK_AT_START && api_up ->
 			v = accepted;
 			assert(v >= own) /* own_highest */
@@ -181,7 +181,7 @@
 		run pull(2, 0);
 		run pull(0, 2)
 	};
-	timeout; /* everything has come to rest */
+	timeout; /* all processes are blocked */
 	assert(in_force[0] == accepted && in_force[1] == accepted &&
 	    in_force[2] == accepted) /* reached */
 }
