--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -5,12 +5,12 @@
  * One caller sends a request with an idempotency key through gateway 0 and,
  * after a timeout, through gateway 1. Each of the two sends is a process
  * `asker`; its claim request may reach either gateway as owner of the bucket,
- * also both and more than once. An owner caches the record in memory and writes the
- * bucket's object on the asker's behalf. The model does not use the end of an
- * owner's lease: a paused owner may continue with its cached record at any
- * time, so `once` rests on the other safeguards alone. The response to a write
- * may be lost, and an abandoned write may take effect later. Gateways may stop
- * permanently at any step.
+ * also both and more than once. An owner caches the record in memory and
+ * writes the bucket's object on the asker's behalf. The model does not use the
+ * end of an owner's lease: a paused owner may continue with its cached record
+ * at any time, so `once` rests on the other safeguards alone. The response to
+ * a write may be lost, and an abandoned write may take effect later. Gateways
+ * may stop permanently at any step.
  *
  * Properties
  *   once       the target runs the key at most once
