--- a/bench/http_call.c
+++ b/bench/http_call.c
@@ -1,5 +1,5 @@
-/* One HTTP exchange for the bench scripts: `http_call METHOD URL [BODY]`
- * prints the answer's body; status 1 unless it is a 2xx. */
+/* One HTTP request for the bench scripts: `http_call METHOD URL [BODY]` prints
+ * the response body; the exit status is 1 unless the response is a 2xx. */
 
 #include <libsoup/soup.h>
 #include <stdio.h>
@@ -10,7 +10,7 @@
 {
 	SoupSession *session = soup_session_new();
 	SoupMessage *message;
-	GBytes *answer;
+	GBytes *response;
 	guint status;
 
 	if (argc < 3) {
@@ -27,15 +27,15 @@
 		    message, "application/json", body);
 		g_bytes_unref(body);
 	}
-	answer = soup_session_send_and_read(session, message, NULL, NULL);
+	response = soup_session_send_and_read(session, message, NULL, NULL);
 	status = soup_message_get_status(message);
-	if (answer != NULL) {
-		fwrite(g_bytes_get_data(answer, NULL), 1,
-		    g_bytes_get_size(answer), stdout);
+	if (response != NULL) {
+		fwrite(g_bytes_get_data(response, NULL), 1,
+		    g_bytes_get_size(response), stdout);
 		putchar('\n');
-		g_bytes_unref(answer);
+		g_bytes_unref(response);
 	}
 	g_object_unref(message);
 	g_object_unref(session);
-	return answer != NULL && status / 100 == 2 ? 0 : 1;
+	return response != NULL && status / 100 == 2 ? 0 : 1;
 }
--- a/bench/weights_model.c
+++ b/bench/weights_model.c
@@ -1,7 +1,7 @@
 /*
- * Makes a model for the weights bench: DIR/NAME.weights of random bytes and
- * DIR/NAME.chunks; prints its line for the versions file. With a seventh
- * argument the chunks are those of the seed with one in that many replaced.
+ * Creates a model for the weights bench: DIR/NAME.weights of random bytes and
+ * the chunk list DIR/NAME.chunks; prints the model's line of the versions file.
+ * With EVERY, one in EVERY chunks differs from those that SEED alone gives.
  */
 
 #include <inttypes.h>
@@ -14,21 +14,22 @@
 write_random(FILE *file, uint64_t bytes, uint64_t seed)
 {
 	struct rng rng;
-	uint64_t left;
+	uint64_t words_left;
 
 	rng_seed(&rng, seed);
-	for (left = bytes / sizeof(uint64_t); left > 0; left--) {
-		uint64_t word = rng_next(&rng);
+	for (words_left = bytes / sizeof(uint64_t); words_left > 0;
+	     words_left--) {
+		uint64_t value = rng_next(&rng);
 
-		if (fwrite(&word, sizeof(word), 1, file) != 1)
-			g_error("cannot write");
+		if (fwrite(&value, sizeof(value), 1, file) != 1)
+			g_error("cannot write the weights file");
 	}
 }
 
 int
 main(int argc, char **argv)
 {
-	uint64_t bytes, chunk_bytes, seed, every, at;
+	uint64_t bytes, chunk_bytes, seed, every, offset;
 	GByteArray *list;
 	struct wts_version v;
 	char hex[DIGEST_HEX];
@@ -50,11 +51,11 @@
 	file = fopen(path, "wb");
 	if (file == NULL)
 		g_error("%s cannot be written", path);
-	for (at = 0; at < bytes; at += chunk_bytes) {
-		uint64_t chunk = at / chunk_bytes;
+	for (offset = 0; offset < bytes; offset += chunk_bytes) {
+		uint64_t chunk = offset / chunk_bytes;
 		bool changed = every > 0 && chunk % every == 0;
 
-		write_random(file, MIN(chunk_bytes, bytes - at),
+		write_random(file, MIN(chunk_bytes, bytes - offset),
 		    seed * 1000003 + 2 * chunk + changed);
 	}
 	fclose(file);
--- a/bench/weights_node.c
+++ b/bench/weights_node.c
@@ -1,8 +1,9 @@
 /*
- * One host of the weights bench: the weights package alone behind a port, so
- * that a rollout is measured between real processes without entries and
- * engines. Driven by signals: USR1 wants the first version of the versions
- * file, USR2 the second, TERM prints the counters and ends.
+ * One host of the weights bench: only the weights package behind a port, so
+ * that a rollout is measured between real processes without gateways and
+ * engines. Controlled by signals: SIGUSR1 requests the first version of the
+ * versions file, SIGUSR2 the second, SIGHUP rereads the members file, SIGTERM
+ * prints the counters and ends the process.
  */
 
 #include <glib-unix.h>
@@ -19,12 +20,12 @@
 
 struct options {
 	char *id, *domain, *origin, *key;
-	char *members; /* file: `id address domain` a line */
-	char *versions; /* file: `name root bytes chunk_bytes` a line */
+	char *members; /* file, each line `id address domain` */
+	char *versions; /* file, each line `name root bytes chunk_bytes` */
 	int64_t rate;
 	int64_t memory;
 	int64_t seed;
-	int copies; /* 0: never reads the origin */
+	int copies; /* read from the origin over all hosts; 0: never */
 	int corrupt_permille; /* of the chunks that this host sends */
 };
 
@@ -36,11 +37,11 @@
 	struct wts *wts;
 	GMainLoop *loop;
 	struct wts_version version[VERSIONS];
-	int wanted; /* index of the newest version wanted; -1: none */
+	int requested; /* index of the newest requested version; -1: none */
 };
 
 /* ------------------------------------------------------------------ */
-/* Corruption on the way                                               */
+/* Corruption in transit                                               */
 /* ------------------------------------------------------------------ */
 
 #define DATA_TYPE 44 /* lib/weights/proto.h: index, offset, load, bytes */
@@ -58,7 +59,7 @@
 void __wrap_conn_send(
     struct conn *c, const struct msg_desc *desc, const void *message);
 
-/* Stands before conn_send (linked with --wrap). */
+/* Replaces conn_send (linked with --wrap). */
 void
 __wrap_conn_send(
     struct conn *c, const struct msg_desc *desc, const void *message)
@@ -110,16 +111,17 @@
 
 	for (i = 0; i < VERSIONS && lines[i] != NULL; i++) {
 		struct wts_version *v = &b->version[i];
-		char **word = g_strsplit(lines[i], " ", -1);
+		char **fields = g_strsplit(lines[i], " ", -1);
 
-		if (g_strv_length(word) != 4 ||
-		    !digest_from_hex(word[1], &v->root))
+		if (g_strv_length(fields) != 4 ||
+		    !digest_from_hex(fields[1], &v->root))
 			g_error("malformed line: %s", lines[i]);
-		snprintf(v->weights, sizeof(v->weights), "%s.weights", word[0]);
-		snprintf(v->chunks, sizeof(v->chunks), "%s.chunks", word[0]);
-		v->bytes = g_ascii_strtoull(word[2], NULL, 10);
-		v->chunk_bytes = g_ascii_strtoull(word[3], NULL, 10);
-		g_strfreev(word);
+		snprintf(
+		    v->weights, sizeof(v->weights), "%s.weights", fields[0]);
+		snprintf(v->chunks, sizeof(v->chunks), "%s.chunks", fields[0]);
+		v->bytes = g_ascii_strtoull(fields[2], NULL, 10);
+		v->chunk_bytes = g_ascii_strtoull(fields[3], NULL, 10);
+		g_strfreev(fields);
 	}
 	g_strfreev(lines);
 }
@@ -130,20 +132,20 @@
 	char **lines = read_lines(b->opt.members);
 	guint n = g_strv_length(lines);
 	struct wts_peer *peers = g_new0(struct wts_peer, n + 1);
-	char ***words = g_new0(char **, n + 1);
+	char ***fields = g_new0(char **, n + 1);
 	guint i;
 
 	for (i = 0; i < n; i++) {
-		words[i] = g_strsplit(lines[i], " ", -1);
-		if (g_strv_length(words[i]) != 3)
+		fields[i] = g_strsplit(lines[i], " ", -1);
+		if (g_strv_length(fields[i]) != 3)
 			g_error("malformed line: '%s'", lines[i]);
-		peers[i] =
-		    (struct wts_peer){ words[i][0], words[i][1], words[i][2] };
+		peers[i] = (struct wts_peer){ fields[i][0], fields[i][1],
+			fields[i][2] };
 	}
 	wts_set_peers(b->wts, root, peers, n);
 	for (i = 0; i < n; i++)
-		g_strfreev(words[i]);
-	g_free(words);
+		g_strfreev(fields[i]);
+	g_free(fields);
 	g_free(peers);
 	g_strfreev(lines);
 }
@@ -165,7 +167,7 @@
 }
 
 static void
-print_state(struct bench_node *b, const char *word, int index)
+print_state(struct bench_node *b, const char *event, int index)
 {
 	struct ctr_set *set = b->self.counters;
 	struct wts_progress p = { 0 };
@@ -179,7 +181,7 @@
 	       " late_bytes=%" PRId64 " stalls=%" PRId64 " busy=%" PRId64
 	       " corrupt=%" PRId64 " out_of_turn=%" PRId64 " extra=%" PRId64
 	       " rss=%" PRIu64 " held=%" PRIu64 " why=%s\n",
-	    word, b->opt.id, index, g_get_real_time() / 1000, p.have, p.total,
+	    event, b->opt.id, index, g_get_real_time() / 1000, p.have, p.total,
 	    ctr_read(set, "wts_origin_bytes"),
 	    ctr_read(set, "wts_cross_domain_bytes"),
 	    ctr_read(set, "wts_peer_bytes"),
@@ -206,9 +208,9 @@
 	return -1;
 }
 
-/* What an engine beside would load, digested once more. */
+/* Digests the chunks again, as an engine on the host would load them. */
 static bool
-loads_whole(struct bench_node *b, const struct wts_version *v)
+verify_chunks(struct bench_node *b, const struct wts_version *v)
 {
 	GByteArray *list = g_byte_array_new();
 	struct digest root;
@@ -242,14 +244,14 @@
 	if (progress->phase != WTS_COMPLETE)
 		return;
 	print_state(b, "whole", index);
-	if (!loads_whole(b, version))
+	if (!verify_chunks(b, version))
 		print_state(b, "corrupt_loaded", index);
 	if (index == 1)
 		wts_drop(b->wts, &b->version[0].root);
 }
 
 static void
-want(struct bench_node *b, int index)
+request_version(struct bench_node *b, int index)
 {
 	struct wts_progress old = { 0 };
 	struct wts_want w = {
@@ -262,38 +264,37 @@
 	if (!wts_want(b->wts, &w, &err))
 		g_error("%s", err.message);
 	if (index == 1) {
-		/* A version in mid-flight is superseded; a whole one serves
-		 * until the next is whole. */
+		/* An incomplete version is superseded; a complete one is
+		 * served until the next one is complete. */
 		wts_progress(b->wts, &b->version[0].root, &old);
 		if (old.phase != WTS_COMPLETE)
 			wts_drop(b->wts, &b->version[0].root);
 	}
-	b->wanted = index;
+	b->requested = index;
 	set_members(b, &w.version.root);
 }
 
 static gboolean
 on_first(gpointer data)
 {
-	want(data, 0);
+	request_version(data, 0);
 	return G_SOURCE_CONTINUE;
 }
 
 static gboolean
 on_second(gpointer data)
 {
-	want(data, 1);
+	request_version(data, 1);
 	return G_SOURCE_CONTINUE;
 }
 
-/* The members list has changed. */
 static gboolean
-on_hup(gpointer data)
+on_members_changed(gpointer data)
 {
 	struct bench_node *b = data;
 	int i;
 
-	for (i = 0; i <= b->wanted; i++)
+	for (i = 0; i <= b->requested; i++)
 		set_members(b, &b->version[i].root);
 	return G_SOURCE_CONTINUE;
 }
@@ -303,7 +304,7 @@
 {
 	struct bench_node *b = data;
 
-	print_state(b, "end", b->wanted);
+	print_state(b, "end", b->requested);
 	g_main_loop_quit(b->loop);
 	return G_SOURCE_CONTINUE;
 }
@@ -364,27 +365,27 @@
 		{ "members", 0, POPT_ARG_STRING, &o->members, 0, NULL, NULL },
 		{ "versions", 0, POPT_ARG_STRING, &o->versions, 0, NULL, NULL },
 		{ "rate", 0, POPT_ARG_LONGLONG, &o->rate, 0,
-		    "bytes a second of the link", NULL },
+		    "link rate in bytes per second", NULL },
 		{ "memory", 0, POPT_ARG_LONGLONG, &o->memory, 0, NULL, NULL },
 		{ "seed", 0, POPT_ARG_LONGLONG, &o->seed, 0, NULL, NULL },
 		{ "copies", 0, POPT_ARG_INT, &o->copies, 0,
-		    "from the origin, over all hosts", NULL },
+		    "copies read from the origin over all hosts", NULL },
 		{ "corrupt-permille", 0, POPT_ARG_INT, &o->corrupt_permille, 0,
-		    "of the chunks sent to others", NULL },
+		    "share of the sent chunks that is corrupted", NULL },
 		POPT_AUTOHELP POPT_TABLEEND };
 	poptContext context = poptGetContext(NULL, argc, argv, table, 0);
-	int got = poptGetNextOpt(context);
+	int result = poptGetNextOpt(context);
 
-	if (got < -1) {
+	if (result < -1) {
 		fprintf(stderr, "%s: %s\n",
 		    poptBadOption(context, POPT_BADOPTION_NOALIAS),
-		    poptStrerror(got));
+		    poptStrerror(result));
 		exit(2);
 	}
 	poptFreeContext(context);
 	if (o->id == NULL || o->domain == NULL || o->origin == NULL ||
 	    o->members == NULL || o->versions == NULL || o->rate <= 0) {
-		fprintf(stderr, "weights_node: an option is missing\n");
+		fprintf(stderr, "weights_node: a required option is missing\n");
 		exit(2);
 	}
 }
@@ -430,7 +431,7 @@
 {
 	struct bench_node b = {
 		.opt = { .memory = 1 << 30, .copies = 1, .seed = 1 },
-		.wanted = -1,
+		.requested = -1,
 	};
 
 	parse(&b.opt, argc, argv);
@@ -441,7 +442,7 @@
 	b.loop = g_main_loop_new(NULL, FALSE);
 	g_unix_signal_add(SIGUSR1, on_first, &b);
 	g_unix_signal_add(SIGUSR2, on_second, &b);
-	g_unix_signal_add(SIGHUP, on_hup, &b);
+	g_unix_signal_add(SIGHUP, on_members_changed, &b);
 	g_unix_signal_add(SIGTERM, on_term, &b);
 	start(&b);
 	g_main_loop_run(b.loop);
