--- a/bench/route_bench.c
+++ b/bench/route_bench.c
@@ -1,7 +1,8 @@
 /*
- * What a decision on the way of a request costs, alone on one core. One line
- * a decision: `route name=NAME targets=N ns_op=T ops_s=R`. No gate: a figure
- * is for the page, and the next change is measured against it.
+ * Cost of each decision on the request path, measured in isolation on one
+ * core. Prints one line for each decision: `route name=NAME targets=N ns_op=T ops_s=R`. No
+ * limit is enforced; the figures are published and serve as the baseline for
+ * the next change.
  */
 
 #include <stdio.h>
@@ -9,7 +10,7 @@
 
 #include "route/route.h"
 
-#define RUN_US (300 * 1000) /* each case is repeated for so long */
+#define RUN_US (300 * 1000) /* duration of each case */
 #define BATCH 1000
 #define TARGETS 600
 #define TICKETS 2000
@@ -27,7 +28,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Choice                                                              */
+/* Target selection                                                    */
 /* ------------------------------------------------------------------ */
 
 static struct rt_fleet *
@@ -52,12 +53,12 @@
 	return fleet;
 }
 
-/* A choice with all that goes with it: sent, told, ended. */
+/* Selects a target and records the request as sent, reported and ended. */
 static void
-bench_choose(const char *name, size_t n, unsigned int resting_pct, bool prefix)
+bench_choose(const char *name, size_t n, unsigned int backoff_pct, bool prefix)
 {
 	struct rt_fleet *fleet = make_fleet(n);
-	struct rt_criteria wish = {
+	struct rt_criteria criteria = {
 		.kind = RT_ENGINE,
 		.workspace = "team",
 		.pool = "large",
@@ -67,24 +68,26 @@
 		.domain = "a",
 	};
 	const struct err none = { 0 };
-	int64_t began = clk_now_us(clk_system()), now, ops = 0;
+	int64_t start_us = clk_now_us(clk_system()), now_us, ops = 0;
 	struct rt_target *t;
 	size_t i;
 
-	for (i = 0; i < n * resting_pct / 100; i++)
+	for (i = 0; i < n * backoff_pct / 100; i++)
 		targets[i].backoff_until_us = INT64_MAX;
 	do {
-		now = clk_now_us(clk_system());
+		now_us = clk_now_us(clk_system());
 		for (i = 0; i < BATCH; i++, ops++) {
-			wish.prefix = prefix ? 1 + rng_below(&rng, 5000) : 0;
-			t = rt_choose(fleet, &wish, now, &rng);
-			rt_fleet_prefix_sent(fleet, t, wish.prefix, now);
-			rt_target_sent(t, now);
-			rt_target_reported(t, (unsigned int)(i % SLOTS), now);
-			rt_target_ended(t, &none, now);
+			criteria.prefix =
+			    prefix ? 1 + rng_below(&rng, 5000) : 0;
+			t = rt_choose(fleet, &criteria, now_us, &rng);
+			rt_fleet_prefix_sent(fleet, t, criteria.prefix, now_us);
+			rt_target_sent(t, now_us);
+			rt_target_reported(
+			    t, (unsigned int)(i % SLOTS), now_us);
+			rt_target_ended(t, &none, now_us);
 		}
-	} while (now - began < RUN_US);
-	report(name, n, ops, clk_now_us(clk_system()) - began);
+	} while (now_us - start_us < RUN_US);
+	report(name, n, ops, clk_now_us(clk_system()) - start_us);
 	rt_fleet_free(fleet);
 }
 
@@ -102,8 +105,8 @@
 {
 }
 
-/* All slots taken and half the tickets waiting: an end, a start from the queue and an
- * offer. */
+/* With all slots taken and half of the tickets queued, ends one request, starts
+ * the next one from the queue and submits another. */
 static void
 bench_admit(void)
 {
@@ -111,51 +114,51 @@
 	static struct adm_ticket ticket[TICKETS];
 	const struct adm_load load = { TICKETS / 2, 0, 1 };
 	struct adm *adm = adm_new(TICKETS, &ops, NULL);
-	struct adm_workspace *team = adm_workspace(adm, "team");
-	struct adm_queue *lane = adm_queue(team, "large");
-	int64_t began = clk_now_us(clk_system()), now = began, n = 0;
+	struct adm_workspace *workspace = adm_workspace(adm, "team");
+	struct adm_queue *queue = adm_queue(workspace, "large");
+	int64_t start_us = clk_now_us(clk_system()), now_us = start_us, n = 0;
 	size_t i;
 
-	adm_workspace_set(team, 100, TICKETS);
-	adm_queue_load(lane, &load, now);
+	adm_workspace_set(workspace, 100, TICKETS);
+	adm_queue_load(queue, &load, now_us);
 	for (i = 0; i < TICKETS; i++) {
 		ticket[i].priority = (unsigned int)(i % 3) * 100;
 		ticket[i].deadline_us = INT64_MAX / 2;
-		adm_submit(lane, &ticket[i], now, NULL);
+		adm_submit(queue, &ticket[i], now_us, NULL);
 	}
 	do {
-		now = clk_now_us(clk_system());
+		now_us = clk_now_us(clk_system());
 		for (i = 0; i < TICKETS; i++) {
 			if (ticket[i].state != ADM_STARTED)
 				continue;
-			adm_done(&ticket[i], ADM_OTHER, now);
-			adm_submit(lane, &ticket[i], now, NULL);
+			adm_done(&ticket[i], ADM_OTHER, now_us);
+			adm_submit(queue, &ticket[i], now_us, NULL);
 			n++;
 		}
-	} while (now - began < RUN_US);
-	report("admit", 0, n, clk_now_us(clk_system()) - began);
+	} while (now_us - start_us < RUN_US);
+	report("admit", 0, n, clk_now_us(clk_system()) - start_us);
 	for (i = 0; i < TICKETS; i++)
-		adm_cancel(&ticket[i], now);
+		adm_cancel(&ticket[i], now_us);
 	adm_free(adm);
 }
 
 /* ------------------------------------------------------------------ */
-/* Attempt, limit                                                      */
+/* Attempts and request limits                                         */
 /* ------------------------------------------------------------------ */
 
 static void
-nothing(void *ctx)
+ignore(void *ctx)
 {
 }
 
 static void
 bench_attempt(const char *charts)
 {
-	static const struct att_ops ops = { nothing, nothing, nothing, nothing,
-		nothing, nothing, nothing, nothing, nothing };
+	static const struct att_ops ops = { ignore, ignore, ignore, ignore,
+		ignore, ignore, ignore, ignore, ignore };
 	struct err err = { 0 };
 	struct att_chart *chart = att_chart_load(charts, &err);
-	int64_t began = clk_now_us(clk_system()), now, n = 0;
+	int64_t start_us = clk_now_us(clk_system()), now_us, n = 0;
 	struct att att;
 	size_t i;
 
@@ -171,26 +174,26 @@
 			att_step(&att, ATT_HEAD);
 			att_step(&att, ATT_DONE);
 		}
-		now = clk_now_us(clk_system());
-	} while (now - began < RUN_US);
-	report("attempt", 0, n, now - began);
+		now_us = clk_now_us(clk_system());
+	} while (now_us - start_us < RUN_US);
+	report("attempt", 0, n, now_us - start_us);
 	att_chart_free(chart);
 }
 
 static void
 bench_limit(void)
 {
-	int64_t began = clk_now_us(clk_system()), now = began, n = 0;
-	struct lim *lim = lim_new(now);
+	int64_t start_us = clk_now_us(clk_system()), now_us = start_us, n = 0;
+	struct lim *lim = lim_new(now_us);
 	size_t i;
 
-	lim_set(lim, 1000000, 4, now);
+	lim_set(lim, 1000000, 4, now_us);
 	do {
-		now = clk_now_us(clk_system());
+		now_us = clk_now_us(clk_system());
 		for (i = 0; i < BATCH; i++, n++)
-			lim_take(lim, now, NULL);
-	} while (now - began < RUN_US);
-	report("limit", 0, n, clk_now_us(clk_system()) - began);
+			lim_take(lim, now_us, NULL);
+	} while (now_us - start_us < RUN_US);
+	report("limit", 0, n, clk_now_us(clk_system()) - start_us);
 	lim_free(lim);
 }
 
