--- a/bench/control.sh
+++ b/bench/control.sh
@@ -1,14 +1,15 @@
 #!/bin/sh
-# Control bench: what agreement costs and how fast it is, with real entries and
-# sides on loopback. One line a case; `sh bench/control.sh BUILD`, sizes by
-# environment N ("20 40 80"), CASES (all).
+# Control bench: cost and latency of the control plane (settings, membership,
+# leases) with real gateways and sidecars on loopback. Prints one line for each
+# case; `sh bench/control.sh BUILD`, settings from the environment: fleet sizes
+# N ("20 40 80"), CASES (all).
 #
 #   control case=NAME n=N api_reads_s=R api_writes_s=W refused_writes=F
 #   bytes_node_s=B cpu_node_pct=C rss_mb=M p99_ms=T
 #
-# bytes_node_s is sent plus received by one node, mean over all; p99_ms is the
-# slowest node of all rounds, from the events' own stamps. A figure that a
-# case does not measure is `-`.
+# bytes_node_s is the bytes that one node sends and receives, mean over all
+# nodes; p99_ms is the time of the slowest node of all rounds, from the
+# timestamps of the events. A figure that a case does not measure is `-`.
 set -u
 BUILD=$1
 STAGE=$BUILD/bench-control
@@ -36,8 +37,9 @@
 # The fleet
 # ---------------------------------------------------------------------
 
-# node_pids, node_urls (entries, then sides' loopback), entry_urls.
-start_fleet() { # N
+# start_fleet N: starts N processes; sets node_pids and node_urls (gateways,
+# then the loopback addresses of the sidecars).
+start_fleet() {
 	n=$1
 	stage_begin
 	stage_standin objects objects || exit 1
@@ -91,12 +93,12 @@
 	operate settings set cedar "$STAGE/cedar.yaml" >/dev/null
 }
 
-members_at() { # URL: members that it knows alive
+members_at() { # URL: members in state alive, as reported by this gateway
 	curl -fs -H "Authorization: Bearer $root_token" "$1/v1/status" |
 	    tr '{' '\n' | grep -c '"state":"alive"'
 }
 
-wait_members() { # COUNT, at every entry
+wait_members() { # COUNT: at every gateway
 	for url in $(echo "$entries" | tr ',' ' '); do
 		tries=0
 		until [ "$(members_at "$url")" -ge "$1" ]; do
@@ -108,7 +110,7 @@
 }
 
 # ---------------------------------------------------------------------
-# Measuring
+# Measurements
 # ---------------------------------------------------------------------
 
 api_count() { # KEY
@@ -116,19 +118,19 @@
 	    sed -n "s/^\"$1\":\([0-9]*\)$/\1/p"
 }
 
-bytes_now() { # sum over all nodes of datagram and connection bytes
+bytes_now() { # datagram and connection bytes, sum over all nodes
 	for url in $node_urls; do
 		curl -fs "$url/metrics"
 	done | awk '/^(dgram|conn)_(sent|received)_bytes / { s += $2 } END { print s + 0 }'
 }
 
-cpu_now() { # ticks of all nodes
+cpu_now() { # CPU ticks, sum over all nodes
 	for pid in $node_pids; do
 		cat "/proc/$pid/stat" 2>/dev/null
 	done | awk '{ s += $14 + $15 } END { print s + 0 }'
 }
 
-rss_worst() { # MB
+rss_worst() { # largest resident set of a node, MB
 	for pid in $node_pids; do
 		grep VmRSS "/proc/$pid/status" 2>/dev/null
 	done | awk '$2 > m { m = $2 } END { printf "%.1f", m / 1024 }'
@@ -143,7 +145,8 @@
 	w_start=$(date +%s%3N)
 }
 
-# Ends the window; before events are collected, which costs bytes itself.
+# Closes the window. Must run before events are collected, as their collection
+# itself adds bytes.
 close_window() {
 	w_ms=$(($(date +%s%3N) - w_start))
 	cpu=$(($(cpu_now) - w_cpu))
@@ -153,7 +156,7 @@
 	refused=$(($(api_count refused) - w_refused))
 }
 
-# report CASE P99: of the window closed last.
+# report CASE P99: prints the line of the window closed last.
 report() {
 	line "$1" \
 	    "$(echo "$reads $w_ms" | awk '{ printf "%.2f", $1 * 1000 / $2 }')" \
@@ -164,16 +167,17 @@
 	    "$(rss_worst)" "$2"
 }
 
-# Events of all processes as `MS NODE KIND SUBJECT TEXT...` lines.
+# Prints the events of all processes as `MS NODE KIND SUBJECT TEXT...` lines.
 events() {
 	operate --json timeline 2>/dev/null | tr -d '\n' | sed 's/{ */\n/g' |
 	    sed -n 's/.*"hlc" : \([0-9]*\),.*"node" : "\([^"]*\)",.*"kind" : "\([^"]*\)",.*"subject" : "\([^"]*\)",.*"text" : "\([^"]*\)".*/\1 \2 \3 \4 \5/p' |
 	    awk '{ $1 = sprintf("%.0f", $1 / 65536); print }'
 }
 
-# Slowest node to have the branch's version in force, from the start of the
-# operator's command.
-in_force_ms() { # VERSION START-MS
+# in_force_ms VERSION START-MS: prints the time from the start of the operator's
+# command until the branch's version was active on the slowest node, and the
+# number of nodes on which it is active.
+in_force_ms() {
 	events | awk -v v="$1" -v t0="$2" '
 		$3 == "settings_in_force" && $4 == "cedar" && $5 == "version=" v {
 			if ($1 > t) t = $1
@@ -274,7 +278,7 @@
 	sleep 1
 }
 
-lead_number() { # the entry that leads, 0 for none
+leader_number() { # index of the gateway that is leader, 0 for none
 	i=0
 	for url in $(echo "$entries" | tr ',' ' '); do
 		i=$((i + 1))
@@ -285,11 +289,11 @@
 	echo 0
 }
 
-wait_lead() { # NOT-THIS
+wait_leader() { # EXCEPT: waits for a leader other than gateway EXCEPT
 	tries=0
 	while :; do
-		lead=$(lead_number)
-		[ "$lead" != 0 ] && [ "$lead" != "$1" ] && return 0
+		leader=$(leader_number)
+		[ "$leader" != 0 ] && [ "$leader" != "$1" ] && return 0
 		tries=$((tries + 1))
 		[ $tries -gt 150 ] && return 1
 		sleep 0.1
@@ -297,13 +301,13 @@
 }
 
 case_lead_paused() {
-	wait_lead 0
-	old=$lead
-	eval "pid=\$entry_pid_$old"
+	wait_leader 0
+	old_leader=$leader
+	eval "pid=\$entry_pid_$old_leader"
 	begin_window
 	kill -STOP "$pid"
 	t0=$(date +%s%3N)
-	wait_lead "$old"
+	wait_leader "$old_leader"
 	t1=$(date +%s%3N)
 	kill -CONT "$pid"
 	sleep 0.5
@@ -321,12 +325,12 @@
 }
 
 case_lead_crash() {
-	wait_lead 0
-	old=$lead
-	eval "pid=\$entry_pid_$old"
+	wait_leader 0
+	old_leader=$leader
+	eval "pid=\$entry_pid_$old_leader"
 	kill -KILL "$pid"
 	t0=$(date +%s%3N)
-	wait_lead "$old"
+	wait_leader "$old_leader"
 	t1=$(date +%s%3N)
 	line lead-crash - - - - - "$(rss_worst)" $((t1 - t0))
 }
