--- a/bench/requests.sh
+++ b/bench/requests.sh
@@ -1,14 +1,15 @@
 #!/bin/sh
-# Requests bench: 2 entries, N engines (12), 3 services on loopback, one line
-# a case. `sh bench/requests.sh BUILD`; N, SEED (1), CASES (all) by
-# environment. What is counted comes from the engines' and services' own logs
-# against what the callers were told (`standin tally`).
+# Requests bench: 2 gateways, N engines (12) and 3 services on loopback; prints
+# one line for each case. `sh bench/requests.sh BUILD`; settings from the
+# environment: N, SEED (1), CASES (all). The counts compare the logs of the
+# engines and services with the responses that the callers received
+# (`standin tally`).
 #
-# Capacity is what the engines can do by their slots and step: N * slots /
-# ((tokens + 1) * step) requests a second. The load of most cases is 0.5 of it.
-# cut counts answers that broke off; cut_told those of them that ended with a
-# visible error; lost those that got no answer at all. After targets-die one
-# engine and one side fewer are there until the end.
+# Capacity is computed from the engines' slots and step time: N * slots /
+# ((tokens + 1) * step) requests per second. Most cases run at half of it.
+# cut counts truncated responses, cut_told those of them that ended with a
+# visible error, lost the requests without any response. After targets-die one
+# engine and one sidecar are missing until the end.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${1:-build}
@@ -39,7 +40,7 @@
 # ---------------------------------------------------------------------
 # Set-up
 
-publish() { # VERSION: bytes and chunk list at the origin
+publish() { # VERSION: puts weights and chunk list on the origin
 	head -c 1048576 /dev/urandom >"$STAGE/origin/$1.bin"
 	root=$("$bin/entry/currantchute" model digest "$STAGE/origin/$1.bin" \
 	    --chunk-bytes 65536 --out "$STAGE/origin/$1.chunks" |
@@ -114,9 +115,10 @@
 }
 
 # ---------------------------------------------------------------------
-# Load and figures
+# Load and measurements
 
-# call NAME URLS RATE SECONDS [OPTIONS...]: sends; ends when all is answered.
+# call NAME URLS RATE SECONDS [OPTIONS...]: sends requests and returns when all
+# are answered.
 call() {
 	call_name=$1
 	call_urls=$2
@@ -130,7 +132,7 @@
 	    2>>"$STAGE/log/caller.err"
 }
 
-ms() { # NAME HISTOGRAM POINT: of a caller's summary
+ms() { # NAME HISTOGRAM POINT: percentile from a caller's summary
 	grep -o "\"$2\":{[^}]*}" "$STAGE/$1.json" |
 	    sed "s/.*\"$3\":\([0-9]*\).*/\1/" | awk '{ printf "%.1f", $1 / 1000 }'
 }
@@ -139,21 +141,22 @@
 	awk "BEGIN { printf \"%.1f\", $1 - $2 }"
 }
 
-counter_of() { # URL
+retries_at() { # URL
 	curl -s -m 5 "$1/metrics" |
 	    awk '$1 == "request_retries" { n = $2 } END { print n + 0 }'
 }
 
-retries() { # so far, at the entries that live
-	echo $(($(counter_of "$entry_1") + $(counter_of "$entry_2")))
+retries() { # total at the live gateways
+	echo $(($(retries_at "$entry_1") + $(retries_at "$entry_2")))
 }
 
 cpu_s() { # PID
 	awk '{ print ($14 + $15) / 100 }' "/proc/$1/stat"
 }
 
-# tell NAME MORE: the line of a case, from the summary of the same name.
-tell() {
+# report NAME MORE [POSTS]: prints the line of a case from the caller summary of
+# the same name.
+report() {
 	"$standin" tally --case "$1" --engines "$engines" \
 	    --services "$services" --callers "$STAGE/$1.json" \
 	    --retries $(($(retries) - retries_before)) --more "$2" \
@@ -164,8 +167,8 @@
 # Cases
 
 case_steady() {
-	# One token at a low rate, the prompt in every cache: neither queue nor
-	# prefill blurs what we add.
+	# Uses one token at a low rate, with the prompt in every cache, so that
+	# neither queueing nor prefill hides the latency added by the gateway.
 	call warm "$engines" 100 0.5 --max-tokens 1
 	call direct "$engines" 60 1 --max-tokens 1
 	call through "$entries" 60 1 --max-tokens 1
@@ -174,7 +177,7 @@
 	cpu=$(minus "$(cpu_s "$entry_pid_1")" "$cpu_before")
 	sent=$(sed 's/.*"sent":\([0-9]*\).*/\1/' "$STAGE/steady.json" | cut -d , -f 1)
 	per_core=$(awk "BEGIN { if ($cpu > 0) printf \"%.0f\", $sent / 2 / $cpu; else print \"unmeasured\" }")
-	tell steady "added_p50_ms=$(minus "$(ms through first_token_us p50)" "$(ms direct first_token_us p50)") added_p95_ms=$(minus "$(ms through first_token_us p95)" "$(ms direct first_token_us p95)") requests_s_per_entry_core=$per_core tokens_per_request=$tokens"
+	report steady "added_p50_ms=$(minus "$(ms through first_token_us p50)" "$(ms direct first_token_us p50)") added_p95_ms=$(minus "$(ms through first_token_us p95)" "$(ms direct first_token_us p95)") requests_s_per_entry_core=$per_core tokens_per_request=$tokens"
 }
 
 case_burst_3x() {
@@ -185,7 +188,7 @@
 	sleep 2
 	call after "$entries" "$half" 0.5
 	answered=$(sed 's/.*"answered":\([0-9]*\).*/\1/' "$STAGE/burst-3x.json" | cut -d , -f 1)
-	tell burst-3x "of_capacity=$(awk "BEGIN { printf \"%.2f\", $answered / ($capacity * $took) }") seconds=$took refusal_p50_ms=$(ms burst-3x refusal_us p50) refusal_p95_ms=$(ms burst-3x refusal_us p95) after_2s_first_token_p95_ms=$(ms after first_token_us p95)"
+	report burst-3x "of_capacity=$(awk "BEGIN { printf \"%.2f\", $answered / ($capacity * $took) }") seconds=$took refusal_p50_ms=$(ms burst-3x refusal_us p50) refusal_p95_ms=$(ms burst-3x refusal_us p95) after_2s_first_token_p95_ms=$(ms after first_token_us p95)"
 	for policy in round-robin random least-load; do
 		echo "requests case=burst-3x policy=$policy not run (no setting switches the choice)"
 	done
@@ -195,16 +198,16 @@
 	call targets-die "$entries" "$half" 2.5 &
 	load=$!
 	sleep 1
-	# The log dies with the engine; it is saved as late as can be. Runs
-	# that end within the few ms between are not seen.
-	eval "gone=\$engine_$n gone_pid=\$engine_pid_$n"
+	# The engine's log is lost when it is killed, so the log is saved just
+	# before. Requests that end in the few ms between are not counted.
+	eval "gone=\$engine_$n killed_pid=\$engine_pid_$n"
 	curl -s "$gone/admin/log" >"$STAGE/gone.json"
-	kill -KILL "$gone_pid"
+	kill -KILL "$killed_pid"
 	engines=$(echo "$engines" | sed "s|$gone|$STAGE/gone.json|")
 	sleep 0.7
 	eval "kill -KILL \$side_pid_$((n - 1))"
 	wait $load
-	tell targets-die "killed=engine-$n,side-$((n - 1))"
+	report targets-die "killed=engine-$n,side-$((n - 1))"
 }
 
 case_links_stall() {
@@ -216,7 +219,7 @@
 	sleep 1.5
 	kill -CONT "$stalled"
 	wait $load
-	tell links-stall "stalled=side-$((n - 2)) for_s=1.5"
+	report links-stall "stalled=side-$((n - 2)) for_s=1.5"
 }
 
 case_rolling_drain() {
@@ -228,7 +231,7 @@
 	stage_pids="$stage_pids $load"
 	drained=0
 	# One edit moves the drain from a host to the next; the command returns
-	# when it is in force everywhere.
+	# when the settings are active everywhere.
 	for i in $(seq "$n"); do
 		{
 			cat "$STAGE/platform.yaml"
@@ -241,7 +244,7 @@
 	operate settings set platform "$STAGE/platform.yaml" >/dev/null
 	kill -TERM $load
 	wait $load
-	tell rolling-drain "drained=$drained/$n"
+	report rolling-drain "drained=$drained/$n"
 }
 
 case_version_switch() {
@@ -252,24 +255,24 @@
 	operate --wait-ms 15000 rollout start cedar/care v2 \
 	    >"$STAGE/log/rollout-v2" 2>&1
 	wait $load
-	tell version-switch "answers_by_version=$(grep -o '"digests":{[^}]*}' \
+	report version-switch "answers_by_version=$(grep -o '"digests":{[^}]*}' \
 	    "$STAGE/version-switch.json" | sed 's/"digests"://; s/[{}" ]//g; s/:/=/g')"
 }
 
-# A keyed request to a service, tried again at the other entry until it has an
-# answer of one: its path names it in the services' logs.
+# Sends a keyed request to a service and retries it at the other gateway until
+# one of them answers it. The path identifies the request in the services' logs.
 keyed() { # NUMBER
 	for url in "$entry_1" "$entry_2" "$entry_2" "$entry_2"; do
-		said=$(curl -s -m 5 -o /dev/null -w '%{http_code} %header{x-verdict}' \
+		result=$(curl -s -m 5 -o /dev/null -w '%{http_code} %header{x-verdict}' \
 		    -H "Authorization: Bearer $caller_token" \
 		    -H "Idempotency-Key: bench-$1" -d "number $1" \
 		    "$url/services/cedar/book/once-$1")
-		case $said in
+		case $result in
 		"200 "*) break ;;
 		esac
 		sleep 0.5
 	done
-	echo "/once-$1 $said" >>"$STAGE/posts"
+	echo "/once-$1 $result" >>"$STAGE/posts"
 }
 
 case_entry_dies() {
@@ -279,22 +282,22 @@
 	for url in $(echo "$services" | tr ',' ' '); do
 		curl -s -o /dev/null -d '{"delay_ms":200}' "$url/admin/faults"
 	done
-	posters=
+	poster_pids=
 	for i in $(seq 100); do
 		keyed "$i" &
-		posters="$posters $!"
+		poster_pids="$poster_pids $!"
 		if [ "$i" -eq 50 ]; then
-			# Its counter dies with it.
+			# The gateway's counter is lost with it.
 			retries_before=$((retries_before -
-			    $(counter_of "$entry_1")))
+			    $(retries_at "$entry_1")))
 			kill -KILL "$entry_pid_1"
 		fi
 		sleep 0.02
 	done
 	# shellcheck disable=SC2086
-	wait $load $posters
+	wait $load $poster_pids
 	in_doubt=$(grep -c MAY_HAVE_RUN "$STAGE/posts")
-	tell entry-dies "keyed=100 in_doubt=$in_doubt" "$STAGE/posts"
+	report entry-dies "keyed=100 in_doubt=$in_doubt" "$STAGE/posts"
 	entries=$entry_2
 }
 
@@ -302,10 +305,10 @@
 	curl -s -o /dev/null -d '{"down":true}' "$objects/admin/faults"
 	call api-down "$entries" "$half" 2
 	curl -s -o /dev/null -d '{"down":false}' "$objects/admin/faults"
-	tell api-down "down_s=2"
+	report api-down "down_s=2"
 }
 
-cache() { # hits|misses: over the engines that live
+cache() { # hits|misses: total over the live engines
 	for url in $(echo "$engines" | tr ',' ' '); do
 		case $url in
 		http*) curl -s -m 5 "$url/admin/log" ;;
@@ -313,14 +316,14 @@
 	done | grep -o "\"cache_$1\": *[0-9]*" | awk -F : '{ n += $2 } END { print n + 0 }'
 }
 
-# 120 prompts of 500 tokens; an engine's cache holds 12 of them.
+# Uses 120 prompts of 500 tokens; the cache of an engine holds 12 of them.
 case_prefix() {
 	hits=$(cache hits)
 	misses=$(cache misses)
 	call prefix "$entries" "$half" 2.5 --prompts 120 --prompt-bytes 2000
 	hits=$(($(cache hits) - hits))
 	misses=$(($(cache misses) - misses))
-	tell prefix "cache_hit_ratio=$(awk "BEGIN { printf \"%.2f\", $hits / ($hits + $misses + 1e-9) }") prompts=120"
+	report prefix "cache_hit_ratio=$(awk "BEGIN { printf \"%.2f\", $hits / ($hits + $misses + 1e-9) }") prompts=120"
 	for policy in round-robin random least-load; do
 		echo "requests case=prefix policy=$policy not run (no setting switches the choice)"
 	done
