--- a/bench/weights.sh
+++ b/bench/weights.sh
@@ -1,11 +1,13 @@
 #!/bin/sh
-# Weights bench: N real processes on loopback with paced links, an origin, one line a
-# case. `sh bench/weights.sh BUILD`; N (60), SEED (1), CASES (all) by environment.
+# Weights bench: N real processes on loopback with rate-limited links and an
+# origin; prints one line for each case. `sh bench/weights.sh BUILD`; settings
+# from the environment: N (60), SEED (1), CASES (all).
 #
-# S bytes and a window W: the origin sends 4 S in W, a host's link carries 2 S
-# each way. time_ratio is the time until every live host has verified the
-# version, over the bound W/2. The cases that would take long (origin-only,
-# chain, tree) run with smaller S and W at the same proportions.
+# For a version of S bytes and a window W, the origin sends 4 S in W and a
+# host's link carries 2 S each way. time_ratio is the time until every live host
+# has verified the version, divided by the bound W/2. The cases that would take
+# long (origin-only, chain, tree) run with smaller S and W in the same
+# proportions.
 set -eu
 build=$1
 n=${N:-60}
@@ -17,7 +19,7 @@
 chunks=256
 chunk_kb=128
 window_ms=8000
-limit_s=60 # a case that is not done by then says so
+limit_s=60 # a case that takes longer is reported as incomplete
 dir=$(mktemp -d)
 pids=
 origin_pid=
@@ -37,8 +39,8 @@
 	date +%s%3N
 }
 
-# size CHUNK_KB WINDOW_MS: sets S and the rates of a case.
-size() {
+# set_size CHUNK_KB WINDOW_MS: sets S, the window and the rates of a case.
+set_size() {
 	chunk=$(($1 * 1024))
 	bytes=$((chunk * chunks))
 	window=$2
@@ -63,7 +65,7 @@
 	origin=http://127.0.0.1:$(awk '/^ready/ { print $2 }' "$dir/origin")
 }
 
-# start_node I MEMBERS COPIES [OPTION...]
+# start_node I MEMBERS COPIES [OPTION...]: starts host I.
 start_node() {
 	i=$1
 	members=$2
@@ -77,7 +79,7 @@
 	pids="$pids $!"
 }
 
-# start_nodes COPIES [OPTION...]: all know all.
+# start_nodes COPIES [OPTION...]: starts N nodes that all know one another.
 start_nodes() {
 	copies_all=$1
 	shift
@@ -96,15 +98,15 @@
 	done
 }
 
-# begin SIGNAL: every live host wants a version from now on.
+# begin SIGNAL: makes every live host request a version.
 begin() {
 	begin_ms=$(now_ms)
 	# shellcheck disable=SC2086
 	kill "-$1" $pids
 }
 
-# wait_whole VERSION HOSTS
-wait_whole() {
+# wait_complete VERSION HOSTS: waits until HOSTS have the complete version.
+wait_complete() {
 	until=$(($(now_ms) + limit_s * 1000))
 	while [ "$(cat "$dir"/run/*[0-9] |
 	    grep -c "^whole .*version=$1 ")" -lt "$2" ]; do
@@ -118,9 +120,10 @@
 	    sed 's/.*"bytes_sent" *: *\([0-9]*\).*/\1/'
 }
 
-# report CASE VERSION HOSTS BOUND_MS: prints the line of a case. Counters are
-# those at the moment a host was whole, less those when it was whole with
-# version `base_version`; origin bytes less `base_sent`.
+# report CASE VERSION HOSTS BOUND_MS: prints the line of a case. A host's
+# counters are read when the host completes the version, minus their values
+# when it completed version `base_version`; origin bytes are reported minus
+# `base_sent`.
 base_version=-1
 base_sent=0
 report() {
@@ -159,11 +162,12 @@
 		    "rss_control_mb=%.1f\n", name, n, done, hosts,
 		    ratio, sent / bytes, far / bytes, corrupt, spent, most / 1e6
 		exit (done < hosts)
-	}' || lacking
+	}' || print_incomplete
 }
 
-# Which hosts lack what and why, when a case did not end.
-lacking() {
+# Prints the hosts that did not complete the version, with their progress and
+# reason.
+print_incomplete() {
 	# shellcheck disable=SC2086
 	kill -TERM $pids 2>/dev/null || true
 	sleep 0.5
@@ -182,7 +186,7 @@
 }
 
 case_origin_only() {
-	size $((chunk_kb / 16)) $((window_ms / 16))
+	set_size $((chunk_kb / 16)) $((window_ms / 16))
 	make_models
 	start_origin
 	: >"$dir/none"
@@ -193,13 +197,14 @@
 	done
 	wait_ready
 	begin USR1
-	wait_whole 0 "$n"
+	wait_complete 0 "$n"
 	report origin-only 0 "$n" $((window / 2))
 }
 
-# fixed CASE FANOUT: host I takes everything from host (I - 2) / FANOUT + 1.
+# case_fixed CASE FANOUT: host I receives everything from host
+# (I - 2) / FANOUT + 1.
 case_fixed() {
-	size $((chunk_kb / 2)) $((window_ms / 2))
+	set_size $((chunk_kb / 2)) $((window_ms / 2))
 	make_models
 	start_origin
 	: >"$dir/none"
@@ -217,42 +222,43 @@
 		i=$((i + 1))
 	done
 	begin USR1
-	wait_whole 0 "$n"
+	wait_complete 0 "$n"
 	report "$1" 0 "$n" $((window / 2))
 }
 
-# Also the next version, of which a tenth of the chunks are new.
+# Also distributes the next version, of which a tenth of the chunks are new.
 case_swarm() {
-	size $chunk_kb $window_ms
+	set_size $chunk_kb $window_ms
 	make_models
 	start_origin
 	start_nodes 1
 	begin USR1
-	wait_whole 0 "$n"
+	wait_complete 0 "$n"
 	report swarm 0 "$n" $((window / 2))
 	base_version=0
 	base_sent=$(origin_sent)
 	begin USR2
-	wait_whole 1 "$n"
+	wait_complete 1 "$n"
 	report next-version-10pct-changed 1 "$n" $((window / 20))
 	base_version=-1
 	base_sent=0
 }
 
 case_time_first() {
-	size $chunk_kb $window_ms
+	set_size $chunk_kb $window_ms
 	make_models
 	start_origin
 	start_nodes 4
 	begin USR1
-	wait_whole 0 "$n"
+	wait_complete 0 "$n"
 	report time-first 0 "$n" $((window / 2))
 }
 
-# A tenth of the hosts die or stall a third into the transfer; one chunk in a hundred is
-# spoiled on every way. The members list follows after two seconds.
+# A tenth of the hosts die or stall after a third of the expected transfer time;
+# one chunk in a hundred is corrupted on every path. The members list is updated
+# two seconds later.
 case_faults() {
-	size $chunk_kb $window_ms
+	set_size $chunk_kb $window_ms
 	make_models
 	start_origin
 	"$build/bench/http_call" POST "$origin/admin/faults" \
@@ -283,16 +289,17 @@
 	done
 	# shellcheck disable=SC2086
 	kill -HUP $live
-	wait_whole 0 $((n - lost))
+	wait_complete 0 $((n - lost))
 	all=$pids
 	pids=$live
 	report faults-10pct 0 $((n - lost)) $((window / 2))
 	pids=$all
 }
 
-# Half way a version with a tenth of the chunks changed takes its place.
+# Halfway through the transfer, a version with a tenth of the chunks changed
+# supersedes the first one.
 case_superseded() {
-	size $chunk_kb $window_ms
+	set_size $chunk_kb $window_ms
 	make_models
 	start_origin
 	start_nodes 1
@@ -301,7 +308,7 @@
 	sleep "$(awk -v w=$window 'BEGIN { print w / 4000 }')"
 	begin USR2
 	begin_ms=$first_ms
-	wait_whole 1 "$n"
+	wait_complete 1 "$n"
 	report superseded 1 "$n" $((window / 2))
 }
 
