--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# Capacity: the slopes that docs/CAPACITY.md is worked out from, and its
-# tables. `sh bench/capacity.sh BUILD`; PARTS by environment (all). Real
-# processes on loopback, at most 100 at a time; `make capacity` ends within 10
-# minutes.
+# Capacity: measures the slopes from which docs/CAPACITY.md is computed, and
+# prints its tables. `sh bench/capacity.sh BUILD`; settings from the
+# environment: PARTS (all). Runs real processes on loopback, at most 100 at a
+# time; `make capacity` ends within 10 minutes.
 #
 # A line `point part=P ...` is a measured point. A line `fit of=Y on=X a=A
 # b=B r2=R points=N` is the least-squares line Y = A + B X through at least
-# three of them. The tables at the end are computed from those fits alone, with
+# three points. The tables at the end are computed from these fits alone, with
 # the formula beside each figure that was not measured.
 set -u
 BUILD=$1
@@ -14,13 +14,13 @@
 parts=${PARTS:-members route sides entries load fan keyed lead weights}
 cd "$(dirname "$0")/.." || exit 1
 . tools/stage.sh
-# The shipped defaults: a budget of bytes a second is held against those.
+# The shipped defaults, because the budgets in bytes per second apply to them.
 gossip_ms=1000
 lease_ms=6000
 suspect_ms=5000
 window_s=${WINDOW_S:-6}
-# Before a fleet counts as at rest: the members have taken over tables and told
-# one another of the others for some seconds.
+# Time before a fleet counts as idle: new members first copy the member tables
+# and gossip about the other members for some seconds.
 settle_s=${SETTLE_S:-8}
 ticks_s=$(getconf CLK_TCK)
 base_port=$stage_port
@@ -45,11 +45,13 @@
 }
 
 # ---------------------------------------------------------------------
-# A fleet of E entries and S sides
+# A fleet of E gateways and S sidecars
 # ---------------------------------------------------------------------
 
-# entry_pids, entry_urls, side_pids, side_urls; objects.
-start_fleet() { # ENTRIES SIDES [REAL-ENGINES]
+# start_fleet ENTRIES SIDES [engines]: starts gateways and sidecars, with an
+# engine for each sidecar if `engines` is given. Sets entry_pids, entry_urls,
+# side_pids, side_urls and objects.
+start_fleet() {
 	e=$1
 	s=$2
 	stage_port=$base_port
@@ -80,7 +82,7 @@
 		side_urls="$side_urls http://127.0.0.1:$stage_port"
 	done
 	wait_entries || fail "entries not ready"
-	branches
+	write_branches
 	wait_members $((e + s)) || fail "members do not know one another"
 }
 
@@ -100,7 +102,7 @@
 	done
 }
 
-branches() {
+write_branches() {
 	cat >"$STAGE/platform.yaml" <<END
 team: platform
 tokens: {operator: $(sha $root_token)}
@@ -118,7 +120,7 @@
 	    fail branch
 }
 
-wait_members() { # COUNT, at every entry
+wait_members() { # COUNT: at every gateway
 	for url in $entry_urls; do
 		tries=0
 		until [ "$(curl -fs -H "Authorization: Bearer $root_token" \
@@ -144,28 +146,28 @@
 }
 
 # ---------------------------------------------------------------------
-# What processes used
+# Resource usage of processes
 # ---------------------------------------------------------------------
 
-cpu_ms() { # PIDS: user and system time of all
+cpu_ms() { # PIDS: user and system time, sum
 	for pid in $1; do
 		cat "/proc/$pid/stat" 2>/dev/null
 	done | awk -v t="$ticks_s" '{ s += $14 + $15 } END { print s * 1000 / t + 0 }'
 }
 
-rss_kb() { # PIDS: mean
+rss_kb() { # PIDS: resident set, mean
 	for pid in $1; do
 		grep VmRSS "/proc/$pid/status" 2>/dev/null
 	done | awk '{ s += $2 } END { if (NR) printf "%.0f", s / NR }'
 }
 
-files_of() { # PIDS: open files, mean
+open_files() { # PIDS: open files, mean
 	for pid in $1; do
 		find "/proc/$pid/fd" -mindepth 1 2>/dev/null | wc -l
 	done | awk '{ s += $1 } END { if (NR) printf "%.1f", s / NR }'
 }
 
-metric() { # REGEX URLS: sum
+metric() { # REGEX URLS: sum of the matching metrics
 	for url in $2; do
 		curl -fs "$url/metrics"
 	done | awk -v r="^($1)$" '$1 ~ r { s += $2 } END { printf "%.0f", s + 0 }'
@@ -176,7 +178,7 @@
 	    sed -n "s/^\"$1\":\([0-9]*\)$/\1/p"
 }
 
-per() { # DIFFERENCE UNITS
+ratio() { # EXPRESSION DIVISOR
 	awk "BEGIN { printf \"%.3f\", ($1) / ($2) }"
 }
 
@@ -193,24 +195,24 @@
 }
 
 close_window() {
-	w_s=$(per "$(date +%s%3N) - $w_start" 1000)
-	ecpu=$(per "$(cpu_ms "$entry_pids") - $w_ecpu" 1)
-	scpu=$(per "$(cpu_ms "$side_pids") - $w_scpu" 1)
-	reads=$(per "$(api_count reads) - $w_reads" "$w_s")
-	writes=$(per "$(api_count writes) - $w_writes" "$w_s")
-	ed=$(per "$(metric 'dgram_.*_bytes' "$entry_urls") - $w_ed" "$w_s * $e")
-	ec=$(per "$(metric 'conn_.*_bytes' "$entry_urls") - $w_ec" "$w_s * $e")
-	sd=$(per "$(metric 'dgram_.*_bytes' "$side_urls") - $w_sd" "$w_s * $s")
-	sc=$(per "$(metric 'conn_.*_bytes' "$side_urls") - $w_sc" "$w_s * $s")
-	ecore=$(per "$ecpu" "$w_s * 10 * $e")
-	score=$(per "$scpu" "$w_s * 10 * $s")
+	w_s=$(ratio "$(date +%s%3N) - $w_start" 1000)
+	ecpu=$(ratio "$(cpu_ms "$entry_pids") - $w_ecpu" 1)
+	scpu=$(ratio "$(cpu_ms "$side_pids") - $w_scpu" 1)
+	reads=$(ratio "$(api_count reads) - $w_reads" "$w_s")
+	writes=$(ratio "$(api_count writes) - $w_writes" "$w_s")
+	ed=$(ratio "$(metric 'dgram_.*_bytes' "$entry_urls") - $w_ed" "$w_s * $e")
+	ec=$(ratio "$(metric 'conn_.*_bytes' "$entry_urls") - $w_ec" "$w_s * $e")
+	sd=$(ratio "$(metric 'dgram_.*_bytes' "$side_urls") - $w_sd" "$w_s * $s")
+	sc=$(ratio "$(metric 'conn_.*_bytes' "$side_urls") - $w_sc" "$w_s * $s")
+	ecore=$(ratio "$ecpu" "$w_s * 10 * $e")
+	score=$(ratio "$scpu" "$w_s * 10 * $s")
 }
 
 # ---------------------------------------------------------------------
 # Parts
 # ---------------------------------------------------------------------
 
-# Membership on a fake clock; the test's own output.
+# Membership on a simulated clock, from the output of the test agree-mem.
 part_members() {
 	build_out=$("$BUILD/tests/agree-mem" 2>&1)
 	echo "$build_out" | sed -n 's/^n=\([0-9]*\) joined_s=\([0-9]*\) steady bytes_s mean=\([0-9]*\) worst=\([0-9]*\)/\1 \2 \3 \4/p' |
@@ -228,8 +230,9 @@
 	done
 }
 
-# One fleet at rest, a change of settings, the timeline, a restart of all
-# entries, a return of the API. Busy machine or not, bytes and calls hold.
+# Measures an idle fleet; change_point, restart_point and away_point measure a
+# change of settings and the timeline, a restart of all gateways, and an outage
+# and return of the API. The bytes and calls are valid on a busy machine too.
 fleet_point() { # PART
 	sleep "$settle_s"
 	open_window
@@ -240,8 +243,8 @@
 	    entry_cpu_pct="$ecore" side_cpu_pct="$score" \
 	    entry_rss_kb="$(rss_kb "$entry_pids")" \
 	    side_rss_kb="$(rss_kb "$side_pids")" \
-	    entry_files="$(files_of "$entry_pids")" \
-	    side_files="$(files_of "$side_pids")" \
+	    entry_files="$(open_files "$entry_pids")" \
+	    side_files="$(open_files "$side_pids")" \
 	    api_reads_s="$reads" api_writes_s="$writes"
 }
 
@@ -261,7 +264,7 @@
 	r1=$(api_count reads)
 	point part=change entries="$e" sides="$s" n=$((e + s)) \
 	    in_force_ms=$took api_reads=$((r1 - r0)) \
-	    node_bytes="$(per "$b1 - $b0" "$e + $s")"
+	    node_bytes="$(ratio "$b1 - $b0" "$e + $s")"
 	t0=$(date +%s%3N)
 	bytes=$(operate --json timeline 2>/dev/null | wc -c)
 	point part=timeline n=$((e + s)) ms=$(($(date +%s%3N) - t0)) \
@@ -295,8 +298,8 @@
 	sleep 3
 	c3=$(($(api_count reads) + $(api_count writes)))
 	point part=away entries="$e" sides="$s" n=$((e + s)) \
-	    calls_s_down="$(per "$c1 - $c0" 4)" \
-	    calls_s_return="$(per "$c3 - $c2" 3)"
+	    calls_s_down="$(ratio "$c1 - $c0" 4)" \
+	    calls_s_return="$(ratio "$c3 - $c2" 3)"
 }
 
 part_sides() {
@@ -341,12 +344,12 @@
 	fit restart_e entries api_reads
 }
 
-summary() { # HISTOGRAM POINT: of the caller's last summary, ms
+summary() { # HISTOGRAM POINT: percentile from the caller's last summary, ms
 	grep -o "\"$1\":{[^}]*}" "$STAGE/load.json" |
 	    sed "s/.*\"$2\":\([0-9]*\).*/\1/" | awk '{ printf "%.1f", $1 / 1000 }'
 }
 
-number() { # KEY
+count_of() { # KEY: count from the caller's last summary
 	sed "s/.*\"$1\":\([0-9]*\).*/\1/" "$STAGE/load.json" | head -n 1
 }
 
@@ -366,14 +369,14 @@
 	open=$(metric entry_open_requests "$entry_urls")
 	wait $load
 	close_window
-	sent=$(number sent)
+	sent=$(count_of sent)
 	point part="$load_part" sides="$s" rate="$rate" tokens="$tokens" sent="$sent" \
-	    answered="$(number answered)" \
+	    answered="$(count_of answered)" \
 	    tokens_sent=$((sent * tokens)) seconds="$w_s" \
 	    entry_cpu_ms="$ecpu" side_cpu_ms="$scpu" \
-	    entry_cpu_ms_s="$(per "$ecpu" "$w_s")" \
-	    side_cpu_ms_s="$(per "$scpu" "$w_s")" \
-	    entry_bytes_s="$(per "$ec * $e" 1)" open="$(per "$open" "$e")" \
+	    entry_cpu_ms_s="$(ratio "$ecpu" "$w_s")" \
+	    side_cpu_ms_s="$(ratio "$scpu" "$w_s")" \
+	    entry_bytes_s="$(ratio "$ec * $e" 1)" open="$(ratio "$open" "$e")" \
 	    entry_rss_kb="$rss" api_reads_s="$reads" api_writes_s="$writes" \
 	    first_p95_ms="$(summary first_token_us p95)" \
 	    between_p95_ms="$(summary between_tokens_us p95)"
@@ -388,7 +391,7 @@
 	for rate in 5 10 20; do
 		load_point load $rate 96
 	done
-	# Many open at a time, for the memory of one.
+	# Many requests open at a time, to measure the memory of one.
 	for rate in 10 30 60; do
 		load_point open $rate 180
 	done
@@ -398,7 +401,7 @@
 	fit open open entry_rss_kb
 }
 
-# The same load over more sides: what a connection adds to a token.
+# The same load over more sidecars: the cost that a connection adds to a token.
 part_fan() {
 	for size in 4 16 32; do
 		start_fleet 2 $size engines
@@ -409,7 +412,7 @@
 	fit fan sides entry_cpu_ms_s
 }
 
-claim_bytes() { # of all bucket objects, as the API gives them
+claim_bytes() { # size of all bucket objects, as returned by the API
 	for i in $(seq 0 15); do
 		curl -fs "$objects/v1/objects/claims/$(printf %02d "$i")"
 	done | wc -c
@@ -432,8 +435,9 @@
 	fit keyed sent entry_cpu_ms
 }
 
-# What the lead and the sides say while weights move: 16 MB over links of 2
-# MB/s take 8 s at least, the window is within.
+# Traffic between the leader and the sidecars while weights are transferred:
+# 16 MB over links of 2 MB/s take at least 8 s, so the window of 1 s to 5 s lies
+# within the transfer.
 part_lead() {
 	link_rate=2000000
 	for size in 5 10 20; do
@@ -454,9 +458,9 @@
 		sleep 4
 		close_window
 		point part=lead sides="$size" \
-		    lead_bytes_s="$(per "$ec * $e" 1)" \
-		    lead_bytes_s_side="$(per "$ec * $e" "$size")" \
-		    entries_cpu_ms_s="$(per "$ecpu" "$w_s")" \
+		    lead_bytes_s="$(ratio "$ec * $e" 1)" \
+		    lead_bytes_s_side="$(ratio "$ec * $e" "$size")" \
+		    entries_cpu_ms_s="$(ratio "$ecpu" "$w_s")" \
 		    side_cpu_pct="$score" loaded="$(operate status 2>/dev/null |
 		    grep -c "$root")"
 		stage_end
@@ -514,8 +518,8 @@
 	}' "$points" | tee -a "$points"
 }
 
-# Y = idle * seconds + R * requests + T * tokens, by normal equations, over the
-# points of a part and those of part open.
+# Fits Y = idle * seconds + R * requests + T * tokens by the normal equations,
+# over the points of a part and those of part open.
 fit2() { # PART Y
 	awk -v part="part=$1" -v y="$2" '
 	$1 == "point" && ($2 == part || $2 == "part=open") {
--- a/bench/capacity_tables.sh
+++ b/bench/capacity_tables.sh
@@ -1,18 +1,20 @@
 #!/bin/sh
-# Tables of docs/CAPACITY.md out of the points and fits of bench/capacity.sh.
-# `sh bench/capacity_tables.sh POINTS`. Every cell that was not measured at
-# its size is computed here from a fit; the formula stands in the last column.
+# Prints the tables of docs/CAPACITY.md from the points and fits of
+# bench/capacity.sh. `sh bench/capacity_tables.sh POINTS`. Every cell that was
+# not measured at its size is computed from a fit; the last column gives the
+# formula.
 set -u
 points=$1
 
 awk '
 # ---------------------------------------------------------------------
-# The sizes
+# Fleet sizes
 # ---------------------------------------------------------------------
 BEGIN {
-	# today | two years: entries, sides, nodes, requests and tokens a
-	# second, teams. Teams are assumed; the load of today is the peak of two years in
-	# proportion to the engines.
+	# Index 1 is today, 2 is in two years: gateways (E), sidecars (S),
+	# requests (R) and tokens (T) per second, workspaces. The workspaces are
+	# assumed; the load of today is the peak load in two years scaled by the
+	# number of engines.
 	E[1] = 4; S[1] = 15; R[1] = 52; T[1] = 18400; TEAMS[1] = 3
 	E[2] = 320; S[2] = 1000; R[2] = 2600; T[2] = 920000; TEAMS[2] = 10
 	ENGINES[1] = 12; ENGINES[2] = 600
@@ -42,15 +44,15 @@
 		keyed_writes = f["api_writes_s"]; keyed_rate = f["rate"]
 	}
 	if ($2 == "part=load" && f["tokens"] > 90) {
-		# both entries, less the words of idle entries (small)
+		# Both gateways; includes the traffic of idle gateways (small).
 		token_bytes = f["entry_bytes_s"] * f["seconds"] / f["tokens_sent"]
 	}
 	if ($2 == "part=weights")
 		ratio = f["time_ratio"]
 }
 
-# Value of a line at X; slopes below zero count as zero, as nothing gets
-# cheaper by growing.
+# Value of a fit at X; a negative slope counts as zero, as no cost decreases
+# with size.
 function at(k, x) {
 	return A[k] + (B[k] > 0 ? B[k] : 0) * x
 }
@@ -64,15 +66,16 @@
 	printf "| %s | %s | %s | %s | %s |\n", what, budget, cell(v1),
 	    cell(v2), formula
 }
-# With fleets of 4 entries the slope over sides, with 10 sides that over
-# entries; both together.
+# Combines the fit over sidecars, measured with 4 gateways, and the slope over
+# gateways, measured with 10 sidecars.
 function both(y, i) {
 	return at("sides/sides/" y, S[i]) + slope("entries/entries/" y) * (E[i] - 4)
 }
-# Words of the request limit, per team: to and from each other entry, one
-# each lim_tell_ms = 500 * ceil(E / 16). At up to 16 entries two a second
-# each way, so a word is a quarter of the slope.
-function words(i) {
+# Bytes of the request limit reports, per workspace: one report to and one from
+# each other gateway every lim_report_ms = 500 * ceil(E / 16). With up to 16
+# gateways this is two reports per second each way, so the size of a report is a
+# quarter of the slope.
+function limit_report_bytes(i) {
 	return TEAMS[i] * slope("entries/entries/entry_conn_s") / 4 * \
 	    (E[i] - 1) * 2 / (0.5 * int((E[i] + 15) / 16))
 }
@@ -91,8 +94,9 @@
 	row("membership, worst node, B/s", 4096,
 	    at("members/n/worst_bytes_s", n[1]),
 	    at("members/n/worst_bytes_s", n[2]), "derived: members fit at n")
-	row("words of the limits at rest, B/s", 4096, words(1), words(2),
-	    "derived: teams x (E - 1) x 2 x word / lim_tell_ms(E)")
+	row("words of the limits at rest, B/s", 4096, limit_report_bytes(1),
+	    limit_report_bytes(2),
+	    "derived: teams x (E - 1) x 2 x word / lim_report_ms(E)")
 	row("control processor at rest, % of a core", 1.5,
 	    both("entry_cpu_pct", 1), both("entry_cpu_pct", 2),
 	    "derived: sides fit at S + entries slope x (E - 4)")
@@ -109,8 +113,9 @@
 		c[i] = (REQ[k] * R[i] + TOK[k] * T[i]) / 1e4 / E[i]
 	row("processor for requests, % of a core", "-", c[1], c[2],
 	    "derived: (request_us x requests/s + token_us x tokens/s) / E")
-	# A wake polls every connection: seen as a slope over sides under load,
-	# of two entries with about a fifth of the tokens of two years each.
+	# Each wake-up polls every connection. This shows as a slope over
+	# sidecars under load, for two gateways that each carry about a fifth
+	# of the tokens of a gateway in two years.
 	for (i = 1; i <= 2; i++)
 		p[i] = c[i] + slope("fan/sides/entry_cpu_ms_s") / 20 * \
 		    (S[i] + 2 * (E[i] - 1))
@@ -164,7 +169,7 @@
 	    "derived: lead fit at S (both entries)")
 	row("timeline of all, MB when all logs are full", 128,
 	    n[1] * 4096 * 120 / 1e6, n[2] * 4096 * 120 / 1e6,
-	    "derived: n x TL_KEEP x 120 B of JSON (assumed)")
+	    "derived: n x TL_EVENTS_MAX x 120 B of JSON (assumed)")
 	row("timeline of all, KB on young processes", "-",
 	    at("timeline/n/bytes", n[1]) / 1024,
 	    at("timeline/n/bytes", n[2]) / 1024, "derived: timeline fit at n")
