--- a/bench/route_bench.c
+++ b/bench/route_bench.c
@@ -1,8 +1,8 @@
 /*
  * Cost of each decision on the request path, measured in isolation on one
- * core. Prints one line for each decision: `route name=NAME targets=N ns_op=T ops_s=R`. No
- * limit is enforced; the figures are published and serve as the baseline for
- * the next change.
+ * core. Prints one line for each decision:
+ * `route name=NAME targets=N ns_op=T ops_s=R`. No limit is enforced; the
+ * figures are published and serve as the baseline for the next change.
  */
 
 #include <stdio.h>
