--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -29,7 +29,7 @@
 mkdir -p "$BUILD"
 : >"$points"
 
-wanted() {
+selected() {
 	case " $parts " in *" $1 "*) return 0 ;; esac
 	return 1
 }
@@ -81,9 +81,9 @@
 		side_pids="$side_pids $last_pid"
 		side_urls="$side_urls http://127.0.0.1:$stage_port"
 	done
-	wait_entries || fail "entries not ready"
+	wait_entries || fail "gateways not ready"
 	write_branches
-	wait_members $((e + s)) || fail "members do not know one another"
+	wait_members $((e + s)) || fail "members not alive at every gateway"
 }
 
 start_entries() {
@@ -279,9 +279,9 @@
 	done
 	stage_port=$((base_port + e))
 	start_entries
-	wait_entries || fail "entries do not come back"
+	wait_entries || fail "gateways not ready after the restart"
 	ready=$(($(date +%s%3N) - t0))
-	wait_members $((e + s)) || fail "members after the restart"
+	wait_members $((e + s)) || fail "members not alive at every gateway after the restart"
 	point part="$1" entries="$e" sides="$s" n=$((e + s)) \
 	    ready_ms=$ready all_known_ms=$(($(date +%s%3N) - t0)) \
 	    api_reads=$(($(api_count reads) - r0)) \
--- a/bench/control.sh
+++ b/bench/control.sh
@@ -22,7 +22,7 @@
 . tools/stage.sh
 ticks_s=$(getconf CLK_TCK)
 
-wanted() {
+selected() {
 	case " $cases " in *" $1 "*) return 0 ;; esac
 	return 1
 }
@@ -253,7 +253,7 @@
 	    grep -v "$(sed -n 's/.*loopback: "\(.*\)"/\1/p' "$STAGE/side-1.yaml")" |
 	    tr '\n' ' ')
 	line leaving - - - - - "$(rss_worst)" "$1"
-	[ "$2" -ge "$n" ] || echo "control note: leaving heard by $2 of $n"
+	[ "$2" -ge "$n" ] || echo "control note: leaving received by $2 of $n nodes"
 }
 
 case_lost_answers() {
@@ -321,7 +321,7 @@
 	done
 	stale=$(for url in $node_urls; do curl -fs "$url/metrics"; done |
 	    awk '$1 == "gate_refused" { s += $2 } END { print s + 0 }')
-	echo "control note: after the pause $both entries lead, the gates refused $stale stale orders"
+	echo "control note: after the pause $both gateways are leader, the nodes rejected $stale stale orders"
 }
 
 case_lead_crash() {
@@ -340,17 +340,17 @@
 	start_fleet "$size"
 	cold=$(($(date +%s%3N) - started))
 	line cold-start - - "$(api_count refused)" - - "$(rss_worst)" $cold
-	wanted steady && case_steady
-	wanted settings-change && case_settings_change
+	selected steady && case_steady
+	selected settings-change && case_settings_change
 	if [ "$size" = "${sizes%% *}" ]; then
-		wanted settings-race && case_settings_race
-		wanted api-lost-answers && case_lost_answers
-		wanted api-down && case_api_down
-		wanted lead-paused && case_lead_paused
+		selected settings-race && case_settings_race
+		selected api-lost-answers && case_lost_answers
+		selected api-down && case_api_down
+		selected lead-paused && case_lead_paused
 	fi
-	wanted leaving && case_leaving
+	selected leaving && case_leaving
 	if [ "$size" = "${sizes%% *}" ]; then
-		wanted lead-crash && case_lead_crash
+		selected lead-crash && case_lead_crash
 	fi
 	stage_end
 done
--- a/bench/requests.sh
+++ b/bench/requests.sh
@@ -200,10 +200,10 @@
 	sleep 1
 	# The engine's log is lost when it is killed, so the log is saved just
 	# before. Requests that end in the few ms between are not counted.
-	eval "gone=\$engine_$n killed_pid=\$engine_pid_$n"
-	curl -s "$gone/admin/log" >"$STAGE/gone.json"
+	eval "killed_url=\$engine_$n killed_pid=\$engine_pid_$n"
+	curl -s "$killed_url/admin/log" >"$STAGE/killed.json"
 	kill -KILL "$killed_pid"
-	engines=$(echo "$engines" | sed "s|$gone|$STAGE/gone.json|")
+	engines=$(echo "$engines" | sed "s|$killed_url|$STAGE/killed.json|")
 	sleep 0.7
 	eval "kill -KILL \$side_pid_$((n - 1))"
 	wait $load
--- a/bench/weights.sh
+++ b/bench/weights.sh
@@ -269,14 +269,14 @@
 	lost=$(((n + 9) / 10))
 	k=0
 	live=
-	gone=
+	failed=
 	for pid in $pids; do
 		k=$((k + 1))
 		if [ $((k % 10)) -ne 1 ]; then
 			live="$live $pid"
 			continue
 		fi
-		gone="$gone $k"
+		failed="$failed $k"
 		if [ $((k % 20)) -eq 1 ]; then
 			kill -KILL "$pid"
 		else
@@ -284,7 +284,7 @@
 		fi
 	done
 	sleep 2
-	for k in $gone; do
+	for k in $failed; do
 		sed -i "/^h$(printf %04d "$k") /d" "$dir/members"
 	done
 	# shellcheck disable=SC2086
