--- a/lib/route/admit.h
+++ b/lib/route/admit.h
@@ -15,9 +15,13 @@
  * where room is the number of slots that the sidecars report as free, whichever
  * gateway uses the others. The first term is the even share of this gateway;
  * the even shares add up to the slots. The second term borrows slots that other
- * gateways leave unused, and drops to zero as soon as the sidecars report more
- * running requests than slots. Refusals by targets lower the number of slots
- * that is used for the limit, and time without refusals raises it again.
+ * gateways leave unused. When as many requests run as there are slots, room is
+ * zero: this gateway gets no more than its even share or what it already runs.
+ * When the excess of running requests over slots is larger than the number of
+ * gateways (the rounding of their shares explains no more), the second term is
+ * dropped and only the even share remains, as another gateway is reclaiming its
+ * own. Refusals by targets lower the number of slots that is used for the
+ * limit, and time without refusals raises it again.
  *
  * Within a queue, tickets start by priority class. A class has a fixed head
  * start over the next one, so that less urgent tickets age and are served too.
