--- a/lib/route/admit.c
+++ b/lib/route/admit.c
@@ -278,10 +278,11 @@
 }
 
 static bool
-misses_first_byte(const struct adm_ticket *ticket, int64_t wait, int64_t first)
+misses_first_byte(
+    const struct adm_ticket *ticket, int64_t start_us, int64_t first_us)
 {
 	return ticket->first_byte_by_us != 0 &&
-	    wait + first > ticket->first_byte_by_us;
+	    start_us + first_us > ticket->first_byte_by_us;
 }
 
 static enum adm_state
