--- a/lib/route/claim_internal.h
+++ b/lib/route/claim_internal.h
@@ -7,7 +7,7 @@
 
 enum clm_state {
 	CLM_RUNNING, /* claimed; the request may be running */
-	CLM_RAN,
+	CLM_RAN, /* it ran; the outcome is recorded */
 	CLM_UNSURE, /* the claimant reported MAY_HAVE_RUN */
 	CLM_STATES,
 };
@@ -17,7 +17,8 @@
 	char *claimant;
 	struct digest body;
 	enum clm_state state;
-	int64_t claimed_us; /* by the local clock; may precede its start */
+	/* By the local clock; negative if before the start of that clock. */
+	int64_t claimed_us;
 	uint64_t keep_s;
 	unsigned int status;
 	char *type;
