--- a/lib/http/server_internal.h
+++ b/lib/http/server_internal.h
@@ -51,7 +51,9 @@
 
 /* server.c */
 void hreq_destroy(struct hreq *r);
-/* The caller disconnected: notifies the owner and frees the request. */
+/* The caller disconnected: calls hserver_ops.disconnected, if the owner has not
+ * answered the request completely, and frees the request. The callback is
+ * called once, as the request is freed after it. */
 void hreq_disconnected(struct hreq *r);
 /* Sets the events to wait for according to the state. */
 void hreq_watch(struct hreq *r);
