--- a/lib/serve/rate.c
+++ b/lib/serve/rate.c
@@ -42,7 +42,7 @@
 }
 
 bool
-rate_answered(struct rate *r, double limit, int64_t asked_us, bool side_heard,
+rate_answered(struct rate *r, double limit, int64_t asked_us, bool side_alive,
     int64_t now_us)
 {
 	double before = r->limit;
@@ -54,7 +54,7 @@
 		return false;
 	r->local_limit = limit;
 	r->local_us = limit > 0 ? now_us : asked_us;
-	if (limit > 0 || !side_heard)
+	if (limit > 0 || !side_alive)
 		r->limit = limit;
 	return r->limit != before;
 }
--- a/lib/serve/rate.h
+++ b/lib/serve/rate.h
@@ -33,7 +33,7 @@
 	 */
 	double local_limit;
 	int64_t local_us;
-	bool side_known;
+	bool side_known; /* the sidecar has reported the limit */
 	double side_limit; /* as last reported by the sidecar */
 	int64_t permit_us; /* a permit is available until then; 0: none */
 	int64_t asked_us; /* last request for a permit */
@@ -52,7 +52,7 @@
  * target's own sidecar is alive, the sidecar decides when a limit has ended.
  */
 bool rate_answered(struct rate *r, double limit, int64_t asked_us,
-    bool side_heard, int64_t now_us);
+    bool side_alive, int64_t now_us);
 /* The sidecar's report of the limit, 0: none; not called while the sidecar
  * does not know it. True if the limit applied here changed. */
 bool rate_side_reported(struct rate *r, double limit, int64_t now_us);
