--- a/lib/serve/tgt.c
+++ b/lib/serve/tgt.c
@@ -214,7 +214,7 @@
 tgt_put(struct tgt_set *s, const struct sv_target *record, int64_t now_us)
 {
 	struct tgt *t = g_hash_table_lookup(s->by_id, record->id);
-	int64_t born_ms;
+	int64_t start_ms;
 
 	if (t != NULL &&
 	    (strcmp(t->record.service, record->service) != 0 ||
@@ -225,9 +225,9 @@
 	}
 	if (t == NULL)
 		t = add(s, record);
-	born_ms = MAX(t->record.start_ms, record->start_ms);
+	start_ms = MAX(t->record.start_ms, record->start_ms);
 	t->record = *record;
-	t->record.start_ms = born_ms;
+	t->record.start_ms = start_ms;
 	t->drop_us = 0;
 	t->leaving = record->leaving;
 	/* A live sidecar's report is newer. */
@@ -403,15 +403,15 @@
 }
 
 struct tgt *
-tgt_side_started(struct tgt_set *s, struct tgt *t, int64_t born_ms)
+tgt_side_started(struct tgt_set *s, struct tgt *t, int64_t start_ms)
 {
 	struct sv_target record = t->record;
 
-	if (born_ms == 0 || born_ms == t->record.start_ms)
+	if (start_ms == 0 || start_ms == t->record.start_ms)
 		return t;
-	record.start_ms = born_ms;
+	record.start_ms = start_ms;
 	if (t->record.start_ms == 0) { /* the start time was unknown so far */
-		t->record.start_ms = born_ms;
+		t->record.start_ms = start_ms;
 		return t;
 	}
 	drop(s, t);
--- a/lib/serve/tgt.h
+++ b/lib/serve/tgt.h
@@ -185,7 +185,8 @@
     struct tgt *t, const struct side_relayed *report, int64_t now_us);
 /* Start time of the target as reported by its sidecar; 0: not known. Returns
  * `t`, or a new target if the start time changed. */
-struct tgt *tgt_side_started(struct tgt_set *s, struct tgt *t, int64_t born_ms);
+struct tgt *tgt_side_started(
+    struct tgt_set *s, struct tgt *t, int64_t start_ms);
 /*
  * Selects up to `most` targets with a live sidecar by rendezvous hashing, best
  * first, so that all gateways select mostly the same for a seed. Returns their
