--- a/lib/serve/fwd_answer.c
+++ b/lib/serve/fwd_answer.c
@@ -47,7 +47,8 @@
 	return r->status >= 200 && r->status < 300;
 }
 
-/* Rate limit in requests per second; 0: none is given. False: not a number. */
+/* Reads the rate limit that an answer states, in requests per second; 0: it
+ * states none. Returns false if the header is malformed. */
 static bool
 parse_limit(const struct fwd_req *r, const struct hmsg *m, double *out)
 {
--- a/lib/serve/side.h
+++ b/lib/serve/side.h
@@ -35,7 +35,7 @@
 	SIDE_REPORT = 91,
 	SIDE_ROSTER_REQUEST = 92,
 	SIDE_ROSTER_PAGE = 93,
-	SIDE_RELAY = 97, /* 94 had no flags in its entries */
+	SIDE_RELAY = 97, /* 94: earlier format, entries without flags */
 	SIDE_RATE = 95,
 	SIDE_PERMIT = 96,
 	SIDE_TERMINATIONS = 98,
@@ -58,8 +58,8 @@
 	 * sidecar that has just started helps to distribute it, too. */
 	uint64_t older;
 	uint64_t older_age_ms;
-	struct digest older_root; /* or none */
-	/* Of that version, as the sidecars found it; or none. */
+	struct digest older_root; /* root of `older`; zero: not known */
+	/* Root of `version` on which the sidecars agree; zero: not known. */
 	struct digest root;
 	struct slice origin; /* "ip:port", or empty */
 	struct slice origin_domain;
--- a/lib/serve/suspect.c
+++ b/lib/serve/suspect.c
@@ -6,7 +6,7 @@
 #include "serve/suspect.h"
 
 #define SUSPECTS_MAX 2048
-#define TERMINATIONS_MAX 6 /* per request; the oldest is dropped first */
+#define TERMINATIONS_MAX 6 /* of a request; the oldest is dropped first */
 #define ENDED_TARGETS_MAX 32 /* recently terminated targets */
 
 #define BLOCK_WEIGHT 4 /* sum of weights: two targets without an answer */
--- a/lib/serve/suspect.h
+++ b/lib/serve/suspect.h
@@ -4,8 +4,9 @@
 /*
  * suspect: detects requests that terminate targets. A poison request, one that
  * crashes each target that begins to run it, is retried under other ids and at
- * any gateway; unless its fingerprint is remembered, each attempt costs two
- * targets and all requests that they were running.
+ * any gateway. Unless its fingerprint is remembered, each attempt of the caller
+ * terminates two targets, the first and that of the gateway's own retry, with
+ * all requests that they were running.
  *
  * When a target terminates, each request in flight there becomes a suspect;
  * most of them are innocent. A request is blocked once it was in flight at two
@@ -26,7 +27,7 @@
 enum sus_weight {
 	SUS_CLEARED = 0, /* no termination: it had a complete answer */
 	SUS_ANSWERING = 1, /* its answer had begun, so it did run there */
-	SUS_SILENT = 2, /* it may have crashed the target as it began */
+	SUS_SILENT = 2, /* no answer had begun: it may be the cause */
 };
 
 /* A request was in flight at a target when the target terminated. */
--- a/lib/serve/tgt_internal.h
+++ b/lib/serve/tgt_internal.h
@@ -15,7 +15,7 @@
 	GHashTable *by_address;
 };
 
-/* A sidecar reports several times a second. One that was silent for this
+/* A sidecar reports several times a second. One that sent no report for this
  * long has lost its host or its network path to this gateway. */
 #define TGT_SIDE_SILENT_US 900000
 
