--- a/lib/common/cfg_check.c
+++ b/lib/common/cfg_check.c
@@ -36,7 +36,8 @@
 	return strchr(rest, '.') == NULL ? rest : NULL;
 }
 
-/* The rule of `key` below `pattern`: the exact one, else that of `*`. */
+/* Returns the rule for `key` in the mapping at `pattern`: the one that names
+ * the key, else the wildcard `*`; NULL if there is none. */
 static const struct cfg_rule *
 child_rule(
     const struct cfg_schema *schema, const char *pattern, const char *key)
@@ -354,7 +355,7 @@
 
 /* Sets an error that lists the allowed keys and suggests the nearest one. */
 static bool
-fail_unknown(
+fail_unknown_key(
     const struct checker *c, const struct cfg_node *node, const char *pattern)
 {
 	GString *allowed = g_string_new(NULL);
@@ -429,7 +430,7 @@
 		rule = child_rule(
 		    c->schema, pattern, child->key != NULL ? child->key : "[]");
 		if (rule == NULL)
-			return fail_unknown(c, child, pattern);
+			return fail_unknown_key(c, child, pattern);
 		if (!check_node(c, child, rule))
 			return false;
 	}
