--- a/lib/agree/agr_internal.h
+++ b/lib/agree/agr_internal.h
@@ -55,7 +55,7 @@
 	bool closing;
 	bool members_changed; /* ranks must be recomputed */
 
-	/* State of the settings */
+	/* Distribution of the settings */
 	bool ready;
 	int64_t started_us;
 	struct inf_start start;
--- a/lib/agree/agr_role.c
+++ b/lib/agree/agr_role.c
@@ -137,7 +137,8 @@
 	g_strlcpy(note.name, role->name, sizeof(note.name));
 	g_strlcpy(note.text, holder, sizeof(note.text));
 	mem_note(role->agr->mem, agr_now_us(role->agr), &note);
-	role->agr->members_changed = true; /* the ranks leave out the holder */
+	/* The ranks of the candidates leave out the holder, which is new. */
+	role->agr->members_changed = true;
 }
 
 static void
--- a/lib/agree/lse_internal.h
+++ b/lib/agree/lse_internal.h
@@ -38,7 +38,8 @@
 	 * release.
 	 */
 	void (*publish)(uint64_t fence, const char *holder, void *ctx);
-	void (*left)(void *ctx); /* no callback follows */
+	/* The candidate no longer takes part; no callback follows. */
+	void (*left)(void *ctx);
 };
 
 struct lse_conf {
