--- a/lib/weights/hold.h
+++ b/lib/weights/hold.h
@@ -31,8 +31,8 @@
     GBytes *list, hold_filled_cb *filled, void *ctx, uint64_t *missing_out);
 void hold_close(struct hold_version *version);
 /* As hold_close, but the chunks are retained until hold_release_retired, or
- * until another version needs the memory: a version to be opened next may share
- * them. */
+ * until another version needs the memory, so that a version opened in the
+ * meantime can reuse them. */
 void hold_retire(struct hold_version *version);
 void hold_release_retired(struct hold *hold);
 bool hold_has(const struct hold_version *version, uint64_t index);
--- a/lib/weights/pick.c
+++ b/lib/weights/pick.c
@@ -141,7 +141,7 @@
 	}
 	p->rank = *rank;
 	p->ranked = true;
-	/* The readers changed, so each gets the full timeout again. */
+	/* The readers changed, so each gets the full claim timeout again. */
 	p->start_us = now_us;
 	memset(p->claims_us, 0, sizeof(p->claims_us));
 	memset(p->reader_rates, 0, sizeof(p->reader_rates));
--- a/lib/weights/pick.h
+++ b/lib/weights/pick.h
@@ -25,6 +25,8 @@
 /* Open at a time; covers round trips and queueing. */
 #define PICK_REQUESTS_MAX 4
 #define PICK_REQUESTS_PER_PEER 2
+/* Consecutive failures after which a peer is asked only when no request is open
+ * and no other peer can be asked. */
 #define PICK_FAILURES_LAST_RESORT 2
 #define PICK_FAILURES_DROP 3 /* the driver drops the peer */
 #define PICK_LOAD_MAX 3 /* uploads at which a peer is not asked */
@@ -39,7 +41,7 @@
 	PICK_REQUESTED, /* from a peer */
 	PICK_READING, /* from the origin */
 	PICK_VERIFYING, /* all bytes have arrived */
-	PICK_HAVE,
+	PICK_HAVE, /* verified and stored */
 };
 
 enum pick_failure { /* why a request or a read ended without the chunk */
