--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -124,7 +124,7 @@
 }
 
 static void
-targets_link(bool up, const char *why, void *ctx)
+targets_link_changed(bool up, const char *why, void *ctx)
 {
 	on_link(ctx, "targets", up, why);
 }
@@ -132,7 +132,7 @@
 static const struct store_cache_ops target_ops = {
 	.put = target_put,
 	.removed = target_removed,
-	.link = targets_link,
+	.link = targets_link_changed,
 };
 
 static void
@@ -157,7 +157,7 @@
 }
 
 static void
-versions_link(bool up, const char *why, void *ctx)
+versions_link_changed(bool up, const char *why, void *ctx)
 {
 	on_link(ctx, "versions", up, why);
 }
@@ -165,7 +165,7 @@
 static const struct store_cache_ops version_ops = {
 	.put = version_put,
 	.removed = version_removed,
-	.link = versions_link,
+	.link = versions_link_changed,
 };
 
 /* ------------------------------------------------------------------ */
