--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -93,7 +93,7 @@
 }
 
 /* ------------------------------------------------------------------ */
-/* Outcomes                                                            */
+/* Printing of results and errors                                      */
 /* ------------------------------------------------------------------ */
 
 void
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -196,7 +196,8 @@
 /* Adds a handler together with the check that bounds bodies. */
 void caller_handle(
     struct entry *entry, const char *path, SoupServerCallback handler);
-/* Answers with an error object, the verdict and Retry-After. */
+/* Answers with a JSON error object, the header X-Verdict (whether the request
+ * may have run, enum verdict) and, if known, Retry-After. */
 void answer_error(SoupServerMessage *message, const struct err *err);
 void answer_json(
     SoupServerMessage *message, unsigned int status, JsonNode *node);
--- a/programs/entry/request.c
+++ b/programs/entry/request.c
@@ -12,7 +12,8 @@
 #define BUFFER_MAX RT_WINDOW_BYTES
 #define VERSIONS_MAX 256 /* of one model; the limit in the settings */
 #define MIN_ATTEMPT_MS 20 /* no attempt with less time than this left */
-/* The users' limit for the first token of an admitted request. */
+/* The users' limit for the first token of an admitted request: a stream
+ * that is expected to miss it is refused. */
 #define FIRST_TOKEN_LIMIT_US (1500 * 1000)
 #define RETRY_AFTER_MS 1000 /* Retry-After when no target is in backoff */
 
