--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -55,7 +55,8 @@
 	/* Root on which enough other keepers agree, as gateways report it. */
 	struct digest reported_root;
 	struct hfetch *manifest;
-	int64_t manifest_backoff_us; /* no request to the origin before */
+	/* No manifest request to the origin before. */
+	int64_t manifest_backoff_us;
 	int64_t needed_us; /* the digests were first needed; 0: not yet */
 	bool origin_root; /* this keeper read the digests from the origin */
 	bool has_root; /* `wts` is set and the transfer has started */
@@ -116,7 +117,7 @@
 	unsigned int report_failures; /* in a row */
 	bool had_engine; /* it answered at least once */
 	bool up;
-	int64_t loaded; /* version; 0: none */
+	int64_t loaded; /* version of the weights; 0: none */
 	int64_t ordered_us; /* an order was accepted; 0: none in progress */
 	int64_t refused_us; /* the last order was refused; 0: no */
 	int64_t drain_us; /* gateways were asked to send nothing; 0: no */
