--- a/tests/fleet/engine.c
+++ b/tests/fleet/engine.c
@@ -638,13 +638,13 @@
 }
 
 static void
-on_origin_left(struct hreq *r, void *ctx)
+on_origin_disconnected(struct hreq *r, void *ctx)
 {
 }
 
 static const struct hserver_ops origin_ops = {
 	.request = on_origin,
-	.disconnected = on_origin_left,
+	.disconnected = on_origin_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
