--- a/tests/http/test_parse.c
+++ b/tests/http/test_parse.c
@@ -195,14 +195,14 @@
 {
 	struct hslice list = { " gzip, Chunked ,x", 17 };
 	struct hslice number = { " 42", 3 };
-	struct hslice word = { "4x", 2 };
+	struct hslice not_number = { "4x", 2 };
 	int64_t value;
 
 	assert_true(hslice_has_token(list, "chunked"));
 	assert_false(hslice_has_token(list, "chunk"));
 	assert_true(hslice_number(number, &value));
 	assert_int_equal(value, 42);
-	assert_false(hslice_number(word, &value));
+	assert_false(hslice_number(not_number, &value));
 }
 
 /* A valid message with up to four random bytes: whatever the result, the parser
