--- a/tests/agree/test_agr.c
+++ b/tests/agree/test_agr.c
@@ -437,7 +437,8 @@
 	restarted_us = g_get_monotonic_time();
 	nodes[3].fencing = agr_fencing_new(nodes[3].agr);
 	run_until_holds(fencing_passes, 3);
-	/* Not before the members have certainly received the last number. */
+	/* Without the object API the floor comes from the members, and only
+	 * after a lease duration: by then gossip has reached all of them. */
 	assert_true(g_get_monotonic_time() - restarted_us >=
 	    LEASE_MS * G_USEC_PER_SEC / 1000);
 	assert_false(agr_fencing_check(nodes[3].fencing, "rollout", 2, &err));
--- a/tests/agree/test_inf.c
+++ b/tests/agree/test_inf.c
@@ -221,7 +221,8 @@
 }
 
 /*
- * A domain without gateways has a sidecar as watcher; a single domain has three
+ * Watchers are the nodes that watch the object API for new settings. In a
+ * domain without gateways a sidecar is the watcher; a single domain has three
  * watchers, so that one that is paused does not delay updates.
  */
 static void
--- a/tests/weights/nodes.h
+++ b/tests/weights/nodes.h
@@ -199,8 +199,8 @@
 	if (!o->down && g_str_has_suffix(name, ".weights"))
 		o->bytes_sent += len;
 	TAILQ_INSERT_TAIL(&o->open, r, link);
-	/* Varied delays; otherwise all hosts would choose simultaneously and
-	 * never receive claims in time. */
+	/* Varied delays; with equal ones all hosts would choose their next
+	 * chunk at the same time, before the others' claims arrive. */
 	r->source = g_timeout_add(
 	    o->delay_ms / 2 + (guint)rng_below(&o->rng, o->delay_ms + 1),
 	    fake_answer, r);
