--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -31,9 +31,9 @@
 	esac
 }
 
-# Prints the sends, after the first three, of a request that had terminated
-# three engines; sends by gateways that were disturbed at the time are not
-# counted.
+# The fleet prints each send of a poison request that comes after its third
+# termination. Prints these from the fourth on, as the fleet allows three; sends
+# by gateways that were disturbed at the time are not counted.
 print_excess_sends() {
 	touch "$STAGE/disturbed"
 	awk 'NR == FNR { n++; gateway[n] = $1 - 1; from[n] = $2; to[n] = $2 + $3 + 1; next }
