--- a/lib/serve/tgt_choose.c
+++ b/lib/serve/tgt_choose.c
@@ -14,9 +14,9 @@
 /* Number of answers from which the error rate is used. */
 #define ERROR_ANSWERS 8
 /*
- * Gateways prefer targets of their own region while these have free slots. This
- * share of a target's free slots is drawn for by its region's gateways; the
- * rest is left to all others, whose local targets are full.
+ * Gateways prefer targets of their own region while these have free slots. The
+ * gateways of a target's region share this part of its free slots; the rest is
+ * left to all others, whose local targets are full.
  */
 #define LOCAL_SHARE 0.8
 /* Share of the gateways that send to one target while the number in its
@@ -34,8 +34,8 @@
 /* Load estimate                                                       */
 /* ------------------------------------------------------------------ */
 
-/* Number of gateways that draw for the target's slots, from the point of
- * view of this one. */
+/* Number of gateways that share the target's slots, from the point of view of
+ * this one. */
 static double
 sharers(const struct tgt *t, const struct tgt_policy *p)
 {
@@ -113,7 +113,7 @@
 /* A number in [0, 1) that stays the same until the next load report and
  * differs between gateways. */
 static double
-draw_for(const struct tgt *t, const struct tgt_policy *p)
+random_fraction(const struct tgt *t, const struct tgt_policy *p)
 {
 	uint64_t bits =
 	    hash64(p->seed, &t->reported_us, sizeof(t->reported_us));
@@ -126,10 +126,10 @@
  * All gateways see the free slots of a load report at once. If each took them
  * all, a target that has just come up would get its free slots times the number
  * of gateways, and most requests would queue there for seconds. So until the
- * next report each gateway takes only its share. A share below one request is
- * drawn for if the sidecar reports often: with one request each, nineteen
- * gateways kept some six requests waiting at every engine where two were
- * intended, and six in ten first tokens were late.
+ * next report each gateway takes only its share. While the sidecar is alive a
+ * fractional share is rounded up or down at random: with one request each,
+ * nineteen gateways kept some six requests waiting at every engine where two
+ * were intended, and six in ten first tokens were late.
  */
 static bool
 took_its_share(const struct tgt *t, const struct tgt_policy *p, int64_t now_us)
@@ -142,7 +142,7 @@
 		return false;
 	if (!tgt_side_is_alive(t, now_us))
 		return t->sent_since >= MAX(1, ceil(share));
-	return t->sent_since >= floor(share + draw_for(t, p));
+	return t->sent_since >= floor(share + random_fraction(t, p));
 }
 
 /* Time that the target needs to read its queued prompts: those of this
