--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -205,7 +205,7 @@
 	int64_t begin_us =
 	    fwd_now(r) + (may_queue ? LEAD_QUEUE_US : LEAD_RECALL_US);
 	int64_t fresh_us = begin_us + (may_queue ? LEAD_FRESH_US : 0);
-	struct tgt_criteria wish = {
+	struct tgt_criteria criteria = {
 		.model = r->model,
 		.version = vers_min(f->conf.versions, r->model, begin_us),
 		.version_fresh = vers_min(f->conf.versions, r->model, fresh_us),
@@ -222,7 +222,7 @@
 
 	ctr_add(f->choices, 1);
 	return tgt_choose(
-	    f->conf.targets, r->service->targets, &wish, fwd_now(r), why);
+	    f->conf.targets, r->service->targets, &criteria, fwd_now(r), why);
 }
 
 /* Whether slots become free fast enough for the request to get one in time. A
--- a/lib/serve/tgt.h
+++ b/lib/serve/tgt.h
@@ -233,5 +233,5 @@
 };
 
 struct tgt *tgt_choose(struct tgt_set *s, struct tgt_service *service,
-    const struct tgt_criteria *wish, int64_t now_us, enum tgt_reason *why);
+    const struct tgt_criteria *criteria, int64_t now_us, enum tgt_reason *why);
 #endif
--- a/lib/serve/tgt_choose.c
+++ b/lib/serve/tgt_choose.c
@@ -81,12 +81,12 @@
 /* ------------------------------------------------------------------ */
 
 static bool
-is_excluded(const struct tgt *t, const struct tgt_criteria *wish)
+is_excluded(const struct tgt *t, const struct tgt_criteria *criteria)
 {
 	size_t i;
 
-	for (i = 0; i < wish->nexclude; i++) {
-		if (wish->exclude[i] == t)
+	for (i = 0; i < criteria->nexclude; i++) {
+		if (criteria->exclude[i] == t)
 			return true;
 	}
 	return false;
@@ -94,20 +94,20 @@
 
 static bool
 has_weights(
-    const struct tgt *t, const struct tgt_criteria *wish, int64_t now_us)
+    const struct tgt *t, const struct tgt_criteria *criteria, int64_t now_us)
 {
-	int64_t least = wish->version;
+	int64_t least = criteria->version;
 
-	if (wish->model == NULL || !t->record.has_models)
+	if (criteria->model == NULL || !t->record.has_models)
 		return true;
 	if (t->up_us != 0 && now_us - t->up_us < TGT_FRESH_US)
-		least = MAX(least, wish->version_fresh);
+		least = MAX(least, criteria->version_fresh);
 	if (!t->local)
-		least = MAX(least, wish->version_remote);
+		least = MAX(least, criteria->version_remote);
 	if (tgt_path_is_slow(t, now_us))
-		least = MAX(least, wish->version_slow);
+		least = MAX(least, criteria->version_slow);
 	return t->version > 0 && t->version >= least &&
-	    strcmp(t->model, wish->model) == 0;
+	    strcmp(t->model, criteria->model) == 0;
 }
 
 /* A number in [0, 1) that stays the same until the next load report and
@@ -174,23 +174,25 @@
 /* A target that failed gets one probing request at a time, after the
  * backoff; at first only requests that may be repeated elsewhere. */
 static bool
-may_probe(const struct tgt *t, const struct tgt_criteria *wish, int64_t now_us)
+may_probe(
+    const struct tgt *t, const struct tgt_criteria *criteria, int64_t now_us)
 {
 	int64_t probe_from_us = t->backoff_until_us;
 
-	if (!wish->repeatable)
+	if (!criteria->repeatable)
 		probe_from_us += PROBE_UNSAFE_US;
 	return now_us >= probe_from_us && !t->probing;
 }
 
 static bool
-can_serve(const struct tgt *t, const struct tgt_criteria *wish, int64_t now_us)
+can_serve(
+    const struct tgt *t, const struct tgt_criteria *criteria, int64_t now_us)
 {
-	if (t->leaving || t->side_down || !has_weights(t, wish, now_us))
+	if (t->leaving || t->side_down || !has_weights(t, criteria, now_us))
 		return false;
-	if (t->failures > 0 && !may_probe(t, wish, now_us))
+	if (t->failures > 0 && !may_probe(t, criteria, now_us))
 		return false;
-	return !is_excluded(t, wish);
+	return !is_excluded(t, criteria);
 }
 
 /* Baseline error rate among the service's targets. The median would be
@@ -231,21 +233,21 @@
 
 struct tgt *
 tgt_choose(struct tgt_set *s, struct tgt_service *service,
-    const struct tgt_criteria *wish, int64_t now_us, enum tgt_reason *why)
+    const struct tgt_criteria *criteria, int64_t now_us, enum tgt_reason *why)
 {
 	double baseline = baseline_errors(service), cost;
 	double best_cost = INFINITY, limited_cost = INFINITY;
 	struct tgt *t, *best = NULL, *limited = NULL;
 	struct rng rng;
 
-	rng_seed(&rng, wish->random);
+	rng_seed(&rng, criteria->random);
 	*why = TGT_NONE;
 	TAILQ_FOREACH (t, &service->targets, link) {
-		if (!can_serve(t, wish, now_us))
+		if (!can_serve(t, criteria, now_us))
 			continue;
 		if (tgt_estimate(t, &s->policy, now_us) + 1 >
 			tgt_limit(t, &s->policy) -
-			    wish->reserve_share * slot_count(t) ||
+			    criteria->reserve_share * slot_count(t) ||
 		    took_its_share(t, &s->policy, now_us) ||
 		    prompt_queue_is_full(t, &s->policy)) {
 			*why = TGT_FULL;
--- a/tests/serve/test_share.c
+++ b/tests/serve/test_share.c
@@ -72,11 +72,11 @@
 static struct tgt *
 choose(struct fleet *f, int64_t now_us)
 {
-	struct tgt_criteria wish = { .random = (uint64_t)now_us };
+	struct tgt_criteria criteria = { .random = (uint64_t)now_us };
 	enum tgt_reason why;
 
 	return tgt_choose(
-	    f->set, tgt_service(f->set, "engines"), &wish, now_us, &why);
+	    f->set, tgt_service(f->set, "engines"), &criteria, now_us, &why);
 }
 
 /*
--- a/tests/serve/test_tgt.c
+++ b/tests/serve/test_tgt.c
@@ -47,9 +47,9 @@
 static struct tgt *
 choose(int64_t now_us, bool repeatable, enum tgt_reason *why)
 {
-	struct tgt_criteria wish = { .repeatable = repeatable };
+	struct tgt_criteria criteria = { .repeatable = repeatable };
 
-	return tgt_choose(set, tgt_service(set, "s"), &wish, now_us, why);
+	return tgt_choose(set, tgt_service(set, "s"), &criteria, now_us, why);
 }
 
 /* The other gateways' requests are known from the last report; those that
@@ -370,30 +370,30 @@
 test_only_loaded_versions(void **state)
 {
 	struct tgt *t = put("a", "1.1.1.1:1", "near");
-	struct tgt_criteria wish = { .model = "m", .version = 2 };
+	struct tgt_criteria criteria = { .model = "m", .version = 2 };
 	enum tgt_reason why;
 
 	t->record.has_models = true;
-	assert_null(tgt_choose(set, tgt_service(set, "s"), &wish, 0, &why));
+	assert_null(tgt_choose(set, tgt_service(set, "s"), &criteria, 0, &why));
 	g_strlcpy(t->model, "m", sizeof(t->model));
 	t->version = 1;
-	assert_null(tgt_choose(set, tgt_service(set, "s"), &wish, 0, &why));
+	assert_null(tgt_choose(set, tgt_service(set, "s"), &criteria, 0, &why));
 	t->version = 2;
 	assert_ptr_equal(
-	    tgt_choose(set, tgt_service(set, "s"), &wish, 0, &why), t);
+	    tgt_choose(set, tgt_service(set, "s"), &criteria, 0, &why), t);
 	/* It has just come up with a version close to its deadline: all
 	 * gateways send to it at once, and the last request would begin too
 	 * late. */
 	tgt_set_side_down(t, true, 0);
 	tgt_set_side_down(t, false, SECOND);
-	wish.version_fresh = 3;
-	assert_null(
-	    tgt_choose(set, tgt_service(set, "s"), &wish, SECOND + 1, &why));
-	assert_ptr_equal(tgt_choose(set, tgt_service(set, "s"), &wish,
+	criteria.version_fresh = 3;
+	assert_null(tgt_choose(
+	    set, tgt_service(set, "s"), &criteria, SECOND + 1, &why));
+	assert_ptr_equal(tgt_choose(set, tgt_service(set, "s"), &criteria,
 			     SECOND + TGT_FRESH_US, &why),
 	    t);
 	t->side_down = true;
-	assert_null(tgt_choose(set, tgt_service(set, "s"), &wish, 0, &why));
+	assert_null(tgt_choose(set, tgt_service(set, "s"), &criteria, 0, &why));
 }
 
 int
