--- a/lib/agree/inf.c
+++ b/lib/agree/inf.c
@@ -8,7 +8,7 @@
 
 #include "agree/inf_internal.h"
 
-/* workspaces; more indicate a wrong prefix in the object API */
+/* one per workspace; more indicate a wrong prefix in the object API */
 #define BRANCHES_MAX 256
 /*
  * After the object API's list was read, peers get this long to report a write
--- a/lib/agree/rank.c
+++ b/lib/agree/rank.c
@@ -1,8 +1,8 @@
 /*
  * Ranks by rendezvous hashing: nodes with the same member table compute the
- * same order, so that only the first in rank writes and no conditional write is
- * refused (the claim plan of docs/AGREEMENT.md). A different table costs a
- * refused write, but never leads to two holders.
+ * same order of the candidates for a free role, so that only the first in rank
+ * writes and no conditional write is refused. A different table costs a refused
+ * write, but never leads to two holders.
  */
 
 #include <string.h>
@@ -10,8 +10,8 @@
 #include "agree/agr_internal.h"
 
 /*
- * Watchers over all domains. With one per domain, three domains are needed so
- * that a paused watcher does not delay updates.
+ * Minimum number of watchers of the settings over all domains, so that a paused
+ * watcher does not delay updates. With three or more domains, one per domain.
  */
 #define WATCHERS 3
 
