--- a/tests/serve/test_tgt.c
+++ b/tests/serve/test_tgt.c
@@ -278,11 +278,11 @@
 
 /* Publishes the record of target "a", with its start time. */
 static struct tgt *
-put_started(int64_t born_ms, int64_t version, int64_t now_us)
+put_started(int64_t start_ms, int64_t version, int64_t now_us)
 {
 	struct sv_target record = { .slots = 4,
 		.has_models = true,
-		.start_ms = born_ms,
+		.start_ms = start_ms,
 		.model_version = version };
 
 	g_strlcpy(record.id, "a", sizeof(record.id));
