--- a/programs/side/keeper_rate.c
+++ b/programs/side/keeper_rate.c
@@ -16,7 +16,7 @@
 /* Permits for one of the other targets. */
 struct keeper_pool {
 	struct permits permits;
-	int64_t heard_us;
+	int64_t reported_us;
 };
 
 static void
@@ -50,7 +50,7 @@
 		permits_init(&pool->permits);
 		g_hash_table_insert(k->pools, g_strdup(address), pool);
 	}
-	pool->heard_us = keeper_now(k);
+	pool->reported_us = keeper_now(k);
 	return &pool->permits;
 }
 
@@ -121,7 +121,7 @@
 	g_hash_table_iter_init(&iter, k->pools);
 	while (g_hash_table_iter_next(&iter, &address, &value)) {
 		pool = value;
-		if (keeper_now(k) - pool->heard_us > POOL_IDLE_US)
+		if (keeper_now(k) - pool->reported_us > POOL_IDLE_US)
 			g_hash_table_iter_remove(&iter);
 		else
 			tick_pool(k, address, &pool->permits);
