--- a/lib/common/evt.h
+++ b/lib/common/evt.h
@@ -26,8 +26,9 @@
 	X(EVT_CONFIG, "config", EVT_STATE,                                       \
 	    "operators' settings became active")                                 \
 	X(EVT_TARGET, "target", EVT_STATE, "a target was added or changed")      \
-	X(EVT_TARGET_GONE, "target_gone", EVT_STATE, "a target was removed")     \
-	X(EVT_TARGET_REST, "target_rest", EVT_STATE,                             \
+	X(EVT_TARGET_REMOVED, "target_gone", EVT_STATE,                          \
+	    "a target was removed")                                              \
+	X(EVT_TARGET_BACKOFF, "target_rest", EVT_STATE,                          \
 	    "a target is in backoff after failures")                             \
 	X(EVT_LIMIT, "limit", EVT_STATE,                                         \
 	    "a target announced another rate limit, or none")                    \
@@ -44,13 +45,13 @@
 	X(EVT_REFUSED, "refused", EVT_FAILURE,                                   \
 	    "a request was refused and not executed")                            \
 	X(EVT_FAILED, "failed", EVT_FAILURE, "a request failed")                 \
-	X(EVT_LEFT, "left", EVT_FAILURE,                                         \
+	X(EVT_DISCONNECTED, "left", EVT_FAILURE,                                 \
 	    "the caller disconnected before the response")                       \
 	X(EVT_RETRY, "retry", EVT_FAILURE,                                       \
 	    "a request is sent to another target")                               \
 	X(EVT_SUSPECT, "suspect", EVT_STATE,                                     \
 	    "a request suspected of terminating targets was blocked or cleared") \
-	X(EVT_ODD, "odd", EVT_FAILURE,                                           \
+	X(EVT_UNEXPECTED, "odd", EVT_FAILURE,                                    \
 	    "a response to another request was dropped")                         \
 	X(EVT_DROPPED, "lines_dropped", EVT_STATE, "log lines were dropped")
 
--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -349,8 +349,8 @@
 	if (r == NULL)
 		return;
 	ctr_add(r->fwd->disconnected, 1);
-	fwd_log_end(
-	    r, EVT_LEFT, 0, r->state == FWD_WAITING ? "waiting" : "running");
+	fwd_log_end(r, EVT_DISCONNECTED, 0,
+	    r->state == FWD_WAITING ? "waiting" : "running");
 	fwd_finish(r);
 }
 
--- a/lib/serve/fwd_answer.c
+++ b/lib/serve/fwd_answer.c
@@ -122,7 +122,7 @@
 	    (id->value.n != strlen(r->id) ||
 		memcmp(id->value.p, r->id, id->value.n) != 0)) {
 		ctr_add(r->fwd->unexpected, 1);
-		evt(EVT_ODD, "req=%s target=%s got=%.*s", r->id,
+		evt(EVT_UNEXPECTED, "req=%s target=%s got=%.*s", r->id,
 		    r->target->record.id, (int)MIN(id->value.n, FWD_ID_MAX),
 		    id->value.p);
 		hcall_skip(r->call);
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -126,7 +126,7 @@
 
 	tgt_outcome(r->target, target_outcomes[end], fwd_now(r));
 	if (r->target->failures > failures)
-		evt(EVT_TARGET_REST,
+		evt(EVT_TARGET_BACKOFF,
 		    "target=%s address=%s why=%s failures=%u rest_ms=%" G_GINT64_FORMAT,
 		    r->target->record.id, r->target->record.address,
 		    end_names[end], r->target->failures,
--- a/programs/entry/gateway.c
+++ b/programs/entry/gateway.c
@@ -118,7 +118,7 @@
 {
 	struct gateway *g = ctx;
 
-	evt(EVT_TARGET_GONE, "target=%s how=%s", name,
+	evt(EVT_TARGET_REMOVED, "target=%s how=%s", name,
 	    expired ? "missing_after_silence" : "told");
 	tgt_removed(g->set, name, expired, evl_now_us(g->st.loop));
 }
