--- a/lib/serve/fwd_suspect.c
+++ b/lib/serve/fwd_suspect.c
@@ -65,7 +65,7 @@
 	struct sus_termination termination = {
 		.fingerprint = fwd_fingerprint(r),
 		.target = target_hash(r->target),
-		.weight = r->has_begun ? SUS_ANSWERING : SUS_SILENT,
+		.weight = r->has_begun ? SUS_ANSWERING : SUS_UNANSWERED,
 		.at_us = fwd_now(r),
 	};
 
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -219,7 +219,7 @@
 	out->fingerprint = GUINT64_FROM_BE(wire.fingerprint);
 	out->target = GUINT64_FROM_BE(wire.target);
 	out->at_us = now_us - (int64_t)ntohl(wire.age_ms) * 1000;
-	out->weight = MIN(wire.weight, SUS_SILENT);
+	out->weight = MIN(wire.weight, SUS_UNANSWERED);
 }
 
 bool
--- a/lib/serve/suspect.c
+++ b/lib/serve/suspect.c
@@ -117,8 +117,8 @@
 block_span_us(
     const struct sus *s, const struct suspect *sp, unsigned int weight)
 {
-	size_t step = MIN(
-	    (weight - BLOCK_WEIGHT) / SUS_SILENT, G_N_ELEMENTS(block_us) - 1);
+	size_t step = MIN((weight - BLOCK_WEIGHT) / SUS_UNANSWERED,
+	    G_N_ELEMENTS(block_us) - 1);
 	uint64_t bits =
 	    hash64(s->seed, &sp->fingerprint, sizeof(sp->fingerprint));
 	double fraction = (double)(bits >> 11) / (double)(UINT64_C(1) << 53);
--- a/lib/serve/suspect.h
+++ b/lib/serve/suspect.h
@@ -27,7 +27,7 @@
 enum sus_weight {
 	SUS_CLEARED = 0, /* no termination: it had a complete answer */
 	SUS_ANSWERING = 1, /* its answer had begun, so it did run there */
-	SUS_SILENT = 2, /* no answer had begun: it may be the cause */
+	SUS_UNANSWERED = 2, /* no answer had begun: it may be the cause */
 };
 
 /* A request was in flight at a target when the target terminated. */
--- a/tests/serve/test_fwd.c
+++ b/tests/serve/test_fwd.c
@@ -861,7 +861,7 @@
 static void
 report_terminations(uint64_t n)
 {
-	struct sus_termination termination = { .weight = SUS_SILENT };
+	struct sus_termination termination = { .weight = SUS_UNANSWERED };
 
 	termination.fingerprint =
 	    fpr_of(&(struct fpr_content){ .host = "a.example",
--- a/tests/serve/test_suspect.c
+++ b/tests/serve/test_suspect.c
@@ -77,11 +77,11 @@
 test_blocked_after_two_terminations_without_answer(void **state)
 {
 	assert_int_equal(judge(7, T0), SUS_NONE);
-	cut(7, 1, SUS_SILENT, T0);
+	cut(7, 1, SUS_UNANSWERED, T0);
 	sus_target_terminated(s, 1, T0 + 40 * MS, confirmed);
 	assert_int_equal(confirmed->len, 1);
 	assert_int_equal(judge(7, T0 + 50 * MS), SUS_SUSPECT);
-	cut(7, 2, SUS_SILENT, T0 + 300 * MS);
+	cut(7, 2, SUS_UNANSWERED, T0 + 300 * MS);
 	/* Blocked before it is known that the second target terminated. */
 	assert_int_equal(judge(7, T0 + 300 * MS), SUS_BLOCKED);
 	sus_target_terminated(s, 2, T0 + 340 * MS, confirmed);
@@ -94,14 +94,14 @@
 static void
 test_cut_off_by_running_target_is_refuted(void **state)
 {
-	cut(7, 1, SUS_SILENT, T0);
-	cut(7, 2, SUS_SILENT, T0 + 100 * MS);
+	cut(7, 1, SUS_UNANSWERED, T0);
+	cut(7, 2, SUS_UNANSWERED, T0 + 100 * MS);
 	assert_int_equal(judge(7, T0 + 100 * MS), SUS_BLOCKED);
 	assert_int_equal(judge(7, T0 + 500 * MS), SUS_SUSPECT);
 	sus_sweep(s, T0 + 2 * S);
 	assert_true(sus_is_empty(s));
 	/* A termination much later is unrelated. */
-	cut(7, 1, SUS_SILENT, T0 + 3 * S);
+	cut(7, 1, SUS_UNANSWERED, T0 + 3 * S);
 	sus_target_terminated(s, 1, T0 + 5 * S, confirmed);
 	assert_int_equal(confirmed->len, 0);
 }
@@ -111,7 +111,7 @@
 test_termination_known_before_the_cut_off(void **state)
 {
 	struct sus_termination termination =
-	    termination_of(7, 1, SUS_SILENT, T0 + 20 * MS);
+	    termination_of(7, 1, SUS_UNANSWERED, T0 + 20 * MS);
 
 	sus_target_terminated(s, 1, T0, confirmed);
 	assert_int_equal(confirmed->len, 0);
@@ -126,7 +126,7 @@
 	uint64_t fingerprint;
 
 	for (fingerprint = 10; fingerprint < 30; fingerprint++)
-		cut(fingerprint, 1, SUS_SILENT, T0);
+		cut(fingerprint, 1, SUS_UNANSWERED, T0);
 	sus_target_terminated(s, 1, T0 + 40 * MS, confirmed);
 	for (fingerprint = 10; fingerprint < 30; fingerprint++)
 		assert_int_equal(judge(fingerprint, T0 + S), SUS_SUSPECT);
@@ -137,7 +137,7 @@
 	assert_int_equal(judge(40, T0 + 2 * S), SUS_SUSPECT);
 	/* Midway, then before the stream was resumed elsewhere. */
 	report(s, 41, 1, SUS_ANSWERING, T0);
-	report(s, 41, 2, SUS_SILENT, T0 + S);
+	report(s, 41, 2, SUS_UNANSWERED, T0 + S);
 	assert_int_equal(judge(41, T0 + S), SUS_SUSPECT);
 }
 
@@ -155,27 +155,27 @@
 static void
 test_reports_of_one_termination_count_once(void **state)
 {
-	assert_true(report(s, 7, 1, SUS_SILENT, T0));
-	assert_false(report(s, 7, 1, SUS_SILENT, T0 + 30 * MS));
-	cut(7, 1, SUS_SILENT, T0 + 10 * MS);
+	assert_true(report(s, 7, 1, SUS_UNANSWERED, T0));
+	assert_false(report(s, 7, 1, SUS_UNANSWERED, T0 + 30 * MS));
+	cut(7, 1, SUS_UNANSWERED, T0 + 10 * MS);
 	assert_int_equal(judge(7, T0 + 50 * MS), SUS_SUSPECT);
 	/* The target has restarted under the same id. */
-	assert_true(report(s, 7, 1, SUS_SILENT, T0 + 5 * S));
+	assert_true(report(s, 7, 1, SUS_UNANSWERED, T0 + 5 * S));
 	assert_int_equal(judge(7, T0 + 5 * S), SUS_BLOCKED);
 }
 
 static void
 test_complete_answer_clears(void **state)
 {
-	report(s, 7, 1, SUS_SILENT, T0);
+	report(s, 7, 1, SUS_UNANSWERED, T0);
 	assert_true(sus_answered(s, 7));
 	assert_int_equal(judge(7, T0 + S), SUS_NONE);
 	assert_false(sus_answered(s, 7));
-	cut(8, 1, SUS_SILENT, T0); /* not published yet */
+	cut(8, 1, SUS_UNANSWERED, T0); /* not published yet */
 	assert_false(sus_answered(s, 8));
 	/* The same, reported by another process. */
-	report(s, 9, 1, SUS_SILENT, T0);
-	report(s, 9, 2, SUS_SILENT, T0);
+	report(s, 9, 1, SUS_UNANSWERED, T0);
+	report(s, 9, 2, SUS_UNANSWERED, T0);
 	assert_true(report(s, 9, 0, SUS_CLEARED, T0));
 	assert_int_equal(judge(9, T0 + S), SUS_NONE);
 }
@@ -187,9 +187,9 @@
 	int64_t now_us = T0, least_s[] = { 10, 300, 3600, 24 * 3600 }, until_us;
 	uint64_t target;
 
-	report(s, 7, 1, SUS_SILENT, now_us);
+	report(s, 7, 1, SUS_UNANSWERED, now_us);
 	for (target = 2; target <= 5; target++) {
-		report(s, 7, target, SUS_SILENT, now_us);
+		report(s, 7, target, SUS_UNANSWERED, now_us);
 		until_us = blocked_until(s, 7, now_us);
 		assert_in_range((until_us - now_us) / S, least_s[target - 2],
 		    2 * least_s[target - 2]);
@@ -209,8 +209,8 @@
 
 	for (seed = 10; seed < 45; seed++) {
 		other = sus_new(seed);
-		report(other, 7, 1, SUS_SILENT, T0);
-		report(other, 7, 2, SUS_SILENT, T0);
+		report(other, 7, 1, SUS_UNANSWERED, T0);
+		report(other, 7, 2, SUS_UNANSWERED, T0);
 		until_us = blocked_until(other, 7, T0);
 		first_us = MIN(first_us, until_us);
 		last_us = MAX(last_us, until_us);
@@ -225,10 +225,10 @@
 {
 	uint64_t fingerprint;
 
-	report(s, 7, 1, SUS_SILENT, T0);
-	report(s, 7, 2, SUS_SILENT, T0);
+	report(s, 7, 1, SUS_UNANSWERED, T0);
+	report(s, 7, 2, SUS_UNANSWERED, T0);
 	for (fingerprint = 100; fingerprint < 5000; fingerprint++)
-		report(s, fingerprint, 3, SUS_SILENT, T0 + S);
+		report(s, fingerprint, 3, SUS_UNANSWERED, T0 + S);
 	assert_int_equal(judge(7, T0 + 2 * S), SUS_BLOCKED);
 	assert_int_equal(sus_count_blocked(s), 1);
 	sus_blocked_terminations(s, confirmed);
@@ -246,10 +246,10 @@
 	const struct sus_termination *termination;
 	guint i;
 
-	report(s, 7, 1, SUS_SILENT, T0);
-	report(s, 7, 2, SUS_SILENT, T0 + S);
-	report(s, 7, 3, SUS_SILENT, T0 + 2 * S);
-	report(s, 8, 3, SUS_SILENT,
+	report(s, 7, 1, SUS_UNANSWERED, T0);
+	report(s, 7, 2, SUS_UNANSWERED, T0 + S);
+	report(s, 7, 3, SUS_UNANSWERED, T0 + 2 * S);
+	report(s, 8, 3, SUS_UNANSWERED,
 	    T0 + 2 * S); /* a single one is not published */
 	sus_blocked_terminations(s, confirmed);
 	assert_int_equal(confirmed->len, 3);
