--- a/lib/serve/flow.c
+++ b/lib/serve/flow.c
@@ -26,9 +26,9 @@
 may_retry(const struct flow_state *s, enum flow_end end)
 {
 	if (s->blocked || !s->has_time ||
-	    s->tries >= s->attempts + FLOW_REFUSALS_MAX)
+	    s->attempts >= s->max_attempts + FLOW_REFUSALS_MAX)
 		return false;
-	if (s->runs >= s->attempts)
+	if (s->runs >= s->max_attempts)
 		return false;
 	return s->repeatable || certainly_not_run(s);
 }
--- a/lib/serve/flow.h
+++ b/lib/serve/flow.h
@@ -35,14 +35,14 @@
 	bool begun; /* part of an answer was sent to the caller */
 	bool may_have_run; /* at this or an earlier target */
 	unsigned int runs; /* attempts that may have run */
-	unsigned int tries; /* attempts in all */
-	unsigned int attempts; /* maximum of `runs`, from the route */
+	unsigned int attempts; /* in all, runs or not */
+	unsigned int max_attempts; /* maximum of `runs`, from the route */
 	bool has_time; /* enough time is left for another attempt */
 	bool blocked; /* it may have caused terminations of targets */
 };
 
-/* Tries allowed beyond the route's attempts after refusals: a refused request
- * has not run, but each try is charged to the retry budget. */
+/* Attempts allowed beyond the maximum of the route after refusals: a refused request
+ * has not run, but each attempt is charged to the retry budget. */
 #define FLOW_REFUSALS_MAX 2
 
 /* `may_spend` charges the retry budget; called only when a retry needs it. */
--- a/lib/serve/fwd.c
+++ b/lib/serve/fwd.c
@@ -50,7 +50,7 @@
 	    " target=%s content=%016" G_GINT64_MODIFIER
 	    "x config=%" G_GINT64_FORMAT,
 	    r->id, r->route->name, r->service->targets->name, status, why,
-	    r->flow.tries, r->flow.runs, r->events,
+	    r->flow.attempts, r->flow.runs, r->events,
 	    (now_us - r->started_us) / 1000,
 	    r->first_event_us == 0 ? -1
 				   : (r->first_event_us - r->started_us) / 1000,
@@ -152,7 +152,7 @@
 
 	if (r->flow.begun)
 		fwd_abort(r, "timeout");
-	else if (r->flow.tries == 0)
+	else if (r->flow.attempts == 0)
 		fwd_refuse(r, "timeout_waiting");
 	else
 		fwd_fail(r, 504, "timeout");
@@ -299,7 +299,7 @@
 	read_deadline(r, m);
 	read_prompt(r, m);
 	r->flow.repeatable = is_repeatable(route);
-	r->flow.attempts = route->attempts;
+	r->flow.max_attempts = route->attempts;
 	hreq_set_ctx(caller, r);
 	TAILQ_INSERT_TAIL(&f->open, r, open);
 	f->active++;
--- a/lib/serve/fwd_call.c
+++ b/lib/serve/fwd_call.c
@@ -151,7 +151,7 @@
 	evt(EVT_RETRY,
 	    "req=%s why=%s target=%s tries=%u runs=%u last_event=%" G_GINT64_FORMAT
 	    " ms=%" G_GINT64_FORMAT " content=%016" G_GINT64_MODIFIER "x",
-	    r->id, end_names[end], r->target->record.id, r->flow.tries,
+	    r->id, end_names[end], r->target->record.id, r->flow.attempts,
 	    r->flow.runs, r->last_event, (fwd_now(r) - r->started_us) / 1000,
 	    r->fingerprint);
 	fwd_drop_call(r);
@@ -341,7 +341,7 @@
 	const struct sv_route *route = r->route;
 	int64_t wait_us = STALL_DEFAULT_US;
 
-	if (!r->flow.repeatable || r->flow.runs + 1 >= r->flow.attempts)
+	if (!r->flow.repeatable || r->flow.runs + 1 >= r->flow.max_attempts)
 		return;
 	if (route->kind != SV_STREAM)
 		wait_us =
@@ -379,8 +379,8 @@
 count_limited(struct fwd_req *r)
 {
 	if (r->target->rate.limit > 0)
-		ctr_add(
-		    r->flow.tries > 1 ? r->fwd->limited_again : r->fwd->limited,
+		ctr_add(r->flow.attempts > 1 ? r->fwd->limited_again
+					     : r->fwd->limited,
 		    1);
 }
 
@@ -397,7 +397,7 @@
 	r->sent_us = fwd_now(r);
 	if (r->ntried < FWD_TRIED_MAX)
 		r->tried[r->ntried++] = target;
-	r->flow.tries++;
+	r->flow.attempts++;
 	count_limited(r);
 	tgt_sent(target, r->sent_us);
 	/* Ask now, so that the next request finds a permit. */
--- a/lib/serve/fwd_wait.c
+++ b/lib/serve/fwd_wait.c
@@ -194,7 +194,7 @@
 fwd_may_recall(const struct fwd_req *r)
 {
 	return r->route->kind == SV_STREAM && r->flow.repeatable &&
-	    !r->flow.begun && r->flow.runs + 1 < r->flow.attempts;
+	    !r->flow.begun && r->flow.runs + 1 < r->flow.max_attempts;
 }
 
 static struct tgt *
--- a/tests/serve/test_flow.c
+++ b/tests/serve/test_flow.c
@@ -65,7 +65,9 @@
 static void
 test_next_step_after_attempt(void **state)
 {
-	struct flow_state s = { .attempts = 2, .has_time = true, .tries = 1 };
+	struct flow_state s = {
+		.max_attempts = 2, .has_time = true, .attempts = 1
+	};
 	unsigned int charged = 0;
 
 	/* Not repeatable, but it certainly did not run: sent again. */
@@ -93,12 +95,12 @@
 	assert_int_equal(
 	    flow_next(&s, FLOW_STALLED, yes, &charged), FLOW_ABORT);
 	/* No time for another attempt. */
-	s = (struct flow_state){ .repeatable = true, .attempts = 3 };
+	s = (struct flow_state){ .repeatable = true, .max_attempts = 3 };
 	assert_int_equal(
 	    flow_next(&s, FLOW_REFUSED, yes, &charged), FLOW_REFUSE);
 	/* The number of attempts after refusals is bounded. */
 	s.has_time = true;
-	s.tries = 3 + FLOW_REFUSALS_MAX;
+	s.attempts = 3 + FLOW_REFUSALS_MAX;
 	assert_int_equal(
 	    flow_next(&s, FLOW_REFUSED, yes, &charged), FLOW_REFUSE);
 }
