--- a/tests/fleet/engine.c
+++ b/tests/fleet/engine.c
@@ -434,7 +434,7 @@
 }
 
 static void
-on_left(struct hreq *r, void *ctx)
+on_disconnected(struct hreq *r, void *ctx)
 {
 	struct fleet_run *run = hreq_ctx(r);
 
@@ -454,7 +454,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.disconnected = on_left,
+	.disconnected = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
--- a/tests/fleet/store.c
+++ b/tests/fleet/store.c
@@ -313,7 +313,7 @@
 }
 
 static void
-on_left(struct hreq *r, void *ctx)
+on_disconnected(struct hreq *r, void *ctx)
 {
 	struct fleet_watch *w = hreq_ctx(r);
 
@@ -333,7 +333,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.disconnected = on_left,
+	.disconnected = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
--- a/tests/store/test_store.c
+++ b/tests/store/test_store.c
@@ -83,7 +83,7 @@
 }
 
 static void
-on_left(struct hreq *r, void *ctx)
+on_disconnected(struct hreq *r, void *ctx)
 {
 	call = NULL;
 }
@@ -100,7 +100,7 @@
 
 static const struct hserver_ops ops = {
 	.request = on_request,
-	.disconnected = on_left,
+	.disconnected = on_disconnected,
 	.drained = on_drained,
 	.refused = on_refused,
 };
@@ -372,7 +372,7 @@
 	static const struct store_kind second = { .name = "second",
 		.free = g_free };
 	static const struct hserver_ops either = { .request = on_either,
-		.disconnected = on_left,
+		.disconnected = on_disconnected,
 		.drained = on_drained,
 		.refused = on_refused };
 	char address[32];
