--- a/programs/entry/claims.c
+++ b/programs/entry/claims.c
@@ -23,7 +23,7 @@
 struct claims {
 	struct entry *entry;
 	struct obj *obj;
-	struct clm_write_limit pace;
+	struct clm_write_limit write_limit;
 	struct bucket bucket[CLM_BUCKETS];
 	GHashTable *requests; /* "GATEWAY/NUMBER" -> struct claim_request */
 	unsigned int first_ticked; /* where on_tick starts; rotates */
@@ -227,7 +227,7 @@
 
 	if (b->clm == NULL)
 		b->clm = clm_new(
-		    claims->entry->proc.node.id, &claims->pace, &ops, b);
+		    claims->entry->proc.node.id, &claims->write_limit, &ops, b);
 	return b;
 }
 
@@ -368,8 +368,8 @@
 {
 	struct claims *claims = entry->claims;
 
-	claims->pace.writes_s =
-	    MAX(CLM_WRITES_S / MAX(entry->live_entries, 1), 1);
+	claims->write_limit.writes_s =
+	    MAX(CLM_WRITES_S / MAX(entry->live_gateways, 1), 1);
 	if (claims->members_idle == 0)
 		claims->members_idle = g_idle_add(on_members_idle, claims);
 }
@@ -381,7 +381,7 @@
 }
 
 void
-claims_entry_gone(struct entry *entry, const char *id)
+claims_gateway_removed(struct entry *entry, const char *id)
 {
 	g_hash_table_foreach_remove(
 	    entry->claims->requests, is_from, (gpointer)id);
@@ -417,7 +417,7 @@
 	claims->entry = entry;
 	claims->obj = obj_new(
 	    entry->proc.plat, cfg_str(entry->proc.cfg, "platform.objects"));
-	claims->pace.writes_s = CLM_WRITES_S;
+	claims->write_limit.writes_s = CLM_WRITES_S;
 	claims->requests =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_request);
 	for (i = 0; i < CLM_BUCKETS; i++) {
--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -75,19 +75,19 @@
 {
 	SoupSession *session = soup_session_new_with_options(
 	    "timeout", CALL_TIMEOUT_S, "proxy-resolver", NULL, NULL);
-	char **entries = g_strsplit(cli->entry, ",", 0);
+	char **gateways = g_strsplit(cli->entry, ",", 0);
 	bool answered = false;
 	size_t i;
 
 	*out = NULL;
-	/* A write may be sent to the next entry although the first may have
+	/* A write may be sent to the next gateway although the first may have
 	 * accepted it: both have the same operation id and condition. */
-	for (i = 0; entries[i] != NULL && !answered; i++)
-		answered = try_entry(cli, session, entries[i], method, path,
+	for (i = 0; gateways[i] != NULL && !answered; i++)
+		answered = try_entry(cli, session, gateways[i], method, path,
 		    body, status, out, err);
 	if (i == 0)
 		err_set(err, ERR_INVALID, VERDICT_NOT_RUN, "no --entry given");
-	g_strfreev(entries);
+	g_strfreev(gateways);
 	g_object_unref(session);
 	return answered;
 }
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -64,7 +64,7 @@
 	struct claims *claims;
 	GHashTable *pending_claims; /* number -> struct claim */
 	uint64_t next_claim;
-	unsigned int live_entries; /* gateways, this one included */
+	unsigned int live_gateways; /* gateways, this one included */
 	struct rt_targets targets;
 	struct rt_fleet *fleet; /* index of `targets`, for the choice */
 	GHashTable *workspaces; /* branch name -> struct rt_workspace */
@@ -145,7 +145,7 @@
  * same members. */
 const char *claims_owner(struct entry *entry, unsigned int bucket);
 void claims_members_changed(struct entry *entry);
-void claims_entry_gone(struct entry *entry, const char *id);
+void claims_gateway_removed(struct entry *entry, const char *id);
 /* Planned stop: releases all buckets at once, so that others can own them. */
 void claims_leave(struct entry *entry);
 
@@ -177,7 +177,7 @@
 void gatekeeper_set_workspace(
     struct entry *entry, const struct rt_workspace *workspace);
 void gatekeeper_members_changed(struct entry *entry);
-void gatekeeper_entry_gone(struct entry *entry, const char *id);
+void gatekeeper_gateway_removed(struct entry *entry, const char *id);
 void gatekeeper_demand_received(
     struct entry *entry, const char *from, const struct msg *m);
 /* To be called when the state of a target changed. */
--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -58,16 +58,16 @@
 }
 
 static unsigned int
-live_entries(struct entry *entry)
+live_gateways(struct entry *entry)
 {
-	return MAX(entry->live_entries, 1);
+	return MAX(entry->live_gateways, 1);
 }
 
 static void
 update_queue(
     struct entry *entry, const struct rt_criteria *criteria, const char *model)
 {
-	struct adm_load load = { .gateways = live_entries(entry) };
+	struct adm_load load = { .gateways = live_gateways(entry) };
 
 	rt_fleet_load(entry->fleet, criteria, &load.slots, &load.running);
 	adm_queue_load(gatekeeper_queue(entry, criteria->workspace, model,
@@ -168,12 +168,12 @@
 set_workspace(struct gatekeeper *g, struct gate_workspace *w,
     const struct rt_workspace *workspace)
 {
-	unsigned int entries = live_entries(g->entry);
+	unsigned int gateways = live_gateways(g->entry);
 
 	w->retry_permille = workspace->retry_budget_permille;
-	lim_set(w->limit, workspace->requests_s, entries, now_us());
+	lim_set(w->limit, workspace->requests_s, gateways, now_us());
 	adm_workspace_set(adm_workspace(g->adm, w->name), workspace->weight,
-	    (workspace->queue + entries - 1) / entries);
+	    (workspace->queue + gateways - 1) / gateways);
 }
 
 void
@@ -211,7 +211,7 @@
 }
 
 void
-gatekeeper_entry_gone(struct entry *entry, const char *id)
+gatekeeper_gateway_removed(struct entry *entry, const char *id)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/programs/entry/serve.c
+++ b/programs/entry/serve.c
@@ -110,15 +110,15 @@
 	}
 	peers_member_changed(entry, member);
 	if (member->state == MEM_DEAD || member->state == MEM_LEAVING)
-		gatekeeper_entry_gone(entry, member->node.id);
+		gatekeeper_gateway_removed(entry, member->node.id);
 	if (member->state == MEM_DEAD)
-		claims_entry_gone(entry, member->node.id);
+		claims_gateway_removed(entry, member->node.id);
 	if (entry->proc.agr == NULL)
 		return; /* still joining; counted at the next change */
 	agr_each_member(entry->proc.agr, count_gateway, &n);
-	if (n == entry->live_entries)
+	if (n == entry->live_gateways)
 		return;
-	entry->live_entries = n;
+	entry->live_gateways = n;
 	gatekeeper_members_changed(entry);
 	claims_members_changed(entry);
 }
--- a/tests/standin/caller.c
+++ b/tests/standin/caller.c
@@ -15,7 +15,7 @@
 #define PERMILLE 1000
 
 struct caller_options {
-	char *entries, *model, *token, *out;
+	char *gateways, *model, *token, *out;
 	double rate, seconds; /* seconds == 0: until SIGTERM */
 	int streams_permille, max_tokens;
 	int prompts, prompt_bytes;
@@ -433,7 +433,7 @@
 static bool
 open_gateways(struct caller *c)
 {
-	char **urls = g_strsplit(c->options->entries, ",", -1);
+	char **urls = g_strsplit(c->options->gateways, ",", -1);
 	bool ok = true;
 	size_t i;
 
@@ -537,7 +537,7 @@
 static bool
 options_valid(const struct caller_options *o)
 {
-	if (o->entries != NULL && o->model != NULL && o->rate > 0 &&
+	if (o->gateways != NULL && o->model != NULL && o->rate > 0 &&
 	    o->max_tokens > 0 && o->prompts > 0 && o->prompt_bytes >= 0)
 		return true;
 	fprintf(stderr,
@@ -557,7 +557,7 @@
 		.seed = 1 };
 	int status = 2;
 	const struct poptOption table[] = {
-		{ "entries", 0, POPT_ARG_STRING, &o.entries, 0,
+		{ "entries", 0, POPT_ARG_STRING, &o.gateways, 0,
 		    "gateways, used in rotation", "URL[,URL...]" },
 		{ "model", 0, POPT_ARG_STRING, &o.model, 0, "requested model",
 		    "TEAM/MODEL" },
@@ -595,7 +595,7 @@
 
 	if (standin_options(argc, argv, table) && options_valid(&o))
 		status = caller_run(&o);
-	free(o.entries);
+	free(o.gateways);
 	free(o.model);
 	free(o.token);
 	free(o.out);
