--- a/lib/common/cfg_rules.c
+++ b/lib/common/cfg_rules.c
@@ -129,12 +129,12 @@
 check_root_bounds(
     const struct cfg *root, const struct cfg *branch, struct err *err)
 {
-	const char *team = cfg_str(branch, "team");
+	const char *workspace = cfg_str(branch, "team");
 
-	if (!cfg_has(root, "teams.%s", team))
+	if (!cfg_has(root, "teams.%s", workspace))
 		return cfg_refuse(branch, "team",
 		    "a key of the root branch's `teams`", err,
-		    "unknown team '%s'", team);
+		    "unknown team '%s'", workspace);
 	return check_bound(root, branch, "requests_s", err) &&
 	    check_bound(root, branch, "queue", err);
 }
--- a/lib/common/cfg_schema_branch.c
+++ b/lib/common/cfg_schema_branch.c
@@ -8,7 +8,7 @@
 #define MODELS_MAX 256 /* models of a workspace, and services likewise */
 #define VERSIONS_MAX 256 /* versions of a model */
 #define HOSTS_MAX 100000
-#define TEAMS_MAX 1000
+#define WORKSPACES_MAX 1000
 #define WEIGHTS_MAX 100000000000000 /* 100 TB */
 /* Each transfer buffers one chunk in memory until the chunk is verified. */
 #define CHUNK_MAX 67108864
@@ -285,7 +285,7 @@
 	{ .path = "teams",
 	    .type = CFG_MAP,
 	    .min = 0,
-	    .max = TEAMS_MAX,
+	    .max = WORKSPACES_MAX,
 	    .about = "Workspaces that may have a branch, by name." },
 	{ .path = "teams.*",
 	    .type = CFG_MAP,
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -121,7 +121,7 @@
 	uint16_t port;
 	uint32_t seq;
 	uint16_t total;
-	uint16_t pace_permille;
+	uint16_t slowdown_permille;
 	uint16_t flags;
 } __attribute__((packed));
 
@@ -142,7 +142,7 @@
 		.port = at.sin_port,
 		.seq = htonl(one->seq),
 		.total = htons((uint16_t)MIN(one->total, UINT16_MAX)),
-		.pace_permille =
+		.slowdown_permille =
 		    htons((uint16_t)MIN(one->slowdown_permille, UINT16_MAX)),
 		.flags = htons(one->slow_link ? FLAG_SLOW_LINK : 0),
 	};
@@ -170,7 +170,7 @@
 	sock_format(&at, out->address, sizeof(out->address));
 	out->seq = ntohl(wire.seq);
 	out->total = ntohs(wire.total);
-	out->slowdown_permille = ntohs(wire.pace_permille);
+	out->slowdown_permille = ntohs(wire.slowdown_permille);
 	out->slow_link = (ntohs(wire.flags) & FLAG_SLOW_LINK) != 0;
 }
 
--- a/lib/serve/tgt.c
+++ b/lib/serve/tgt.c
@@ -149,7 +149,7 @@
 tgt_side_is_alive(const struct tgt *t, int64_t now_us)
 {
 	return t->side_report_us != 0 &&
-	    now_us - t->side_report_us <= TGT_SIDE_SILENT_US;
+	    now_us - t->side_report_us <= TGT_SIDE_TIMEOUT_US;
 }
 
 bool
--- a/lib/serve/tgt_internal.h
+++ b/lib/serve/tgt_internal.h
@@ -17,7 +17,7 @@
 
 /* A sidecar reports several times a second. One that sent no report for this
  * long has lost its host or its network path to this gateway. */
-#define TGT_SIDE_SILENT_US 900000
+#define TGT_SIDE_TIMEOUT_US 900000
 
 bool tgt_side_is_alive(const struct tgt *t, int64_t now_us);
 /* Whether the target's rate limit admits a request now. */
--- a/lib/serve/tgt_rate.c
+++ b/lib/serve/tgt_rate.c
@@ -88,7 +88,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		service = value;
 		if (service->side_report_us != 0 &&
-		    now_us - service->side_report_us <= TGT_SIDE_SILENT_US)
+		    now_us - service->side_report_us <= TGT_SIDE_TIMEOUT_US)
 			return true;
 	}
 	return false;
--- a/lib/stage/stage.c
+++ b/lib/stage/stage.c
@@ -13,7 +13,7 @@
  * begins. */
 #define DEADLINE_MARGIN_US 500000
 /* Time for the remaining chunks once transfers make progress. */
-#define DISTRIBUTE_REST_US 2300000
+#define DISTRIBUTE_REMAINING_US 2300000
 /* Idle time that a switch of version costs an engine: running requests end,
  * and their slots stay empty meanwhile. */
 #define SWITCH_COST_US 800000
@@ -210,7 +210,7 @@
 	if (o->total > 0)
 		left = 1 - (double)o->have / (double)o->total;
 	return MAX(o->newest_announced_us + DISTRIBUTE_US,
-	    now_us + (int64_t)(left * DISTRIBUTE_REST_US));
+	    now_us + (int64_t)(left * DISTRIBUTE_REMAINING_US));
 }
 
 bool
@@ -232,7 +232,7 @@
 	if (o->older_total == 0 || o->newest_deadline_us == 0)
 		return false;
 	fetch_us = (int64_t)((double)MIN(o->older_left, o->older_total) /
-	    (double)o->older_total * DISTRIBUTE_REST_US);
+	    (double)o->older_total * DISTRIBUTE_REMAINING_US);
 	serve_us = o->newest_deadline_us - now_us - fetch_us - SWITCH_COST_US;
 	return serve_us > fetch_us;
 }
--- a/lib/store/store.c
+++ b/lib/store/store.c
@@ -20,7 +20,7 @@
  * the call is given up is time without settings after the store's return. This
  * many failures double the timeout, for a store that is slower still.
  */
-#define CALL_TIMEOUT_TRIES 3
+#define CALL_TIMEOUT_ATTEMPTS 3
 #define CALL_TIMEOUT_US 600000
 #define CALL_TIMEOUT_MAX_US 2500000
 /* Watches that probe whether the store is up again do not wait for changes. */
@@ -137,7 +137,7 @@
 call_timeout_us(const struct store_cache *c)
 {
 	return MIN((int64_t)CALL_TIMEOUT_US
-		<< MIN(c->failures / CALL_TIMEOUT_TRIES, 8),
+		<< MIN(c->failures / CALL_TIMEOUT_ATTEMPTS, 8),
 	    CALL_TIMEOUT_MAX_US);
 }
 
@@ -248,20 +248,21 @@
 {
 	GHashTableIter iter;
 	gpointer name, value;
-	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
+	GPtrArray *removed = g_ptr_array_new_with_free_func(g_free);
 	guint i;
 
 	g_hash_table_iter_init(&iter, c->known);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		if (((struct cached_object *)value)->listing != c->listing)
-			g_ptr_array_add(gone, g_strdup(name));
+			g_ptr_array_add(removed, g_strdup(name));
 	}
-	for (i = 0; i < gone->len; i++) {
-		report_removed(c, g_hash_table_lookup(c->known, gone->pdata[i]),
-		    gone->pdata[i], true);
-		g_hash_table_remove(c->known, gone->pdata[i]);
+	for (i = 0; i < removed->len; i++) {
+		report_removed(c,
+		    g_hash_table_lookup(c->known, removed->pdata[i]),
+		    removed->pdata[i], true);
+		g_hash_table_remove(c->known, removed->pdata[i]);
 	}
-	g_ptr_array_unref(gone);
+	g_ptr_array_unref(removed);
 }
 
 static void
--- a/lib/weights/proto.c
+++ b/lib/weights/proto.c
@@ -17,13 +17,13 @@
 const struct msg_desc proto_have_desc =
     MSG_DESC(PROTO_HAVE, "have", struct proto_have, have_fields);
 
-static const struct msg_field news_fields[] = {
+static const struct msg_field update_fields[] = {
 	MSG_FIELD(struct proto_update, gained, MSG_BIN, 0),
 	MSG_FIELD(struct proto_update, claims, MSG_BIN, 0),
 	MSG_FIELD(struct proto_update, load, MSG_U64, UINT32_MAX),
 };
 const struct msg_desc proto_update_desc =
-    MSG_DESC(PROTO_UPDATE, "news", struct proto_update, news_fields);
+    MSG_DESC(PROTO_UPDATE, "news", struct proto_update, update_fields);
 
 static const struct msg_field get_fields[] = {
 	MSG_FIELD(struct proto_get, index, MSG_U64, UINT32_MAX),
--- a/tests/route/test_admit.c
+++ b/tests/route/test_admit.c
@@ -9,7 +9,7 @@
 #include "route/admit.h"
 
 #define MS 1000
-#define FAR_US (1000LL * G_USEC_PER_SEC)
+#define LONG_DEADLINE_US (1000LL * G_USEC_PER_SEC)
 #define TICKETS 400
 
 struct fixture {
@@ -101,7 +101,7 @@
 static enum adm_state
 submit_plain(struct fixture *g, unsigned int i)
 {
-	return submit(g, i, 100, 0, FAR_US / MS);
+	return submit(g, i, 100, 0, LONG_DEADLINE_US / MS);
 }
 
 static void
@@ -150,11 +150,11 @@
 	size_t i;
 
 	submit_plain(g, 0);
-	submit(g, 1, 128, 0, FAR_US / MS);
-	submit(g, 2, 0, 0, FAR_US / MS);
+	submit(g, 1, 128, 0, LONG_DEADLINE_US / MS);
+	submit(g, 2, 0, 0, LONG_DEADLINE_US / MS);
 	g->now_us += 2000 * MS;
-	submit(g, 3, 0, 0, FAR_US / MS);
-	submit(g, 4, 1000, 0, FAR_US / MS);
+	submit(g, 3, 0, 0, LONG_DEADLINE_US / MS);
+	submit(g, 4, 1000, 0, LONG_DEADLINE_US / MS);
 	g->last = &g->ticket[0];
 	for (i = 0; i < G_N_ELEMENTS(order); i++) {
 		adm_done(g->last, ADM_OTHER, g->now_us);
@@ -185,7 +185,7 @@
 	for (i = 0; i < TICKETS; i++) {
 		struct adm_ticket *t = &g->ticket[i];
 
-		t->deadline_us = g->now_us + FAR_US;
+		t->deadline_us = g->now_us + LONG_DEADLINE_US;
 		if (i < 2) {
 			adm_submit(queue[i], t, g->now_us, NULL);
 			continue;
@@ -234,7 +234,7 @@
 	submit_plain(g, 0);
 	for (i = 1; i <= 40; i++) {
 		submit_plain(g, i);
-		g->ticket[100 + i].deadline_us = g->now_us + FAR_US;
+		g->ticket[100 + i].deadline_us = g->now_us + LONG_DEADLINE_US;
 		adm_submit(other, &g->ticket[100 + i], g->now_us, NULL);
 	}
 	g->last = &g->ticket[0];
