--- a/lib/agree/agree.h
+++ b/lib/agree/agree.h
@@ -191,7 +191,7 @@
 	void (*gained)(struct agr_role *role, uint64_t fence, void *ctx);
 	void (*lost)(struct agr_role *role, void *ctx);
 };
-struct agr_role *agr_role_join(struct agr *agr, const char *role,
+struct agr_role *agr_role_join(struct agr *agr, const char *name,
     const struct agr_role_ops *ops, void *ctx);
 /* Planned handover: releases the lease at once if this node holds it. */
 void agr_role_leave(struct agr_role *role);
--- a/lib/agree/mem_internal.h
+++ b/lib/agree/mem_internal.h
@@ -96,7 +96,7 @@
 /* To be called every MEM_TICK_MS. */
 void mem_tick(struct mem *mem, int64_t now_us);
 void mem_receive(struct mem *mem, int64_t now_us, const char *from,
-    enum mem_type type, const struct mem_msg *message);
+    enum mem_type type, const struct mem_msg *m);
 void mem_leave(struct mem *mem, int64_t now_us);
 /*
  * Sets an address from the host list to be probed once; only the last one is
--- a/lib/route/activate.h
+++ b/lib/route/activate.h
@@ -41,7 +41,7 @@
 };
 
 enum act_step act_next(
-    const struct act_rules *rules, const struct act_target *target);
+    const struct act_rules *rules, const struct act_target *t);
 
 /* Backoff after the n-th consecutive failed load (n >= 1), so that an engine
  * that cannot load is not drained over and over. */
--- a/lib/serve/fwd.h
+++ b/lib/serve/fwd.h
@@ -48,7 +48,8 @@
 void fwd_target_terminated(struct fwd *f, const struct tgt *t);
 /* Another process reported a request that was in flight at a terminated
  * target. */
-void fwd_report_termination(struct fwd *f, const struct sus_termination *end);
+void fwd_report_termination(
+    struct fwd *f, const struct sus_termination *termination);
 /* Appends the terminations of all blocked requests, grouped by fingerprint. */
 void fwd_blocked_terminations(const struct fwd *f, GArray *out);
 /* Drops expired suspects; to be called periodically. */
--- a/lib/serve/suspect.h
+++ b/lib/serve/suspect.h
@@ -53,13 +53,13 @@
  * permanently once the target is known to have terminated. Returns true if that
  * is known already, so that the caller must publish the termination.
  */
-bool sus_cut(struct sus *s, const struct sus_termination *end);
+bool sus_cut(struct sus *s, const struct sus_termination *termination);
 /* The target has terminated. Appends the terminations that this confirms to
  * `confirmed` (of struct sus_termination); the caller publishes them. */
 void sus_target_terminated(
     struct sus *s, uint64_t target, int64_t now_us, GArray *confirmed);
 /* Adds a termination reported by another process. True: it was new. */
-bool sus_report(struct sus *s, const struct sus_termination *end);
+bool sus_report(struct sus *s, const struct sus_termination *termination);
 /* A complete answer clears a request. Returns true if the caller must publish
  * this, as a termination of weight SUS_CLEARED. */
 bool sus_answered(struct sus *s, uint64_t fingerprint);
--- a/programs/entry/entry.h
+++ b/programs/entry/entry.h
@@ -165,7 +165,7 @@
     const struct claim_params *params, claim_cb *done, void *ctx);
 /* Cancels the callback. The key, which may have been claimed, is still to be
  * settled by claim_settle. */
-void claim_cancel(struct claim *claim);
+void claim_cancel(struct claim *c);
 void claim_settle(struct entry *entry, const char *key, const char *claimant,
     const struct clm_outcome *outcome);
 void claim_answered(struct entry *entry, const struct rt_claim_answer *answer);
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -162,9 +162,9 @@
 };
 struct fleet_proxy *fleet_proxy_open(
     struct fleet *f, const char *address, const char *to, struct err *err);
-void fleet_proxy_set(struct fleet_proxy *p, enum proxy_mode mode);
-void fleet_proxy_reset(struct fleet_proxy *p); /* all its connections */
+void fleet_proxy_set(struct fleet_proxy *proxy, enum proxy_mode mode);
+void fleet_proxy_reset(struct fleet_proxy *proxy); /* all its connections */
 /* Whether the proxy accepts connections; not while its target is down. */
-void fleet_proxy_listen(struct fleet_proxy *p, bool listen);
+void fleet_proxy_listen(struct fleet_proxy *proxy, bool listen);
 
 #endif
--- a/tests/standin/caller.h
+++ b/tests/standin/caller.h
@@ -96,7 +96,7 @@
 	const char *attempts; /* X-Attempts, or NULL */
 	int64_t took_us;
 };
-void stats_add(struct stats *s, const struct stats_result *end);
+void stats_add(struct stats *s, const struct stats_result *result);
 /* Returns the summary as a JSON object; free with g_free. */
 char *stats_print(const struct stats *s, int64_t sending_ms);
 
--- a/tests/standin/engine.h
+++ b/tests/standin/engine.h
@@ -20,8 +20,8 @@
 uint64_t cache_prefix(const char *text, size_t len);
 /* Looks up a prefix and counts a hit or a miss. A hit returns true and makes
  * the prefix the most recently used. */
-bool cache_lookup(struct cache *c, uint64_t prefix);
-void cache_add(struct cache *c, uint64_t prefix, int64_t tokens);
+bool cache_lookup(struct cache *c, uint64_t hash);
+void cache_add(struct cache *c, uint64_t hash, int64_t tokens);
 int64_t cache_tokens(const struct cache *c);
 int64_t cache_hits(const struct cache *c);
 int64_t cache_misses(const struct cache *c);
