--- a/lib/http/parse.h
+++ b/lib/http/parse.h
@@ -34,8 +34,8 @@
 	size_t nheaders;
 	bool http10;
 	bool keep_alive; /* the sender keeps the connection open */
-	bool
-	    has_length; /* of a response: its body has a length or is chunked */
+	/* Of a response: its body has a length or is chunked. */
+	bool has_length;
 	bool chunked;
 	uint64_t length; /* valid with has_length and not chunked */
 };
--- a/programs/entry/claims.c
+++ b/programs/entry/claims.c
@@ -33,8 +33,8 @@
 
 /* A claim request that the bucket has not answered. */
 struct claim_request {
-	struct clm_request
-	    base; /* first: the answer callback casts its address */
+	/* First: the answer callback casts its address. */
+	struct clm_request base;
 	struct claims *claims;
 	char *id;
 	char *key;
--- a/programs/entry/request.h
+++ b/programs/entry/request.h
@@ -52,14 +52,14 @@
 	enum adm_outcome outcome;
 
 	/* A request with an idempotency key. */
-	char *
-	    key; /* WORKSPACE/service:NAME/KEY or .../model:...; NULL: no key */
+	/* WORKSPACE/service:NAME/KEY or .../model:...; NULL: no key. */
+	char *key;
 	char *claimant;
 	struct claim *claim; /* while it is pending */
 	struct digest_stream *answer_hash; /* of the bytes received so far */
 	bool complete; /* the answer */
-	const struct clm_outcome
-	    *recorded; /* of an earlier request, to repeat */
+	/* Of an earlier request, to repeat. */
+	const struct clm_outcome *recorded;
 };
 
 void request_count(const struct request *r, const char *name);
--- a/programs/side/keeper.h
+++ b/programs/side/keeper.h
@@ -107,8 +107,8 @@
 	struct stg_deadlines deadlines;
 	struct permits permits; /* by the engine's rate limit */
 	GHashTable *pools; /* address of another target -> keeper_pool */
-	struct sus
-	    *suspects; /* requests in flight at targets that terminated */
+	/* Requests in flight at targets that terminated. */
+	struct sus *suspects;
 	/* struct repeat: blocked requests to be reported again. */
 	GArray *repeats;
 	/* The engine. */
--- a/tests/standin/engine_run.h
+++ b/tests/standin/engine_run.h
@@ -22,8 +22,8 @@
 	int64_t attempt;
 	int64_t priority; /* 0 is most urgent */
 	bool stream;
-	char expected_digest
-	    [DIGEST_HEX]; /* digest required by the request; "": any */
+	/* Digest required by the request; "": any. */
+	char expected_digest[DIGEST_HEX];
 	char digest[DIGEST_HEX]; /* loaded when the run started */
 	uint64_t prefix;
 	int64_t prompt_tokens;
