--- a/lib/serve/flow.h
+++ b/lib/serve/flow.h
@@ -41,8 +41,8 @@
 	bool blocked; /* it may have caused terminations of targets */
 };
 
-/* Attempts allowed beyond the maximum of the route after refusals: a refused request
- * has not run, but each attempt is charged to the retry budget. */
+/* Attempts allowed after refusals beyond the maximum of the route: a refused
+ * request has not run, but each attempt is charged to the retry budget. */
 #define FLOW_REFUSALS_MAX 2
 
 /* `may_spend` charges the retry budget; called only when a retry needs it. */
--- a/lib/serve/side.c
+++ b/lib/serve/side.c
@@ -188,15 +188,15 @@
 G_STATIC_ASSERT(sizeof(struct wire_termination) == SIDE_TERMINATION_BYTES);
 
 void
-side_termination_put(
-    GByteArray *entries, const struct sus_termination *end, int64_t now_us)
+side_termination_put(GByteArray *entries,
+    const struct sus_termination *termination, int64_t now_us)
 {
-	int64_t age_ms = MAX(0, now_us - end->at_us) / 1000;
+	int64_t age_ms = MAX(0, now_us - termination->at_us) / 1000;
 	struct wire_termination wire = {
-		.fingerprint = GUINT64_TO_BE(end->fingerprint),
-		.target = GUINT64_TO_BE(end->target),
+		.fingerprint = GUINT64_TO_BE(termination->fingerprint),
+		.target = GUINT64_TO_BE(termination->target),
 		.age_ms = htonl((uint32_t)MIN(age_ms, UINT32_MAX)),
-		.weight = (uint8_t)end->weight,
+		.weight = (uint8_t)termination->weight,
 	};
 
 	g_byte_array_append(entries, (const guint8 *)&wire, sizeof(wire));
--- a/lib/serve/side.h
+++ b/lib/serve/side.h
@@ -179,8 +179,8 @@
 size_t side_relayed_count(const struct side_relay *relay);
 void side_relayed_get(
     const struct side_relay *relay, size_t i, struct side_relayed *out);
-void side_termination_put(
-    GByteArray *entries, const struct sus_termination *end, int64_t now_us);
+void side_termination_put(GByteArray *entries,
+    const struct sus_termination *termination, int64_t now_us);
 size_t side_terminations_count(const struct side_terminations *terminations);
 void side_termination_get(const struct side_terminations *terminations,
     size_t i, int64_t now_us, struct sus_termination *out);
