--- a/programs/entry/cli.h
+++ b/programs/entry/cli.h
@@ -20,7 +20,7 @@
 	int watch;
 };
 
-/* Calls the entries in turn until one answers; ERR_UNAVAILABLE if none does.
+/* Calls the gateways in turn until one answers; ERR_UNAVAILABLE if none does.
  * `body` may be NULL. The caller unrefs `*out`, NULL for an empty answer. */
 bool cli_call(const struct cli *cli, const char *method, const char *path,
     const char *body, unsigned int *status, JsonNode **out, struct err *err);
--- a/programs/entry/cli_http.c
+++ b/programs/entry/cli_http.c
@@ -1,4 +1,4 @@
-/* HTTP calls of operators' commands to an entry, and edits of a branch. */
+/* HTTP calls of operators' commands to a gateway, and edits of a branch. */
 
 #include <libsoup/soup.h>
 #include <stdio.h>
--- a/programs/entry/gatekeeper.c
+++ b/programs/entry/gatekeeper.c
@@ -1,15 +1,15 @@
 /*
- * Admission of callers' requests: the workspace's rate limit over all entries,
- * the admission queues and the retry budget of this entry. The decisions are
+ * Admission of callers' requests: the workspace's rate limit over all gateways,
+ * the admission queues and the retry budget of this gateway. The decisions are
  * made by adm_*, lim_* and bud_*; this file provides the clock and the load and
- * exchanges messages with the other entries.
+ * exchanges messages with the other gateways.
  */
 
 #include <string.h>
 
 #include "entry/entry.h"
 
-/* Requests in progress at one entry, whatever the capacity of the targets:
+/* Requests in progress at one gateway, whatever the capacity of the targets:
  * bounds its memory (a buffered answer takes up to RT_WINDOW_BYTES). */
 #define OPEN_MAX 4096
 #define VERSIONS_MAX 256 /* per model; the settings allow no more */
@@ -24,7 +24,7 @@
 	guint load_timer;
 };
 
-/* Admission state of a workspace at this entry. */
+/* Admission state of a workspace at this gateway. */
 struct gate_workspace {
 	char name[RT_NAME_MAX + 1];
 	struct lim *limit;
@@ -130,7 +130,7 @@
 	}
 }
 
-/* The estimated number of requests of other entries decays while sidecars are
+/* The estimated number of requests of other gateways decays while sidecars are
  * not responding; passes the resulting load on to the queues. */
 static gboolean
 on_load_tick(gpointer data)
@@ -192,7 +192,7 @@
 	set_workspace(g, w, workspace);
 }
 
-/* The number of live entries changed, and with it the share of each. */
+/* The number of live gateways changed, and with it the share of each. */
 void
 gatekeeper_members_changed(struct entry *entry)
 {
