--- a/lib/agree/gate.c
+++ b/lib/agree/gate.c
@@ -164,8 +164,7 @@
 	uint64_t lowest;
 
 	if (fencing->agr == NULL)
-		return err_set(
-		    err, ERR_CANCELLED, VERDICT_NOT_RUN, "process is stopping");
+		return err_set(err, ERR_CANCELLED, VERDICT_NOT_RUN, "stopping");
 	if (floor == NULL) {
 		floor = g_new0(struct floor, 1);
 		floor->fencing = fencing;
